--- a/internal/control/twelve_test.go
+++ b/internal/control/twelve_test.go
@@ -184,12 +184,12 @@
 	var next func()
 	next = func() {
 		switch o := d.Next(n.s.Now()); o.Kind {
-		case node.OrderDone:
+		case node.ActionDone:
 			n.Answered(call, o.Answer, d)
 			done(o.Answer)
-		case node.OrderPause:
+		case node.ActionPause:
 			n.s.After(o.Pause, next)
-		case node.OrderSend:
+		case node.ActionSend:
 			to := n.s.node(o.Target.Endpoint().Node)
 			n.s.After(minuteOneWay, func() {
 				to.arrive(o.Attempt, func(a *node.Answer) {
--- a/internal/node/concurrent_test.go
+++ b/internal/node/concurrent_test.go
@@ -210,11 +210,11 @@
 	d := NewDispatch(s.router, rng, call, retry.NewAccount(simAllowance))
 	for {
 		switch order := d.Next(time.Now()); order.Kind {
-		case OrderPause:
+		case ActionPause:
 			time.Sleep(order.Pause)
-		case OrderSend:
+		case ActionSend:
 			d.Observe(time.Now(), s.carry(ctx, rng, order.Target.Endpoint().Node, order.Attempt))
-		case OrderDone:
+		case ActionDone:
 			a := order.Answer
 			s.rec.ended(history.Send{
 				Request: request, Attempt: call.Ctx.RequestID, Service: "s", Code: a.Code,
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -13,21 +13,21 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// OrderKind says what the holder of a Dispatch does next.
-type OrderKind int
+// ActionKind says what the holder of a Dispatch does next.
+type ActionKind int
 
 const (
-	// OrderSend: send Attempt to Target and report with Observe.
-	OrderSend OrderKind = iota
-	// OrderPause: wait, then ask Next again.
-	OrderPause
-	// OrderDone: give Answer to the caller.
-	OrderDone
+	// ActionSend: send Attempt to Target and report with Observe.
+	ActionSend ActionKind = iota
+	// ActionPause: wait, then ask Next again.
+	ActionPause
+	// ActionDone: give Answer to the caller.
+	ActionDone
 )
 
-// Order is one instruction of a Dispatch.
-type Order struct {
-	Kind    OrderKind
+// Action is one instruction of a Dispatch.
+type Action struct {
+	Kind    ActionKind
 	Target  *routing.Target
 	Attempt *Call
 	Pause   time.Duration
@@ -95,7 +95,7 @@
 }
 
 // Next returns the next order.
-func (d *Dispatch) Next(now time.Time) Order {
+func (d *Dispatch) Next(now time.Time) Action {
 	if d.begun.IsZero() {
 		d.begun = now
 		if d.watch != nil {
@@ -103,21 +103,21 @@
 		}
 	}
 	if d.final != nil {
-		return Order{Kind: OrderDone, Answer: d.final}
+		return Action{Kind: ActionDone, Answer: d.final}
 	}
 	if d.pause > 0 {
 		pause := d.pause
 		d.pause = 0
-		return Order{Kind: OrderPause, Pause: pause}
+		return Action{Kind: ActionPause, Pause: pause}
 	}
 	if d.call.Ctx.Remaining(now) <= 0 {
 		d.settle(Refused(d.call.Ctx.CallID, result.Refuse(result.DeadlineTooNear, "no time left before an upstream was chosen")))
-		return Order{Kind: OrderDone, Answer: d.final}
+		return Action{Kind: ActionDone, Answer: d.final}
 	}
 	target, refusal := d.pick(now)
 	if refusal != nil {
 		d.settle(Refused(d.call.Ctx.CallID, refusal))
-		return Order{Kind: OrderDone, Answer: d.final}
+		return Action{Kind: ActionDone, Answer: d.final}
 	}
 	return d.send(now, target)
 }
@@ -189,7 +189,7 @@
 	return quarantine.Home(d.call.Fingerprint(), candidates)
 }
 
-func (d *Dispatch) send(now time.Time, target *routing.Target) Order {
+func (d *Dispatch) send(now time.Time, target *routing.Target) Action {
 	attempt := *d.call
 	attempt.Ctx.CallID = d.router.NewID()
 	d.share = d.account.Lend()
@@ -204,7 +204,7 @@
 	if d.watch != nil {
 		d.watch.routed(now, d, &attempt)
 	}
-	return Order{Kind: OrderSend, Target: target, Attempt: &attempt}
+	return Action{Kind: ActionSend, Target: target, Attempt: &attempt}
 }
 
 // Observe takes the end of the attempt last sent.
@@ -256,12 +256,12 @@
 		d.redirects++
 		d.next = d.router.At(d.call.Ctx.Service, a.Refusal.Owner)
 		d.pause = wait
-	case action == retry.TryElsewhere && d.reroute(a):
+	case action == retry.RetryOtherNode && d.reroute(a):
 		d.tried = append(d.tried, d.target.Endpoint().Node)
 		d.pause = wait
-	case action == retry.TryElsewhere && !d.mayPass(throttle):
+	case action == retry.RetryOtherNode && !d.mayPass(throttle):
 		d.settle(a)
-	case action == retry.TryElsewhere && d.account.Spend():
+	case action == retry.RetryOtherNode && d.account.Spend():
 		d.retries++
 		if d.watch != nil {
 			d.watch.retried(now, d, a, wait)
--- a/internal/node/dispatch_property_test.go
+++ b/internal/node/dispatch_property_test.go
@@ -50,7 +50,7 @@
 
 // anyAnswer draws how an attempt ends, with a claim of unused allowance that
 // may be a lie.
-func anyAnswer(t *rapid.T, order Order) *Answer {
+func anyAnswer(t *rapid.T, order Action) *Answer {
 	code := rapid.SampledFrom([]result.Code{
 		result.OK, result.UpstreamFailed, result.Shed, result.QueueExpired, result.UpstreamShed, result.Draining,
 		result.Unreachable, result.LostAnswer, result.AnswerCut, result.AnswerMismatch, result.OwnedElsewhere,
@@ -85,11 +85,11 @@
 		bound := 1 + allowance + retry.DefaultPolicy().MaxOwnerAsks
 		for final == nil {
 			switch order := d.Next(now); order.Kind {
-			case OrderDone:
+			case ActionDone:
 				final = order.Answer
-			case OrderPause:
+			case ActionPause:
 				now = now.Add(order.Pause)
-			case OrderSend:
+			case ActionSend:
 				if lent := order.Attempt.Allowance; lent > allowance {
 					t.Fatalf("lent %d of %d", lent, allowance)
 				}
@@ -140,16 +140,16 @@
 	now := epoch
 	for _, code := range []result.Code{result.LostAnswer, result.Shed, result.Shed} {
 		order := d.Next(now)
-		for order.Kind == OrderPause {
+		for order.Kind == ActionPause {
 			now = now.Add(order.Pause)
 			order = d.Next(now)
 		}
-		must.EqOp(t, OrderSend, order.Kind)
+		must.EqOp(t, ActionSend, order.Kind)
 		a := refusedWith(order.Attempt, code)
 		a.Unused = order.Attempt.Allowance
 		d.Observe(now, a)
 	}
 	order := d.Next(now)
-	must.EqOp(t, OrderDone, order.Kind)
+	must.EqOp(t, ActionDone, order.Kind)
 	must.EqOp(t, result.LostAnswer, order.Answer.Code)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -193,12 +193,12 @@
 		}
 		order := d.Next(p.node.Now())
 		switch order.Kind {
-		case node.OrderDone:
+		case node.ActionDone:
 			p.node.Answered(call, order.Answer, d)
 			return order.Answer
-		case node.OrderPause:
+		case node.ActionPause:
 			wait.For(ctx, order.Pause)
-		case node.OrderSend:
+		case node.ActionSend:
 			// The time is taken after the answer. As an argument beside the call it is the
 			// time before: every latency is microseconds, a slow upstream looks like a quick
 			// one, and reports of load are as old as the call.
@@ -208,7 +208,7 @@
 	}
 }
 
-func (p *Proxy) send(ctx context.Context, order node.Order) *node.Answer {
+func (p *Proxy) send(ctx context.Context, order node.Action) *node.Answer {
 	to := order.Target.Endpoint()
 	if to.Node == p.node.ID() {
 		p.node.Metrics().Inc(metrics.CallsLocal, 1)
--- a/internal/retry/decide.go
+++ b/internal/retry/decide.go
@@ -11,11 +11,11 @@
 type Action int
 
 const (
-	// ReturnIt hands the outcome to the caller as it is.
-	ReturnIt Action = iota
-	// TryElsewhere sends a new call ID to another node. It costs one unit
+	// GiveUp hands the outcome to the caller as it is.
+	GiveUp Action = iota
+	// RetryOtherNode sends a new call ID to another node. It costs one unit
 	// of the allowance.
-	TryElsewhere
+	RetryOtherNode
 	// AskOwner sends the call to Attempt.Owner. It costs no allowance.
 	AskOwner
 	// Reattach sends the same call ID to the same incarnation over a new
@@ -26,9 +26,9 @@
 // String returns the action's name.
 func (a Action) String() string {
 	switch a {
-	case ReturnIt:
+	case GiveUp:
 		return "return"
-	case TryElsewhere:
+	case RetryOtherNode:
 		return "try_elsewhere"
 	case AskOwner:
 		return "ask_owner"
@@ -76,7 +76,7 @@
 // caller still needs Account.Spend and Throttle.Allow for TryElsewhere.
 func Decide(a Attempt, p Policy) (Action, time.Duration) {
 	if a.Remaining <= p.MinRemaining {
-		return ReturnIt, 0
+		return GiveUp, 0
 	}
 	switch kindOf(a.Code) {
 	case kindOwner:
@@ -90,7 +90,7 @@
 	case kindFailed:
 		return decideFailed(a, p)
 	}
-	return ReturnIt, 0
+	return GiveUp, 0
 }
 
 // FinalCode is the code to hand back with ReturnIt. A refusal that says "not
@@ -146,10 +146,10 @@
 // back and forth between them until its deadline.
 func decideOwner(a Attempt, p Policy) (Action, time.Duration) {
 	if a.Owner == "" || a.OwnerAsked >= p.MaxOwnerAsks {
-		return ReturnIt, 0
+		return GiveUp, 0
 	}
 	if a.unproven() && !a.Idempotent {
-		return ReturnIt, 0
+		return GiveUp, 0
 	}
 	if a.OwnerAsked == 0 {
 		return AskOwner, 0
@@ -161,12 +161,12 @@
 // load to upstreams that will refuse it too.
 func decideRefused(a Attempt, p Policy, wait time.Duration) (Action, time.Duration) {
 	if a.AllFull {
-		return ReturnIt, 0
+		return GiveUp, 0
 	}
 	if a.unproven() && !a.Idempotent {
-		return ReturnIt, 0
+		return GiveUp, 0
 	}
-	return TryElsewhere, wait
+	return RetryOtherNode, wait
 }
 
 // decideLost first asks the same guard again with the same call ID. While the
@@ -177,16 +177,16 @@
 		return Reattach, 0
 	}
 	if a.Idempotent {
-		return TryElsewhere, p.wait(a)
+		return RetryOtherNode, p.wait(a)
 	}
-	return ReturnIt, 0
+	return GiveUp, 0
 }
 
 // decideFailed lets an idempotent call that failed be tried elsewhere a bounded
 // number of times: one that fails on several upstreams fails by its content.
 func decideFailed(a Attempt, p Policy) (Action, time.Duration) {
 	if !a.Idempotent || a.Number >= p.MaxFailedTries {
-		return ReturnIt, 0
+		return GiveUp, 0
 	}
-	return TryElsewhere, p.wait(a)
+	return RetryOtherNode, p.wait(a)
 }
--- a/internal/retry/decide_test.go
+++ b/internal/retry/decide_test.go
@@ -34,7 +34,7 @@
 		a := drawAttempt(t)
 		action, wait := Decide(a, p)
 		proven := a.Code.Ran() == result.RanNo && !a.Reattached && !a.MayHaveRun
-		if action == TryElsewhere {
+		if action == RetryOtherNode {
 			must.True(t, a.Idempotent || proven)
 			must.False(t, a.AllFull && a.Code.Ran() == result.RanNo)
 		}
@@ -46,7 +46,7 @@
 			must.Eq(t, result.OwnedElsewhere, a.Code)
 			must.True(t, a.Owner != "" && a.OwnerAsked < p.MaxOwnerAsks)
 		}
-		if action != ReturnIt {
+		if action != GiveUp {
 			must.True(t, wait >= 0 && wait <= p.MaxBackoff && wait < a.Remaining)
 		}
 		if FinalCode(a).Ran() == result.RanNo {
@@ -61,28 +61,28 @@
 		a    Attempt
 		want Action
 	}{
-		{"answered", Attempt{Code: result.OK, Idempotent: true}, ReturnIt},
-		{"shed", Attempt{Code: result.Shed}, TryElsewhere},
-		{"shed everywhere", Attempt{Code: result.Shed, AllFull: true}, ReturnIt},
-		{"refused early", Attempt{Code: result.ShedEarly}, ReturnIt},
-		{"draining", Attempt{Code: result.Draining}, TryElsewhere},
-		{"no connection", Attempt{Code: result.Unreachable}, TryElsewhere},
-		{"too little time", Attempt{Code: result.DeadlineTooNear}, ReturnIt},
-		{"quarantined", Attempt{Code: result.Quarantined, Idempotent: true}, ReturnIt},
+		{"answered", Attempt{Code: result.OK, Idempotent: true}, GiveUp},
+		{"shed", Attempt{Code: result.Shed}, RetryOtherNode},
+		{"shed everywhere", Attempt{Code: result.Shed, AllFull: true}, GiveUp},
+		{"refused early", Attempt{Code: result.ShedEarly}, GiveUp},
+		{"draining", Attempt{Code: result.Draining}, RetryOtherNode},
+		{"no connection", Attempt{Code: result.Unreachable}, RetryOtherNode},
+		{"too little time", Attempt{Code: result.DeadlineTooNear}, GiveUp},
+		{"quarantined", Attempt{Code: result.Quarantined, Idempotent: true}, GiveUp},
 		{"owner known", Attempt{Code: result.OwnedElsewhere, Owner: "a"}, AskOwner},
-		{"owner not known", Attempt{Code: result.OwnedElsewhere}, ReturnIt},
+		{"owner not known", Attempt{Code: result.OwnedElsewhere}, GiveUp},
 		// An upstream died; its node refused a third of the service's calls for
 		// the second until it was back, while the others had room.
-		{"upstream gone", Attempt{Code: result.NoUpstream}, TryElsewhere},
-		{"owners disagree", Attempt{Code: result.OwnedElsewhere, Owner: "a", OwnerAsked: DefaultPolicy().MaxOwnerAsks}, ReturnIt},
+		{"upstream gone", Attempt{Code: result.NoUpstream}, RetryOtherNode},
+		{"owners disagree", Attempt{Code: result.OwnedElsewhere, Owner: "a", OwnerAsked: DefaultPolicy().MaxOwnerAsks}, GiveUp},
 		{"silent connection", Attempt{Code: result.LostAnswer, SameIncarnation: true}, Reattach},
-		{"silent again", Attempt{Code: result.LostAnswer, SameIncarnation: true, Reattached: true}, ReturnIt},
-		{"guard died, idempotent", Attempt{Code: result.LostAnswer, Idempotent: true}, TryElsewhere},
-		{"guard died", Attempt{Code: result.LostAnswer}, ReturnIt},
+		{"silent again", Attempt{Code: result.LostAnswer, SameIncarnation: true, Reattached: true}, GiveUp},
+		{"guard died, idempotent", Attempt{Code: result.LostAnswer, Idempotent: true}, RetryOtherNode},
+		{"guard died", Attempt{Code: result.LostAnswer}, GiveUp},
 		{"cut answer", Attempt{Code: result.AnswerCut, SameIncarnation: true}, Reattach},
-		{"failed, idempotent", Attempt{Code: result.UpstreamFailed, Idempotent: true}, TryElsewhere},
-		{"failed twice", Attempt{Code: result.UpstreamFailed, Idempotent: true, Number: 1}, ReturnIt},
-		{"refused after a lost send", Attempt{Code: result.Shed, Reattached: true}, ReturnIt},
+		{"failed, idempotent", Attempt{Code: result.UpstreamFailed, Idempotent: true}, RetryOtherNode},
+		{"failed twice", Attempt{Code: result.UpstreamFailed, Idempotent: true, Number: 1}, GiveUp},
+		{"refused after a lost send", Attempt{Code: result.Shed, Reattached: true}, GiveUp},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 			must.Eq(t, tc.want, got)
 			tc.a.Remaining = DefaultPolicy().MinRemaining
 			got, _ = Decide(tc.a, DefaultPolicy())
-			must.Eq(t, ReturnIt, got)
+			must.Eq(t, GiveUp, got)
 		})
 	}
 }
