--- a/internal/control/codec.go
+++ b/internal/control/codec.go
@@ -28,8 +28,8 @@
 	return membership.Identity{Node: node, Incarnation: n}
 }
 
-// OnSuspects takes suspects that a peer spread.
-func (p *Plane) OnSuspects(now time.Time, list []*innerpb.Suspect) {
+// OnCrashRecords takes suspects that a peer spread.
+func (p *Plane) OnCrashRecords(now time.Time, list []*innerpb.Suspect) {
 	for _, s := range list {
 		p.incoming = append(p.incoming, inner.Suspect(now, s))
 	}
--- a/internal/control/plane.go
+++ b/internal/control/plane.go
@@ -147,7 +147,7 @@
 	soft     map[string]softMember
 	drains   map[membership.Identity]drain
 	suspects map[suspectKey]suspectUpdate
-	incoming []quarantine.Suspect
+	incoming []quarantine.CrashRecord
 
 	updates   uint64 // grows with whatever is to be passed down at once
 	fromBelow uint64 // grows with whatever did not come from above
--- a/internal/control/updates.go
+++ b/internal/control/updates.go
@@ -48,7 +48,7 @@
 }
 
 type suspectUpdate struct {
-	suspect quarantine.Suspect
+	suspect quarantine.CrashRecord
 	heard   time.Time
 }
 
@@ -145,10 +145,10 @@
 	return out
 }
 
-// SetSuspects tells what the guard knows of crashing requests and returns what
+// SetCrashRecords tells what the guard knows of crashing requests and returns what
 // is new, to be spread at once.
-func (p *Plane) SetSuspects(now time.Time, known []quarantine.Suspect) []quarantine.Suspect {
-	var fresh []quarantine.Suspect
+func (p *Plane) SetCrashRecords(now time.Time, known []quarantine.CrashRecord) []quarantine.CrashRecord {
+	var fresh []quarantine.CrashRecord
 	seen := make(map[suspectKey]bool, len(known))
 	for _, s := range known {
 		k := suspectKey{s.Fingerprint, s.Upstream, s.Incarnation}
@@ -166,9 +166,9 @@
 	return fresh
 }
 
-// TakeSuspects returns what peers said of crashing requests since the last
+// TakeCrashRecords returns what peers said of crashing requests since the last
 // call, for the guard.
-func (p *Plane) TakeSuspects() []quarantine.Suspect {
+func (p *Plane) TakeCrashRecords() []quarantine.CrashRecord {
 	in := p.incoming
 	p.incoming = nil
 	return in
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -183,10 +183,10 @@
 	for _, peer := range n.plane.LeaderAsks(w.now) {
 		n.ask(peer, 0)
 	}
-	for _, s := range n.plane.TakeSuspects() {
+	for _, s := range n.plane.TakeCrashRecords() {
 		n.guard.Merge(w.now, s)
 	}
-	n.plane.SetSuspects(w.now, n.guard.Snapshot(w.now))
+	n.plane.SetCrashRecords(w.now, n.guard.Snapshot(w.now))
 	version := int64(n.plane.Policy().Version())
 	if version == 0 {
 		return // a starting node without configuration refuses calls
--- a/internal/inner/suspects.go
+++ b/internal/inner/suspects.go
@@ -9,7 +9,7 @@
 
 // SuspectMessage is a record of suspicion as nodes pass it on: clocks differ,
 // so its time travels as an age.
-func SuspectMessage(now time.Time, s quarantine.Suspect) *innerpb.Suspect {
+func SuspectMessage(now time.Time, s quarantine.CrashRecord) *innerpb.Suspect {
 	return &innerpb.Suspect{
 		Fingerprint: uint64(s.Fingerprint),
 		Upstream:    s.Upstream,
@@ -20,9 +20,9 @@
 	}
 }
 
-// Suspect is the record of a message received at now.
-func Suspect(now time.Time, s *innerpb.Suspect) quarantine.Suspect {
-	return quarantine.Suspect{
+// CrashRecord is the record of a message received at now.
+func Suspect(now time.Time, s *innerpb.Suspect) quarantine.CrashRecord {
+	return quarantine.CrashRecord{
 		Fingerprint: quarantine.Fingerprint(s.GetFingerprint()),
 		Upstream:    s.GetUpstream(),
 		Incarnation: s.GetIncarnation(),
@@ -33,7 +33,7 @@
 }
 
 // SuspectMessages makes messages of records known at now.
-func SuspectMessages(now time.Time, list []quarantine.Suspect) []*innerpb.Suspect {
+func SuspectMessages(now time.Time, list []quarantine.CrashRecord) []*innerpb.Suspect {
 	var out []*innerpb.Suspect
 	for _, s := range list {
 		out = append(out, SuspectMessage(now, s))
@@ -41,9 +41,9 @@
 	return out
 }
 
-// Suspects makes records of messages received at now.
-func Suspects(now time.Time, list []*innerpb.Suspect) []quarantine.Suspect {
-	var out []quarantine.Suspect
+// CrashRecords makes records of messages received at now.
+func Suspects(now time.Time, list []*innerpb.Suspect) []quarantine.CrashRecord {
+	var out []quarantine.CrashRecord
 	for _, s := range list {
 		out = append(out, Suspect(now, s))
 	}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -122,21 +122,21 @@
 	m.upstream.Speak(m.platform)
 	m.upstream.SetAddr(m.cfg.UpstreamAddress)
 	m.node = node.New(node.Config{
-		Identity:   id,
-		Clock:      systemClock{},
-		Runner:     m.upstream,
-		Authority:  noKeys{},
-		Ring:       timeline.NewRing(m.cfg.NodeID, timelineEvents, &timeline.Clock{}),
-		Routing:    routingConfig(),
-		Retry:      retry.DefaultPolicy(),
-		Throttle:   retry.DefaultThrottleConfig(),
-		Guard:      guardConfig(),
-		Seed:       newSeed(),
-		Sample:     timelineSample,
-		Reroutes:   reroutes,
-		Metrics:    m.metrics,
-		OnEvent:    m.logEvent,
-		OnSuspects: m.suspects.spread,
+		Identity:       id,
+		Clock:          systemClock{},
+		Runner:         m.upstream,
+		Authority:      noKeys{},
+		Ring:           timeline.NewRing(m.cfg.NodeID, timelineEvents, &timeline.Clock{}),
+		Routing:        routingConfig(),
+		Retry:          retry.DefaultPolicy(),
+		Throttle:       retry.DefaultThrottleConfig(),
+		Guard:          guardConfig(),
+		Seed:           newSeed(),
+		Sample:         timelineSample,
+		Reroutes:       reroutes,
+		Metrics:        m.metrics,
+		OnEvent:        m.logEvent,
+		OnCrashRecords: m.suspects.spread,
 	})
 	m.suspects.guard = m.node.Guard()
 	m.peers.Bind(m.node)
--- a/internal/mesh/suspects.go
+++ b/internal/mesh/suspects.go
@@ -48,7 +48,7 @@
 	unwritten func(Item)
 
 	mu      sync.Mutex
-	pending []quarantine.Suspect
+	pending []quarantine.CrashRecord
 }
 
 func newSuspects(topic Topic, nodeID string, logger, callLines zerolog.Logger, unwritten func(Item)) *suspects {
@@ -56,7 +56,7 @@
 }
 
 // spread takes records to be written; it doesn't block.
-func (s *suspects) spread(list []quarantine.Suspect) {
+func (s *suspects) spread(list []quarantine.CrashRecord) {
 	s.mu.Lock()
 	s.pending = append(s.pending, list...)
 	if over := len(s.pending) - maxSuspects; over > 0 {
@@ -89,7 +89,7 @@
 }
 
 // write tries once more after a failure: records are of use for seconds only.
-func (s *suspects) write(ctx context.Context, batch []quarantine.Suspect) error {
+func (s *suspects) write(ctx context.Context, batch []quarantine.CrashRecord) error {
 	records := make([]suspectRecord, len(batch))
 	for i, x := range batch {
 		records[i] = suspectRecord{uint64(x.Fingerprint), x.Upstream, x.Incarnation, x.At.UnixMilli(), x.Cleared, x.Alone}
@@ -128,16 +128,16 @@
 		return
 	}
 	now := time.Now()
-	list := make([]quarantine.Suspect, len(records))
+	list := make([]quarantine.CrashRecord, len(records))
 	for i, r := range records {
-		list[i] = quarantine.Suspect{
+		list[i] = quarantine.CrashRecord{
 			Fingerprint: quarantine.Fingerprint(r.Fingerprint), Upstream: r.Upstream, Incarnation: r.Incarnation,
 			// The monotonic reading of now makes ages immune to steps of the clock.
 			At:      now.Add(-max(0, now.Sub(time.UnixMilli(r.AtMillis)))),
 			Cleared: r.Cleared, Alone: r.Alone,
 		}
 	}
-	if fresh := s.guard.MergeSuspects(now, list); len(fresh) > 0 {
+	if fresh := s.guard.MergeCrashRecords(now, list); len(fresh) > 0 {
 		s.logger.Info().Str("from", item.Key).Int("records", len(fresh)).Msg("suspects learned")
 	}
 }
--- a/internal/metrics/names.go
+++ b/internal/metrics/names.go
@@ -137,7 +137,7 @@
 	BoundAnswerBytes
 	BoundAnswerKeys
 	BoundTimeline
-	BoundSuspects
+	BoundCrashRecords
 	BoundMembers
 	BoundAppends
 	BoundAccounts
@@ -154,7 +154,7 @@
 	BoundAnswerBytes:       "idempotency.answer_bytes",
 	BoundAnswerKeys:        "idempotency.keys",
 	BoundTimeline:          "timeline.events",
-	BoundSuspects:          "quarantine.suspects",
+	BoundCrashRecords:      "quarantine.suspects",
 	BoundMembers:           "members.held",
 	BoundAppends:           "log.appends_waiting",
 	BoundAccounts:          "retry.accounts",
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -35,8 +35,8 @@
 	BodyHash uint64
 	// Allowance is the share of the retry allowance that travels along.
 	Allowance int
-	// Marks are the records of upstreams that died running this request.
-	Marks []quarantine.Suspect
+	// CrashRecords are the records of upstreams that died running this request.
+	CrashRecords []quarantine.CrashRecord
 	// Reattach says that an earlier sending of the same call ID got no answer.
 	Reattach bool
 	// Kept says that the call's events are kept, by sample or because it was
--- a/internal/node/concurrent_test.go
+++ b/internal/node/concurrent_test.go
@@ -145,7 +145,7 @@
 	for i := range uint64(3) {
 		g := &simGuard{name: fmt.Sprintf("n%d", i), claims: seed%2 == 0, rec: s.rec, rng: rand.New(rand.NewPCG(seed, i))}
 		g.g = NewGuard(DefaultGuardConfig(), i+1, g, g, time.Now())
-		g.g.onSuspects = func([]quarantine.Suspect) {}
+		g.g.onSuspects = func([]quarantine.CrashRecord) {}
 		g.g.UpstreamUp(time.Now(), limits(2))
 		s.guards[g.name] = g
 	}
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -46,10 +46,10 @@
 	Throttle(service string) *retry.Throttle
 	// RetryPolicy returns the backoff in force.
 	RetryPolicy() retry.Policy
-	// Suspicion returns the records against the call's request, if any.
-	Suspicion(now time.Time, call *Call) []quarantine.Suspect
-	// Witness records that an upstream died while it ran the call.
-	Witness(now time.Time, call *Call, a *Answer)
+	// CrashRecords returns the records against the call's request, if any.
+	CrashRecords(now time.Time, call *Call) []quarantine.CrashRecord
+	// ReportCrash records that an upstream died while it ran the call.
+	ReportCrash(now time.Time, call *Call, a *Answer)
 	// NewID returns a fresh call ID.
 	NewID() string
 }
@@ -72,7 +72,7 @@
 	retries  int
 	// reroutes counts attempts that did not reach an upstream and cost nothing.
 	reroutes int
-	marks    []quarantine.Suspect
+	marks    []quarantine.CrashRecord
 	held     bool // paused once until a suspect may run
 	pause    time.Duration
 	final    *Answer
@@ -158,7 +158,7 @@
 		Deep:    d.call.Ctx.Depth > 0,
 		Node:    d.next,
 	}
-	d.marks = d.router.Suspicion(now, d.call)
+	d.marks = d.router.CrashRecords(now, d.call)
 	switch {
 	case info.Node != "":
 	case d.call.Keyed():
@@ -194,7 +194,7 @@
 	attempt.Ctx.CallID = d.router.NewID()
 	d.share = d.account.Lend()
 	attempt.Allowance = d.share.Amount()
-	attempt.Marks = d.marks
+	attempt.CrashRecords = d.marks
 	attempt.Repeat = d.call.Repeat || d.arrived
 	d.attempts++
 	d.target = target
@@ -228,7 +228,7 @@
 	}
 	if a.Crashed != 0 {
 		a.Upstream = d.target.Endpoint().Node
-		d.router.Witness(now, d.call, a)
+		d.router.ReportCrash(now, d.call, a)
 	}
 	if a.Code.Ran() != result.RanNo && d.unproven == nil {
 		d.unproven = a
--- a/internal/node/dispatch_property_test.go
+++ b/internal/node/dispatch_property_test.go
@@ -32,14 +32,14 @@
 	return &fakeRouter{table: table, throttle: retry.NewThrottle(retry.DefaultThrottleConfig())}
 }
 
-func (r *fakeRouter) Table() *routing.Table                           { return r.table }
-func (r *fakeRouter) Owner(*Call) string                              { return "" }
-func (r *fakeRouter) Throttle(string) *retry.Throttle                 { return r.throttle }
-func (r *fakeRouter) RetryPolicy() retry.Policy                       { return retry.DefaultPolicy() }
-func (r *fakeRouter) Suspicion(time.Time, *Call) []quarantine.Suspect { return nil }
-func (r *fakeRouter) Witness(_ time.Time, _ *Call, _ *Answer)         {}
-func (r *fakeRouter) At(_, addr string) string                        { return addr[len("addr-"):] }
-func (r *fakeRouter) NewID() string                                   { r.ids++; return fmt.Sprintf("id%d", r.ids) }
+func (r *fakeRouter) Table() *routing.Table                                  { return r.table }
+func (r *fakeRouter) Owner(*Call) string                                     { return "" }
+func (r *fakeRouter) Throttle(string) *retry.Throttle                        { return r.throttle }
+func (r *fakeRouter) RetryPolicy() retry.Policy                              { return retry.DefaultPolicy() }
+func (r *fakeRouter) CrashRecords(time.Time, *Call) []quarantine.CrashRecord { return nil }
+func (r *fakeRouter) ReportCrash(_ time.Time, _ *Call, _ *Answer)            {}
+func (r *fakeRouter) At(_, addr string) string                               { return addr[len("addr-"):] }
+func (r *fakeRouter) NewID() string                                          { r.ids++; return fmt.Sprintf("id%d", r.ids) }
 
 // sentAttempt is one attempt with its answer.
 type sentAttempt struct {
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -132,7 +132,7 @@
 	upstreamIncarnation uint64
 	// suspicion is false while no request is suspected of crashing upstreams.
 	suspicion  atomic.Bool
-	onSuspects func([]quarantine.Suspect)
+	onSuspects func([]quarantine.CrashRecord)
 }
 
 // NewGuard makes the guard of a node incarnation without an upstream.
--- a/internal/node/guard_arrive.go
+++ b/internal/node/guard_arrive.go
@@ -82,10 +82,10 @@
 	if refusal := g.countLocked(now, call); refusal != nil {
 		return refusal
 	}
-	if len(call.Marks) == 0 && !g.suspicion.Load() {
+	if len(call.CrashRecords) == 0 && !g.suspicion.Load() {
 		return nil
 	}
-	for _, mark := range call.Marks {
+	for _, mark := range call.CrashRecords {
 		g.quarantine.Merge(now, mark)
 		g.suspicion.Store(true)
 	}
--- a/internal/node/guard_suspects.go
+++ b/internal/node/guard_suspects.go
@@ -6,12 +6,12 @@
 	"github.com/galenagrade/galenagrade/internal/quarantine"
 )
 
-// MergeSuspects takes over what peers know of crashing requests and returns
+// MergeCrashRecords takes over what peers know of crashing requests and returns
 // what was new, to be passed on.
-func (g *Guard) MergeSuspects(now time.Time, suspects []quarantine.Suspect) []quarantine.Suspect {
+func (g *Guard) MergeCrashRecords(now time.Time, suspects []quarantine.CrashRecord) []quarantine.CrashRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var fresh []quarantine.Suspect
+	var fresh []quarantine.CrashRecord
 	for _, s := range suspects {
 		if g.quarantine.Merge(now, s) {
 			g.suspicion.Store(true)
@@ -21,8 +21,8 @@
 	return fresh
 }
 
-// Suspects returns what this node knows of crashing requests.
-func (g *Guard) Suspects(now time.Time) []quarantine.Suspect {
+// CrashRecords returns what this node knows of crashing requests.
+func (g *Guard) CrashRecords(now time.Time) []quarantine.CrashRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.quarantine.Snapshot(now)
@@ -30,21 +30,21 @@
 
 // marks returns the records against a request. In ordinary times nothing is
 // suspected, and that costs one atomic read.
-func (g *Guard) marks(now time.Time, call *Call) []quarantine.Suspect {
+func (g *Guard) marks(now time.Time, call *Call) []quarantine.CrashRecord {
 	if !g.suspicion.Load() {
 		return nil
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.quarantine.Marks(now, call.Fingerprint())
+	return g.quarantine.CrashRecords(now, call.Fingerprint())
 }
 
 // witness records at the entry node that an upstream died running a call.
-func (g *Guard) witness(now time.Time, call *Call, a *Answer) quarantine.Suspect {
+func (g *Guard) witness(now time.Time, call *Call, a *Answer) quarantine.CrashRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.suspicion.Store(true)
-	return g.quarantine.Witnessed(now, call.Fingerprint(), a.Upstream, a.Crashed)
+	return g.quarantine.CrashObserved(now, call.Fingerprint(), a.Upstream, a.Crashed)
 }
 
 // refreshSuspicionLocked returns to the cheap path once nothing is suspected.
--- a/internal/node/guard_upstream.go
+++ b/internal/node/guard_upstream.go
@@ -69,7 +69,7 @@
 // claim that came after the upstream's return would start a call for which no
 // slot is counted. Reports of the same
 // death by several calls count once: only the first finds the upstream up.
-func (g *Guard) UpstreamDown(now time.Time, upstream string) (incarnation uint64, suspects []quarantine.Suspect, first bool) {
+func (g *Guard) UpstreamDown(now time.Time, upstream string) (incarnation uint64, suspects []quarantine.CrashRecord, first bool) {
 	g.mu.Lock()
 	incarnation = g.upstreamIncarnation
 	if !g.upstreamUp {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -78,9 +78,9 @@
 	OnEvent func(*timeline.Event)
 	// OnCrash is called when the local upstream's process died; may be nil.
 	OnCrash func()
-	// OnSuspects is given records of crashing requests for the peers; may be
+	// OnCrashRecords is given records of crashing requests for the peers; may be
 	// nil. It must not block.
-	OnSuspects func([]quarantine.Suspect)
+	OnCrashRecords func([]quarantine.CrashRecord)
 }
 
 // Owners finds the guard that owns an idempotency key.
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -190,7 +190,7 @@
 	}
 }
 
-func (o *observer) cleared(now time.Time, suspects []quarantine.Suspect) {
+func (o *observer) cleared(now time.Time, suspects []quarantine.CrashRecord) {
 	if o == nil || len(suspects) == 0 {
 		return
 	}
@@ -222,7 +222,7 @@
 }
 
 // suspected records the requests that a dead upstream ran.
-func (n *Node) suspected(now time.Time, suspects []quarantine.Suspect) {
+func (n *Node) suspected(now time.Time, suspects []quarantine.CrashRecord) {
 	for _, s := range suspects {
 		n.Event(now, timeline.Event{Kind: timeline.Suspected, Upstream: s.Upstream, Detail: fmt.Sprintf(
 			"request %016x ran when it died, alone %t", uint64(s.Fingerprint), s.Alone)})
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -53,21 +53,21 @@
 	return incarnation
 }
 
-func (n *Node) spread(suspects []quarantine.Suspect) {
+func (n *Node) spread(suspects []quarantine.CrashRecord) {
 	n.cfg.Metrics.Inc(metrics.SuspectsSpread, int64(len(suspects)))
-	if len(suspects) > 0 && n.cfg.OnSuspects != nil {
-		n.cfg.OnSuspects(suspects)
+	if len(suspects) > 0 && n.cfg.OnCrashRecords != nil {
+		n.cfg.OnCrashRecords(suspects)
 	}
 }
 
-// Suspicion implements Router.
-func (n *Node) Suspicion(now time.Time, call *Call) []quarantine.Suspect {
+// CrashRecords implements Router.
+func (n *Node) CrashRecords(now time.Time, call *Call) []quarantine.CrashRecord {
 	return n.guard.marks(now, call)
 }
 
-// Witness implements Router.
-func (n *Node) Witness(now time.Time, call *Call, a *Answer) {
-	n.spread([]quarantine.Suspect{n.guard.witness(now, call, a)})
+// ReportCrash implements Router.
+func (n *Node) ReportCrash(now time.Time, call *Call, a *Answer) {
+	n.spread([]quarantine.CrashRecord{n.guard.witness(now, call, a)})
 }
 
 // admissionConfig derives the guard's limits from any instance that covers the
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -84,7 +84,7 @@
 	h.BodyHash = attempt.BodyHash
 	h.TargetIncarnation = formatIncarnation(s.to.Incarnation)
 	h.Reattach = attempt.Reattach
-	h.Marks = inner.SuspectMessages(s.peers.node.Now(), attempt.Marks)
+	h.Marks = inner.SuspectMessages(s.peers.node.Now(), attempt.CrashRecords)
 	h.FromNode = s.peers.node.ID()
 	h.Hlc = s.peers.node.Stamp(attempt)
 	return h
@@ -202,19 +202,19 @@
 func (p *Proxy) decodeCall(h *innerpb.CallHeader, r *http.Request) *node.Call {
 	p.node.Heard(h.GetHlc())
 	return &node.Call{
-		Ctx:       *inner.ToContext(h, p.node.Now()),
-		Method:    r.Header.Get(headerMethod),
-		Target:    r.Header.Get(headerTarget),
-		Host:      r.Header.Get(headerHost),
-		Routed:    r.Header.Get(headerHost) != "",
-		Repeat:    r.Header.Get(headerRepeat) != "",
-		Continues: r.Header.Get(headerContinues) != "",
-		Header:    callctx.Forwardable(r.Header),
-		BodyHash:  h.GetBodyHash(),
-		Allowance: int(h.GetAllowance()),
-		Marks:     inner.Suspects(p.node.Now(), h.GetMarks()),
-		Reattach:  h.GetReattach(),
-		Kept:      h.GetHlc() != 0 || p.node.Sampled(h.GetRequestId()),
+		Ctx:          *inner.ToContext(h, p.node.Now()),
+		Method:       r.Header.Get(headerMethod),
+		Target:       r.Header.Get(headerTarget),
+		Host:         r.Header.Get(headerHost),
+		Routed:       r.Header.Get(headerHost) != "",
+		Repeat:       r.Header.Get(headerRepeat) != "",
+		Continues:    r.Header.Get(headerContinues) != "",
+		Header:       callctx.Forwardable(r.Header),
+		BodyHash:     h.GetBodyHash(),
+		Allowance:    int(h.GetAllowance()),
+		CrashRecords: inner.Suspects(p.node.Now(), h.GetMarks()),
+		Reattach:     h.GetReattach(),
+		Kept:         h.GetHlc() != 0 || p.node.Sampled(h.GetRequestId()),
 	}
 }
 
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -17,10 +17,10 @@
 // Fingerprint names a request by service, method, path and body hash.
 type Fingerprint uint64
 
-// Suspect is one record of suspicion: a fingerprint ran when that incarnation
+// CrashRecord is one record of suspicion: a fingerprint ran when that incarnation
 // of an upstream died. Records with the same fingerprint, upstream and
 // incarnation are one; merging is idempotent and independent of order.
-type Suspect struct {
+type CrashRecord struct {
 	Fingerprint Fingerprint
 	Upstream    string
 	Incarnation uint64
@@ -41,14 +41,14 @@
 	incarnation uint64
 }
 
-func (s *Suspect) event() event { return event{s.Upstream, s.Incarnation} }
+func (s *CrashRecord) event() event { return event{s.Upstream, s.Incarnation} }
 
 // entry holds the records of one fingerprint.
 type entry struct {
-	records []Suspect
+	records []CrashRecord
 }
 
-func (e *entry) find(ev event) *Suspect {
+func (e *entry) find(ev event) *CrashRecord {
 	for i := range e.records {
 		if e.records[i].event() == ev {
 			return &e.records[i]
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -33,13 +33,13 @@
 
 // add makes an entry for the fingerprint of s. When there are too many, the
 // least telling one makes room; nil when that would be the new one.
-func (t *Tracker) add(now time.Time, s *Suspect) *entry {
+func (t *Tracker) add(now time.Time, s *CrashRecord) *entry {
 	if len(t.entries) >= t.cfg.MaxEntries {
 		t.sweep(now)
 	}
-	e := &entry{records: make([]Suspect, 0, 1)}
+	e := &entry{records: make([]CrashRecord, 0, 1)}
 	if len(t.entries) >= t.cfg.MaxEntries {
-		candidate := &entry{records: []Suspect{*s}}
+		candidate := &entry{records: []CrashRecord{*s}}
 		f, worst := t.leastTelling()
 		if lessTelling(s.Fingerprint, candidate, f, worst) {
 			return nil
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -63,16 +63,16 @@
 
 // Crashed records that the local upstream died running these, and returns the
 // records to spread. All runs count as ended; a later Finished changes nothing.
-func (t *Tracker) Crashed(now time.Time, upstream string, incarnation uint64, running []Fingerprint) []Suspect {
+func (t *Tracker) Crashed(now time.Time, upstream string, incarnation uint64, running []Fingerprint) []CrashRecord {
 	fingerprints := t.proven.unproven(running)
 	slices.Sort(fingerprints)
 	fingerprints = slices.Compact(fingerprints)
 	only := t.onlySuspect(now, fingerprints)
 	clear(t.running)
 
-	out := make([]Suspect, 0, len(fingerprints))
+	out := make([]CrashRecord, 0, len(fingerprints))
 	for _, f := range fingerprints {
-		s := Suspect{Fingerprint: f, Upstream: upstream, Incarnation: incarnation, At: now}
+		s := CrashRecord{Fingerprint: f, Upstream: upstream, Incarnation: incarnation, At: now}
 		s.Alone = len(fingerprints) == 1 || (only != nil && *only == f)
 		t.Merge(now, s)
 		out = append(out, s)
@@ -101,25 +101,25 @@
 	return found
 }
 
-// Witnessed records at an entry node that a call of f was lost when that
+// CrashObserved records at an entry node that a call of f was lost when that
 // incarnation of the upstream went away. It returns the record to spread; the
 // guard's own record of the same crash merges with it.
-func (t *Tracker) Witnessed(now time.Time, f Fingerprint, upstream string, incarnation uint64) Suspect {
-	s := Suspect{Fingerprint: f, Upstream: upstream, Incarnation: incarnation, At: now}
+func (t *Tracker) CrashObserved(now time.Time, f Fingerprint, upstream string, incarnation uint64) CrashRecord {
+	s := CrashRecord{Fingerprint: f, Upstream: upstream, Incarnation: incarnation, At: now}
 	t.Merge(now, s)
 	return s
 }
 
-// Marks returns the records against f, at most eight, that a retry has to
+// CrashRecords returns the records against f, at most eight, that a retry has to
 // carry. The next guard merges them before Admit. Without them it would take
 // the request for a fresh one until word of the crash has come around, and
 // a third upstream could die.
-func (t *Tracker) Marks(now time.Time, f Fingerprint) []Suspect {
+func (t *Tracker) CrashRecords(now time.Time, f Fingerprint) []CrashRecord {
 	e := t.current(now, f)
 	if e == nil {
 		return nil
 	}
-	var marks []Suspect
+	var marks []CrashRecord
 	for _, r := range e.records {
 		if !r.Cleared {
 			marks = append(marks, r)
@@ -130,7 +130,7 @@
 
 // Merge takes in a record of a peer and reports whether it was new, which is
 // then to be passed on.
-func (t *Tracker) Merge(now time.Time, s Suspect) bool {
+func (t *Tracker) Merge(now time.Time, s CrashRecord) bool {
 	if s.At.After(now) {
 		s.At = now
 	}
@@ -163,7 +163,7 @@
 }
 
 // join merges two records of the same crash: flags stay, the earlier time wins.
-func join(known, s *Suspect) bool {
+func join(known, s *CrashRecord) bool {
 	before := *known
 	known.Cleared = known.Cleared || s.Cleared
 	known.Alone = known.Alone || s.Alone
@@ -212,7 +212,7 @@
 // clears a suspect, and the cleared records are returned to be spread. Only a
 // fingerprint found guilty for sure is not cleared by a run that was still
 // going elsewhere.
-func (t *Tracker) Finished(now time.Time, f Fingerprint, ok bool) []Suspect {
+func (t *Tracker) Finished(now time.Time, f Fingerprint, ok bool) []CrashRecord {
 	r := t.running[f]
 	if ok {
 		t.proven.add(f, t.cfg.Proven)
@@ -233,7 +233,7 @@
 	if v == guiltySure && now.Sub(e.latest()) < t.term(v, e.crashes()) {
 		return nil
 	}
-	var out []Suspect
+	var out []CrashRecord
 	for i := range e.records {
 		if !e.records[i].Cleared {
 			e.records[i].Cleared = true
@@ -245,9 +245,9 @@
 
 // Snapshot returns all records, cleared ones included, for a peer that starts.
 // They are ordered by fingerprint, time and upstream.
-func (t *Tracker) Snapshot(now time.Time) []Suspect {
+func (t *Tracker) Snapshot(now time.Time) []CrashRecord {
 	t.sweep(now)
-	var out []Suspect
+	var out []CrashRecord
 	for _, e := range t.entries {
 		out = append(out, e.records...)
 	}
@@ -255,7 +255,7 @@
 	return out
 }
 
-func compareRecords(a, b Suspect) int {
+func compareRecords(a, b CrashRecord) int {
 	return cmp.Or(
 		cmp.Compare(a.Fingerprint, b.Fingerprint),
 		a.At.Compare(b.At),
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -20,7 +20,7 @@
 
 const poison Fingerprint = 0xdead
 
-func spread(now time.Time, records []Suspect, to ...*Tracker) {
+func spread(now time.Time, records []CrashRecord, to ...*Tracker) {
 	for _, t := range to {
 		for _, r := range records {
 			t.Merge(now, r)
@@ -107,7 +107,7 @@
 	now := time.Unix(1_000_000, 0)
 	tr := New(DefaultConfig())
 	tr.Started(now, 5)
-	tr.Merge(now, Suspect{Fingerprint: 5, Upstream: "up-x", Incarnation: 1, At: now})
+	tr.Merge(now, CrashRecord{Fingerprint: 5, Upstream: "up-x", Incarnation: 1, At: now})
 	must.False(t, tr.Crashed(now, "up-a", 1, []Fingerprint{5, poison})[0].Alone)
 	tr.Started(now, 5)
 	must.False(t, tr.Crashed(now, "up-a", 2, []Fingerprint{5, poison})[0].Alone)
@@ -118,19 +118,19 @@
 func TestRetryCarriesMarks(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	entry, guard := New(DefaultConfig()), New(DefaultConfig())
-	entry.Witnessed(now, poison, "up-a", 4)
+	entry.CrashObserved(now, poison, "up-a", 4)
 	must.Nil(t, guard.Admit(now, poison))
-	spread(now, entry.Marks(now, poison), guard)
+	spread(now, entry.CrashRecords(now, poison), guard)
 	must.NotNil(t, guard.Admit(now, poison))
 	// The guard's own record of this crash is no second crash.
-	must.False(t, guard.Merge(now, Suspect{Fingerprint: poison, Upstream: "up-a", Incarnation: 4, At: now}))
+	must.False(t, guard.Merge(now, CrashRecord{Fingerprint: poison, Upstream: "up-a", Incarnation: 4, At: now}))
 	must.Nil(t, guard.Admit(now.Add(3*time.Second), poison))
 }
 
 func TestClearedRecordOutlastsLateCopies(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	tr := New(DefaultConfig())
-	s := Suspect{Fingerprint: 3, Upstream: "up-a", Incarnation: 1, At: now}
+	s := CrashRecord{Fingerprint: 3, Upstream: "up-a", Incarnation: 1, At: now}
 	cleared := s
 	cleared.Cleared = true
 	must.True(t, tr.Merge(now, cleared))
@@ -147,7 +147,7 @@
 	tr.Crashed(now, "up-b", 1, []Fingerprint{poison})
 	for f := range Fingerprint(100) {
 		now = now.Add(time.Second)
-		tr.Merge(now, Suspect{Fingerprint: f, Upstream: "up-c", Incarnation: uint64(f), At: now})
+		tr.Merge(now, CrashRecord{Fingerprint: f, Upstream: "up-c", Incarnation: uint64(f), At: now})
 	}
 	must.Len(t, 11, tr.Snapshot(now)) // nine with one record, one with two
 	must.NotNil(t, tr.Admit(now, poison))
@@ -158,8 +158,8 @@
 func TestMergeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
-		record := rapid.Custom(func(t *rapid.T) Suspect {
-			return Suspect{
+		record := rapid.Custom(func(t *rapid.T) CrashRecord {
+			return CrashRecord{
 				Fingerprint: Fingerprint(rapid.IntRange(1, 3).Draw(t, "f")),
 				Upstream:    fmt.Sprint("up-", rapid.IntRange(1, 2).Draw(t, "upstream")),
 				Incarnation: rapid.Uint64Range(1, 2).Draw(t, "incarnation"),
@@ -197,15 +197,15 @@
 	// ignorant counts copies of the poison that started unsuspected; marks are
 	// the records that the entry nodes of the caller have by then.
 	ignorant int
-	marks    []Suspect
+	marks    []CrashRecord
 }
 
 type delayed struct {
 	at      time.Time
-	records []Suspect
+	records []CrashRecord
 }
 
-func (c *cluster) tell(records []Suspect) {
+func (c *cluster) tell(records []CrashRecord) {
 	c.onWay = append(c.onWay, delayed{c.now.Add(time.Second), records})
 }
 
@@ -214,7 +214,7 @@
 	if tr.Suspected(c.now, f) {
 		for i, name := range c.names {
 			if name == Home(f, c.names) {
-				spread(c.now, tr.Marks(c.now, f), c.guards[i])
+				spread(c.now, tr.CrashRecords(c.now, f), c.guards[i])
 				guard, tr = i, c.guards[i]
 			}
 		}
@@ -243,7 +243,7 @@
 		c.lives[guard]++
 		running := slices.Collect(maps.Keys(c.runs[guard]))
 		records := c.guards[guard].Crashed(c.now, c.names[guard], c.lives[guard], running)
-		c.marks = append(c.marks, c.guards[guard].Marks(c.now, poison)...)
+		c.marks = append(c.marks, c.guards[guard].CrashRecords(c.now, poison)...)
 		c.tell(records)
 		clear(c.runs[guard])
 		return
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -127,7 +127,7 @@
 	policy    *policy.State
 	dirty     bool
 	endpoints []routing.Endpoint
-	suspects  []quarantine.Suspect
+	suspects  []quarantine.CrashRecord
 	evicted   bool
 }
 
@@ -136,7 +136,7 @@
 	defer c.mu.Unlock()
 	before, had := c.plane.HeadAge(now)
 	f(now, c.plane)
-	out := outcome{policy: c.plane.Policy(), suspects: c.plane.TakeSuspects(), evicted: c.plane.Evicted()}
+	out := outcome{policy: c.plane.Policy(), suspects: c.plane.TakeCrashRecords(), evicted: c.plane.Evicted()}
 	if c.plane.TakeDirty() {
 		out.dirty = true
 		out.endpoints = c.plane.Endpoints()
@@ -157,7 +157,7 @@
 		n.SetEndpoints(now, out.endpoints)
 	}
 	if len(out.suspects) > 0 {
-		n.Guard().MergeSuspects(now, out.suspects)
+		n.Guard().MergeCrashRecords(now, out.suspects)
 		c.kickSoon()
 	}
 	if out.evicted {
--- a/internal/server/probe.go
+++ b/internal/server/probe.go
@@ -91,11 +91,11 @@
 // about crashing requests; the exchange tells all others.
 func (c *controlLoop) spreadSuspects(ctx context.Context) {
 	now := c.server.node.Now()
-	known := c.server.node.Guard().Suspects(now)
-	var fresh []quarantine.Suspect
+	known := c.server.node.Guard().CrashRecords(now)
+	var fresh []quarantine.CrashRecord
 	var peers []control.Peer
 	c.with(func(now time.Time, p *control.Plane) {
-		fresh = p.SetSuspects(now, known)
+		fresh = p.SetCrashRecords(now, known)
 		peers = p.ServicePeers()
 	})
 	if len(fresh) == 0 {
--- a/internal/server/service.go
+++ b/internal/server/service.go
@@ -82,7 +82,7 @@
 // SpreadSuspects implements innerpbconnect.ControlHandler.
 func (s service) SpreadSuspects(_ context.Context, req *connect.Request[innerpb.SpreadSuspectsRequest]) (*connect.Response[innerpb.SpreadSuspectsResponse], error) {
 	list := req.Msg.GetSuspects()
-	s.control.with(func(now time.Time, p *control.Plane) { p.OnSuspects(now, list) })
+	s.control.with(func(now time.Time, p *control.Plane) { p.OnCrashRecords(now, list) })
 	return connect.NewResponse(&innerpb.SpreadSuspectsResponse{Taken: uint32(len(list))}), nil
 }
 
--- a/internal/server/watch.go
+++ b/internal/server/watch.go
@@ -111,7 +111,7 @@
 	watch(metrics.BoundAnswerBytes, kept.MaxBytes, func() int64 { return guard.Kept().Bytes })
 	watch(metrics.BoundAnswerKeys, kept.MaxKeys, func() int64 { return guard.Kept().Keys })
 	watch(metrics.BoundTimeline, int64(s.node.Ring().Cap()), func() int64 { return int64(s.node.Ring().Len()) })
-	watch(metrics.BoundSuspects, int64(l.Suspects), func() int64 { return int64(len(guard.Suspects(s.node.Now()))) })
+	watch(metrics.BoundCrashRecords, int64(l.Suspects), func() int64 { return int64(len(guard.CrashRecords(s.node.Now()))) })
 	watch(metrics.BoundMembers, 0, func() int64 { return int64(s.control.view().Len()) })
 	watch(metrics.BoundAppends, int64(s.appenderConfig().MaxQueue), func() int64 { return int64(s.appender.Stats().Queued) })
 	watch(metrics.BoundAccounts, int64(l.CallsInFlight), func() int64 { return int64(guard.Busy()) })
