--- a/internal/bench/control_measure.go
+++ b/internal/bench/control_measure.go
@@ -34,7 +34,7 @@
 		s := n.ControlStats()
 		c.stats.Exchanges += s.Exchanges
 		c.stats.Probes += s.Probes
-		c.stats.Spreads += s.Spreads
+		c.stats.Gossips += s.Gossips
 		c.stats.Fetches += s.Fetches
 		c.stats.Reads += s.Reads
 		c.stats.Appends += s.Appends
@@ -86,8 +86,8 @@
 	perNode := seconds * float64(w.opts.Members)
 	sent := float64(b.peerBytes-a.peerBytes) / perNode
 	packets := float64(b.packets-a.packets) / perNode
-	messages := b.stats.Exchanges + b.stats.Probes + b.stats.Spreads + b.stats.Fetches
-	messages -= a.stats.Exchanges + a.stats.Probes + a.stats.Spreads + a.stats.Fetches
+	messages := b.stats.Exchanges + b.stats.Probes + b.stats.Gossips + b.stats.Fetches
+	messages -= a.stats.Exchanges + a.stats.Probes + a.stats.Gossips + a.stats.Fetches
 	heap, resident := memory()
 	return ControlResult{
 		Members: w.opts.Members, Zones: w.opts.Zones,
--- a/internal/metrics/names.go
+++ b/internal/metrics/names.go
@@ -32,7 +32,7 @@
 	PromisesGiven
 	PromisesRefused
 	AuthRefused
-	SuspectsSpread
+	CrashRecordsGossiped
 	QuotaAsked
 	QuotaGranted
 	numCounters
@@ -66,7 +66,7 @@
 	PromisesGiven:           "lease.promises_given",
 	PromisesRefused:         "lease.promises_refused",
 	AuthRefused:             "auth.refused",
-	SuspectsSpread:          "quarantine.suspects_spread",
+	CrashRecordsGossiped:    "quarantine.suspects_spread",
 	QuotaAsked:              "quota.asked",
 	QuotaGranted:            "quota.granted",
 }
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -54,7 +54,7 @@
 }
 
 func (n *Node) spread(suspects []quarantine.CrashRecord) {
-	n.cfg.Metrics.Inc(metrics.SuspectsSpread, int64(len(suspects)))
+	n.cfg.Metrics.Inc(metrics.CrashRecordsGossiped, int64(len(suspects)))
 	if len(suspects) > 0 && n.cfg.OnCrashRecords != nil {
 		n.cfg.OnCrashRecords(suspects)
 	}
--- a/internal/server/stats.go
+++ b/internal/server/stats.go
@@ -7,7 +7,7 @@
 
 // ControlStats counts since the start what a node's control plane sent.
 type ControlStats struct {
-	Exchanges, Probes, Spreads, Fetches uint64
+	Exchanges, Probes, Gossips, Fetches uint64
 	// Reads and Appends count requests to the log, failed ones included.
 	Reads, Appends uint64
 	// ProofAge is the present age of the newest proof of the log's head; 0
@@ -31,7 +31,7 @@
 	return ControlStats{
 		Exchanges: n.exchanges.Load(),
 		Probes:    n.probes.Load(),
-		Spreads:   n.spreads.Load(),
+		Gossips:   n.spreads.Load(),
 		Fetches:   n.fetches.Load(),
 		Reads:     n.reads.Load(),
 		Appends:   uint64(s.appender.Stats().Appends),
