--- a/cmd/galenactl/node.go
+++ b/cmd/galenactl/node.go
@@ -38,7 +38,7 @@
 	t.row("upstream serving", s.Guard.Serving, "", "")
 	t.row("in flight, queued, limit", [3]int{s.Guard.InFlight, s.Guard.Queued, s.Guard.Limit}, "", "")
 	t.row("overloaded", s.Guard.Overloaded, "", "")
-	t.row("repeats left", s.Guard.RepeatsLeft, "", "")
+	t.row("repeats left", s.Guard.RetryBudgetLeft, "", "")
 	t.row("store calls, failed", [2]int64{s.Store.Calls, s.Store.Failures}, "", "")
 	t.note("%s in zone %s, service %s, incarnation %d", s.Node, s.Zone, s.Service, s.Incarnation)
 	return a.print(s, t)
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -178,7 +178,7 @@
 	}
 	m.peers.Retain(addrs)
 	m.peers.SetKept(keptFor(m.Settings().Resources.Descriptors, len(endpoints)))
-	m.node.Guard().SetRepeats(m.repeatBudget(endpoints))
+	m.node.Guard().SetRetryBudget(m.repeatBudget(endpoints))
 	m.quotas.setEndpoints(endpoints)
 }
 
--- a/internal/mesh/observe.go
+++ b/internal/mesh/observe.go
@@ -49,12 +49,12 @@
 
 // Guard is what the guard of the local upstream has in force.
 type Guard struct {
-	Serving     bool  `json:"serving"`
-	InFlight    int   `json:"in_flight"`
-	Queued      int   `json:"queued"`
-	Limit       int   `json:"limit"`
-	Overloaded  bool  `json:"overloaded"`
-	RepeatsLeft int64 `json:"repeats_left"`
+	Serving         bool  `json:"serving"`
+	InFlight        int   `json:"in_flight"`
+	Queued          int   `json:"queued"`
+	Limit           int   `json:"limit"`
+	Overloaded      bool  `json:"overloaded"`
+	RetryBudgetLeft int64 `json:"repeats_left"`
 }
 
 // MemberState is a member as this node sees it.
@@ -106,7 +106,7 @@
 	load := guard.Load()
 	return Guard{
 		Serving: guard.Serving(), InFlight: load.InFlight, Queued: load.Queued, Limit: load.Limit, Overloaded: load.Overloaded,
-		RepeatsLeft: int64(min(guard.RepeatsLeft(m.node.Now()), math.MaxInt32)),
+		RetryBudgetLeft: int64(min(guard.RetryBudgetLeft(m.node.Now()), math.MaxInt32)),
 	}
 }
 
@@ -128,7 +128,7 @@
 		metrics.UpstreamsLive:      int64(live),
 		metrics.IsDraining:         flag(s.Stopping || !s.Guard.Serving),
 		metrics.AdmissionLimit:     int64(s.Guard.Limit),
-		metrics.RepeatsLeft:        s.Guard.RepeatsLeft,
+		metrics.RetryBudgetLeft:    s.Guard.RetryBudgetLeft,
 		metrics.StoreCalls:         s.Store.Calls,
 		metrics.StoreFailures:      s.Store.Failures,
 		metrics.StoreBytesSent:     s.Store.BytesSent,
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -100,7 +100,7 @@
 		return result.Refuse(result.QuotaUnknown, "no node with a part of the quota of %s answers", workspace).After(quotaUnknownPause)
 	}
 	pause := q.ledger.Refuse(time.Now(), workspace, rand.Float64())
-	return result.Refuse(result.QuotaSpent, "the quota of %s is spent here and at %d nodes asked now", workspace, answered).After(pause)
+	return result.Refuse(result.QuotaExceeded, "the quota of %s is spent here and at %d nodes asked now", workspace, answered).After(pause)
 }
 
 // askOne asks a holder for a token. An error says that it gave no answer.
--- a/internal/metrics/names.go
+++ b/internal/metrics/names.go
@@ -90,7 +90,7 @@
 	UpstreamsLive
 	IsRelay
 	IsDraining
-	RepeatsLeft
+	RetryBudgetLeft
 	RoutesAgeMillis
 	MembersAgeMillis
 	StoreCalls
@@ -112,7 +112,7 @@
 	UpstreamsLive:      "members.upstreams_live",
 	IsRelay:            "members.is_relay",
 	IsDraining:         "node.is_draining",
-	RepeatsLeft:        "retry.repeats_left",
+	RetryBudgetLeft:    "retry.repeats_left",
 	RoutesAgeMillis:    "store.routes_age_ms",
 	MembersAgeMillis:   "store.members_age_ms",
 	StoreCalls:         "store.calls",
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -97,7 +97,7 @@
 	if running.Ctx.Deadline.Before(ctx.Deadline) {
 		ctx.Deadline = running.Ctx.Deadline
 	}
-	call.Repeat = running.Repeat
+	call.IsRetry = running.IsRetry
 	call.Continues = n.guard.continues(parent)
 	return call, account, true
 }
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -23,9 +23,9 @@
 	Host string
 	// Routed says that a route matched the request, and no template.
 	Routed bool
-	// Repeat says that an earlier attempt may have reached an upstream, or that
+	// IsRetry says that an earlier attempt may have reached an upstream, or that
 	// the call was made by a run that was itself a repeat.
-	Repeat bool
+	IsRetry bool
 	// Continues says that calls were served already that the same root, or the run that
 	// makes this call, made before.
 	Continues bool
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -195,7 +195,7 @@
 	d.share = d.account.Lend()
 	attempt.Allowance = d.share.Amount()
 	attempt.CrashRecords = d.marks
-	attempt.Repeat = d.call.Repeat || d.arrived
+	attempt.IsRetry = d.call.IsRetry || d.arrived
 	d.attempts++
 	d.target = target
 	d.sent = now
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -89,8 +89,8 @@
 	Keys idempotency.Config
 	// Quarantine bounds what is known of crashing requests.
 	Quarantine quarantine.Config
-	// Repeats bounds the calls of which an earlier attempt reached an upstream.
-	Repeats retry.BudgetConfig
+	// RetryBudget bounds the calls of which an earlier attempt reached an upstream.
+	RetryBudget retry.BudgetConfig
 }
 
 // DefaultGuardConfig suits a VM with 64 MB for the node.
@@ -145,7 +145,7 @@
 		admission:  admission.New(admission.DefaultConfig(1), now),
 		quarantine: quarantine.New(cfg.Quarantine),
 		keys:       idempotency.NewTable(cfg.Keys),
-		repeats:    retry.NewBudget(cfg.Repeats),
+		repeats:    retry.NewBudget(cfg.RetryBudget),
 		calls:      make(map[string]*execution),
 	}
 }
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -52,7 +52,7 @@
 	if attempt.Routed {
 		header.Set(headerHost, attempt.Host)
 	}
-	if attempt.Repeat {
+	if attempt.IsRetry {
 		header.Set(headerRepeat, "1")
 	}
 	if attempt.Continues {
@@ -207,7 +207,7 @@
 		Target:       r.Header.Get(headerTarget),
 		Host:         r.Header.Get(headerHost),
 		Routed:       r.Header.Get(headerHost) != "",
-		Repeat:       r.Header.Get(headerRepeat) != "",
+		IsRetry:      r.Header.Get(headerRepeat) != "",
 		Continues:    r.Header.Get(headerContinues) != "",
 		Header:       callctx.Forwardable(r.Header),
 		BodyHash:     h.GetBodyHash(),
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -58,11 +58,11 @@
 	Cancelled Code = 2013
 	// ShedEarly means that every candidate was known to shed this class.
 	ShedEarly Code = 2014
-	// RepeatsSpent means that the guard has let through as many repeats as the
+	// RetryBudgetExhausted means that the guard has let through as many repeats as the
 	// service may get at present.
-	RepeatsSpent Code = 2015
-	// QuotaSpent means that the workspace asks for more than its quota.
-	QuotaSpent Code = 2016
+	RetryBudgetExhausted Code = 2015
+	// QuotaExceeded means that the workspace asks for more than its quota.
+	QuotaExceeded Code = 2016
 	// QuotaUnknown means that no node answered that holds a part of the workspace's
 	// quota.
 	QuotaUnknown Code = 2017
@@ -117,42 +117,42 @@
 }
 
 var table = map[Code]info{
-	OK:               {"ok", RanYes, 200, "whole answer from an upstream"},
-	Replayed:         {"replayed", RanYes, 200, "kept answer of an earlier attempt with the same key"},
-	Shed:             {"shed", RanNo, 503, "guard is full; lower classes and whole callers are shed first"},
-	DeadlineTooNear:  {"deadline_too_near", RanNo, 504, "less time left than the service usually takes"},
-	QueueExpired:     {"queue_expired", RanNo, 503, "waited in the guard's queue beyond its bound"},
-	Draining:         {"draining", RanNo, 503, "upstream is leaving"},
-	NoUpstream:       {"no_upstream", RanNo, 503, "no live upstream of the service is known"},
-	Quarantined:      {"quarantined", RanNo, 503, "request is suspected of crashing upstreams"},
-	OwnedElsewhere:   {"owned_elsewhere", RanNo, 503, "another guard owns the key"},
-	NoAuthority:      {"no_authority", RanNo, 503, "at-most-once cannot be assured at present"},
-	Unreachable:      {"unreachable", RanNo, 503, "no connection to the chosen upstream"},
-	Starting:         {"starting", RanNo, 503, "node does not know its configuration yet"},
-	ParentGone:       {"parent_gone", RanNo, 503, "the call that made this one is no longer running"},
-	Cancelled:        {"cancelled", RanNo, 499, "caller left before the call was run"},
-	ShedEarly:        {"shed_early", RanNo, 503, "every candidate upstream is known to shed this class"},
-	RepeatsSpent:     {"repeats_spent", RanNo, 503, "service gets as many repeats as it may"},
-	QuotaSpent:       {"quota_spent", RanNo, 429, "the workspace asks for more than its quota"},
-	QuotaUnknown:     {"quota_unknown", RanNo, 503, "no node with a part of the workspace's quota answered"},
-	LostAnswer:       {"lost_answer", RanUnknown, 502, "sent, and no whole answer came back"},
-	DeadlinePassed:   {"deadline_passed", RanUnknown, 504, "deadline passed while the call ran"},
-	OutcomeUnknown:   {"outcome_unknown", RanUnknown, 503, "an earlier owner of the key may have run it"},
-	AnswerMismatch:   {"answer_mismatch", RanUnknown, 502, "answer for another call came back"},
-	AnswerCut:        {"answer_cut", RanUnknown, 502, "answer ended before its announced length"},
-	CancelledRunning: {"cancelled_running", RanUnknown, 499, "caller left while the call ran"},
-	BadContext:       {"bad_context", RanNo, 400, "a header of the request cannot be decoded"},
-	UnknownService:   {"unknown_service", RanNo, 404, "no instance covers the workspace and service"},
-	KeyReused:        {"key_reused", RanNo, 422, "the key came before with a different body"},
-	BodyTooLarge:     {"body_too_large", RanNo, 413, "body exceeds the bound of a held call"},
-	KeyRequired:      {"key_required", RanNo, 400, "template demands an Idempotency-Key"},
-	TooDeep:          {"too_deep", RanNo, 508, "call chain exceeds its depth bound"},
-	Unauthorized:     {"unauthorized", RanNo, 403, "token does not cover the workspace"},
-	UnknownRoute:     {"unknown_route", RanNo, 404, "no route covers the host and path"},
-	HeaderTooLarge:   {"header_too_large", RanNo, 431, "header exceeds the bound in force"},
-	UnknownKey:       {"unknown_key", RanNo, 401, "no workspace holds the API key"},
-	UpstreamFailed:   {"upstream_failed", RanYes, 502, "upstream ran the call and failed"},
-	UpstreamShed:     {"upstream_shed", RanNo, 503, "upstream itself refused the call as overloaded"},
+	OK:                   {"ok", RanYes, 200, "whole answer from an upstream"},
+	Replayed:             {"replayed", RanYes, 200, "kept answer of an earlier attempt with the same key"},
+	Shed:                 {"shed", RanNo, 503, "guard is full; lower classes and whole callers are shed first"},
+	DeadlineTooNear:      {"deadline_too_near", RanNo, 504, "less time left than the service usually takes"},
+	QueueExpired:         {"queue_expired", RanNo, 503, "waited in the guard's queue beyond its bound"},
+	Draining:             {"draining", RanNo, 503, "upstream is leaving"},
+	NoUpstream:           {"no_upstream", RanNo, 503, "no live upstream of the service is known"},
+	Quarantined:          {"quarantined", RanNo, 503, "request is suspected of crashing upstreams"},
+	OwnedElsewhere:       {"owned_elsewhere", RanNo, 503, "another guard owns the key"},
+	NoAuthority:          {"no_authority", RanNo, 503, "at-most-once cannot be assured at present"},
+	Unreachable:          {"unreachable", RanNo, 503, "no connection to the chosen upstream"},
+	Starting:             {"starting", RanNo, 503, "node does not know its configuration yet"},
+	ParentGone:           {"parent_gone", RanNo, 503, "the call that made this one is no longer running"},
+	Cancelled:            {"cancelled", RanNo, 499, "caller left before the call was run"},
+	ShedEarly:            {"shed_early", RanNo, 503, "every candidate upstream is known to shed this class"},
+	RetryBudgetExhausted: {"repeats_spent", RanNo, 503, "service gets as many repeats as it may"},
+	QuotaExceeded:        {"quota_spent", RanNo, 429, "the workspace asks for more than its quota"},
+	QuotaUnknown:         {"quota_unknown", RanNo, 503, "no node with a part of the workspace's quota answered"},
+	LostAnswer:           {"lost_answer", RanUnknown, 502, "sent, and no whole answer came back"},
+	DeadlinePassed:       {"deadline_passed", RanUnknown, 504, "deadline passed while the call ran"},
+	OutcomeUnknown:       {"outcome_unknown", RanUnknown, 503, "an earlier owner of the key may have run it"},
+	AnswerMismatch:       {"answer_mismatch", RanUnknown, 502, "answer for another call came back"},
+	AnswerCut:            {"answer_cut", RanUnknown, 502, "answer ended before its announced length"},
+	CancelledRunning:     {"cancelled_running", RanUnknown, 499, "caller left while the call ran"},
+	BadContext:           {"bad_context", RanNo, 400, "a header of the request cannot be decoded"},
+	UnknownService:       {"unknown_service", RanNo, 404, "no instance covers the workspace and service"},
+	KeyReused:            {"key_reused", RanNo, 422, "the key came before with a different body"},
+	BodyTooLarge:         {"body_too_large", RanNo, 413, "body exceeds the bound of a held call"},
+	KeyRequired:          {"key_required", RanNo, 400, "template demands an Idempotency-Key"},
+	TooDeep:              {"too_deep", RanNo, 508, "call chain exceeds its depth bound"},
+	Unauthorized:         {"unauthorized", RanNo, 403, "token does not cover the workspace"},
+	UnknownRoute:         {"unknown_route", RanNo, 404, "no route covers the host and path"},
+	HeaderTooLarge:       {"header_too_large", RanNo, 431, "header exceeds the bound in force"},
+	UnknownKey:           {"unknown_key", RanNo, 401, "no workspace holds the API key"},
+	UpstreamFailed:       {"upstream_failed", RanYes, 502, "upstream ran the call and failed"},
+	UpstreamShed:         {"upstream_shed", RanNo, 503, "upstream itself refused the call as overloaded"},
 }
 
 // Codes returns every code in ascending order of its class as declared.
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -60,15 +60,15 @@
 	b.cfg = cfg
 }
 
-// First counts a first attempt that callers sent.
-func (b *Budget) First(now time.Time) {
+// RecordFirstAttempt counts a first attempt that callers sent.
+func (b *Budget) RecordFirstAttempt(now time.Time) {
 	if b.cfg.Window > 0 {
 		b.part(now).firsts++
 	}
 }
 
-// Repeat counts a repeat and reports whether it may go on.
-func (b *Budget) Repeat(now time.Time) bool {
+// TryRetry counts a repeat and reports whether it may go on.
+func (b *Budget) TryRetry(now time.Time) bool {
 	if b.cfg.Window <= 0 {
 		return true
 	}
@@ -80,8 +80,8 @@
 	return true
 }
 
-// Left returns how many repeats may go on at now; infinitely many without a bound.
-func (b *Budget) Left(now time.Time) float64 {
+// RetriesLeft returns how many repeats may go on at now; infinitely many without a bound.
+func (b *Budget) RetriesLeft(now time.Time) float64 {
 	if b.cfg.Window <= 0 {
 		return math.Inf(1)
 	}
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -12,7 +12,7 @@
 func TestBudgetWithoutWindowAllowsAll(t *testing.T) {
 	b := NewBudget(BudgetConfig{})
 	for range 100 {
-		must.True(t, b.Repeat(time.Unix(1, 0)))
+		must.True(t, b.TryRetry(time.Unix(1, 0)))
 	}
 }
 
@@ -20,16 +20,16 @@
 	now := time.Unix(1000, 0)
 	b := NewBudget(BudgetConfig{Ratio: 0.2, Floor: 2, Window: 10 * time.Second})
 	for range 50 {
-		b.First(now)
+		b.RecordFirstAttempt(now)
 	}
 	for i := range 7 {
-		must.True(t, b.Repeat(now), must.Sprintf("repeat %d", i))
+		must.True(t, b.TryRetry(now), must.Sprintf("repeat %d", i))
 	}
-	must.False(t, b.Repeat(now))
+	must.False(t, b.TryRetry(now))
 	later := now.Add(12 * time.Second)
-	must.True(t, b.Repeat(later))
-	must.True(t, b.Repeat(later))
-	must.False(t, b.Repeat(later), must.Sprint("the firsts have left the window"))
+	must.True(t, b.TryRetry(later))
+	must.True(t, b.TryRetry(later))
+	must.False(t, b.TryRetry(later), must.Sprint("the firsts have left the window"))
 }
 
 // event is what arrives at one of the guards of a service.
@@ -57,9 +57,9 @@
 			b := budgets[rapid.IntRange(0, guards-1).Draw(t, "guard")]
 			repeat := rapid.Bool().Draw(t, "repeat")
 			if !repeat {
-				b.First(now)
+				b.RecordFirstAttempt(now)
 			}
-			if repeat && !b.Repeat(now) {
+			if repeat && !b.TryRetry(now) {
 				continue
 			}
 			seen = append(seen, event{now, repeat})
