--- a/internal/control/twelve_test.go
+++ b/internal/control/twelve_test.go
@@ -44,8 +44,8 @@
 	return time.Time{}, nil
 }
 
-func doneAnswer(call *node.Call) *node.Answer {
-	return &node.Answer{CallID: call.Ctx.CallID, Code: result.OK, Status: 200, Body: []byte("done")}
+func doneAnswer(call *node.Call) *node.Response {
+	return &node.Response{CallID: call.Ctx.CallID, Code: result.OK, Status: 200, Body: []byte("done")}
 }
 
 // minute drives nodes, the log and the network in one goroutine of virtual time.
@@ -145,7 +145,7 @@
 // Run implements Runner: the upstream works, then calls deeper.
 func (n *minuteNode) Run(call *node.Call, _ time.Time) {
 	life := n.life
-	end := func(a *node.Answer) {
+	end := func(a *node.Response) {
 		if n.life != life {
 			a = node.Refused(call.Ctx.CallID, result.Refuse(result.LostAnswer, "the upstream died"))
 			a.Crashed = n.UpstreamCrashed(n.s.Now())
@@ -162,16 +162,16 @@
 	})
 }
 
-func (n *minuteNode) callDeeper(call *node.Call, service string, end func(*node.Answer)) {
+func (n *minuteNode) callDeeper(call *node.Call, service string, end func(*node.Response)) {
 	child, account, refusal := n.Child(n.s.Now(), callctx.Raw{Parent: call.Ctx.CallID, Service: service}, "GET")
 	if refusal != nil {
 		end(node.Refused(call.Ctx.CallID, refusal))
 		return
 	}
 	child.Method, child.Target = "GET", "/"+child.Ctx.CallID
-	n.dispatch(child, account, func(a *node.Answer) {
+	n.dispatch(child, account, func(a *node.Response) {
 		if !a.Whole() {
-			end(&node.Answer{CallID: call.Ctx.CallID, Code: result.UpstreamFailed, Status: 502})
+			end(&node.Response{CallID: call.Ctx.CallID, Code: result.UpstreamFailed, Status: 502})
 			return
 		}
 		end(doneAnswer(call))
@@ -179,20 +179,20 @@
 }
 
 // dispatch follows a Dispatch over the simulated network.
-func (n *minuteNode) dispatch(call *node.Call, account *retry.Account, done func(*node.Answer)) {
+func (n *minuteNode) dispatch(call *node.Call, account *retry.Account, done func(*node.Response)) {
 	d := node.NewDispatch(n.Node, n.s.rng, call, account)
 	var next func()
 	next = func() {
 		switch o := d.Next(n.s.Now()); o.Kind {
 		case node.ActionDone:
-			n.Answered(call, o.Answer, d)
-			done(o.Answer)
+			n.Answered(call, o.Response, d)
+			done(o.Response)
 		case node.ActionPause:
 			n.s.After(o.Pause, next)
 		case node.ActionSend:
 			to := n.s.node(o.Target.Endpoint().Node)
 			n.s.After(minuteOneWay, func() {
-				to.arrive(o.Attempt, func(a *node.Answer) {
+				to.arrive(o.Attempt, func(a *node.Response) {
 					n.s.After(minuteOneWay, func() {
 						d.Observe(n.s.Now(), a)
 						next()
@@ -204,7 +204,7 @@
 	next()
 }
 
-func (n *minuteNode) arrive(call *node.Call, answer func(*node.Answer)) {
+func (n *minuteNode) arrive(call *node.Call, answer func(*node.Response)) {
 	if _, a := n.Guard().Arrive(n.s.Now(), call, answer); a != nil {
 		answer(a)
 	}
@@ -235,7 +235,7 @@
 		return
 	}
 	call.Method, call.Target = "GET", "/"+call.Ctx.CallID
-	n.dispatch(call, retry.NewAccount(allowance), func(a *node.Answer) {
+	n.dispatch(call, retry.NewAccount(allowance), func(a *node.Response) {
 		s.lines = append(s.lines, fmt.Sprintf("%s %s %s %d", s.Now().Sub(epoch), n.ID(), call.Ctx.RequestID, a.Code))
 	})
 }
--- a/internal/h1/conn.go
+++ b/internal/h1/conn.go
@@ -90,7 +90,7 @@
 
 // exchange sends r and reads its answer. reusable says that the connection may
 // carry another request.
-func (c *conn) exchange(ctx context.Context, r *Request, maxBody int64) (answer *Answer, reusable bool, err error) {
+func (c *conn) exchange(ctx context.Context, r *Request, maxBody int64) (answer *Response, reusable bool, err error) {
 	fresh := !c.used
 	c.used = true
 	stop := context.AfterFunc(ctx, c.close)
@@ -105,7 +105,7 @@
 	return answer, reusable, err
 }
 
-func (c *conn) sendAndRead(r *Request, maxBody int64) (*Answer, bool, error) {
+func (c *conn) sendAndRead(r *Request, maxBody int64) (*Response, bool, error) {
 	c.reader = readers.Get().(*bufio.Reader)
 	c.reader.Reset(c.Conn)
 	defer func() {
@@ -127,7 +127,7 @@
 
 // rejected looks for the answer of a server that closed its side before it had
 // read the whole request.
-func (c *conn) rejected(r *Request, maxBody int64, sendErr error) (*Answer, bool, error) {
+func (c *conn) rejected(r *Request, maxBody int64, sendErr error) (*Response, bool, error) {
 	if answer, _, err := c.read(r, maxBody); err == nil {
 		return answer, false, nil
 	}
@@ -163,7 +163,7 @@
 
 // read takes answers until one is the request's own. An earlier request's
 // answer can arrive late, where this one's is due.
-func (c *conn) read(r *Request, maxBody int64) (*Answer, bool, error) {
+func (c *conn) read(r *Request, maxBody int64) (*Response, bool, error) {
 	for skipped := range maxSkipped + 1 {
 		answer, reusable, err := c.readOne(r, maxBody)
 		if err != nil && skipped > 0 {
@@ -182,7 +182,7 @@
 	return nil, false, &Error{Stage: StageMismatch, Cause: errors.New("no answer of this request came")}
 }
 
-func (c *conn) readOne(r *Request, maxBody int64) (*Answer, bool, error) {
+func (c *conn) readOne(r *Request, maxBody int64) (*Response, bool, error) {
 	resp, err := c.readHead(r)
 	if err != nil {
 		return nil, false, &Error{Stage: StageHead, Cause: err}
@@ -194,7 +194,7 @@
 		}
 	}
 	c.noteKeepAlive(resp.Header)
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, !resp.Close, nil
+	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, !resp.Close, nil
 }
 
 // readHead skips informational answers.
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -47,8 +47,8 @@
 // Addr returns where the pool sends.
 func (p *Pool) Addr() string { return p.addr }
 
-// Answer is a complete answer.
-type Answer struct {
+// Response is a complete answer.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -69,7 +69,7 @@
 
 // Do sends a request and reads its whole answer. When ctx ends first the
 // connection is closed, which tells the server. Every error is an *Error.
-func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c, err := p.take(ctx)
 	if err != nil {
 		return nil, &Error{Stage: StageConnect, Cause: err}
--- a/internal/idempotency/handover.go
+++ b/internal/idempotency/handover.go
@@ -14,8 +14,8 @@
 	CallID   string
 	// Code is zero when the outcome is unknown.
 	Code result.Code
-	// Answer is nil when it was lost or evicted.
-	Answer *Answer
+	// Response is nil when it was lost or evicted.
+	Answer *Response
 	// Idle is the time since the key was last seen.
 	Idle time.Duration
 	// AnswerAge is the time since the answer was kept.
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -11,16 +11,16 @@
 // structs, the header map and the list element.
 const answerOverhead = 512
 
-// Answer is what an upstream's answer to a call was. It is immutable once it
+// Response is what an upstream's answer to a call was. It is immutable once it
 // was given to a Table; the table copies nothing.
-type Answer struct {
+type Response struct {
 	Code   result.Code
 	Status int
 	Header map[string][]string
 	Body   []byte
 }
 
-func (a *Answer) size() int64 {
+func (a *Response) size() int64 {
 	n := int64(answerOverhead + len(a.Body))
 	for name, values := range a.Header {
 		n += int64(len(name))
@@ -46,8 +46,8 @@
 	// Unknown: it may have run and there is no answer to give; refuse with
 	// result.OutcomeUnknown.
 	Unknown
-	// Full: no room to remember the key; refuse with result.NoAuthority.
-	Full
+	// TableFull: no room to remember the key; refuse with result.NoAuthority.
+	TableFull
 )
 
 var kindNames = [...]string{"start", "join", "replay", "conflict", "unknown", "full"}
@@ -68,11 +68,11 @@
 	}
 }
 
-// Begin is the answer to a look-up.
-type Begin struct {
+// BeginResult is the answer to a look-up.
+type BeginResult struct {
 	Kind Kind
-	// Answer is set with Replay.
-	Answer *Answer
+	// Response is set with Replay.
+	Answer *Response
 	// RunningCallID is set with Join.
 	RunningCallID string
 	// Code is the code left behind by an evicted answer, with Unknown; zero
@@ -96,7 +96,7 @@
 	state    state
 	code     result.Code
 	seen     time.Time
-	answer   *Answer
+	answer   *Response
 	kept     time.Time
 	size     int64
 	byAge    *list.Element // in Table.ages, by seen
@@ -131,7 +131,7 @@
 // Begin looks a key up before its call is run. After Start the caller owes one
 // of Finish, NotRun or Lost with the same callID; until then the key is never
 // forgotten. bodyHash tells requests with the same key apart.
-func (t *Table) Begin(now time.Time, key Key, bodyHash uint64, callID string) Begin {
+func (t *Table) Begin(now time.Time, key Key, bodyHash uint64, callID string) BeginResult {
 	t.Expire(now)
 	r, ok := t.records[key]
 	if !ok {
@@ -139,29 +139,29 @@
 	}
 	t.touch(now, r)
 	if r.bodyHash != bodyHash {
-		return Begin{Kind: Conflict}
+		return BeginResult{Kind: Conflict}
 	}
 	switch r.state {
 	case running:
-		return Begin{Kind: Join, RunningCallID: r.callID}
+		return BeginResult{Kind: Join, RunningCallID: r.callID}
 	case answered:
-		return Begin{Kind: Replay, Answer: r.answer}
+		return BeginResult{Kind: Replay, Answer: r.answer}
 	default:
-		return Begin{Kind: Unknown, Code: r.code}
+		return BeginResult{Kind: Unknown, Code: r.code}
 	}
 }
 
-func (t *Table) start(now time.Time, key Key, bodyHash uint64, callID string) Begin {
+func (t *Table) start(now time.Time, key Key, bodyHash uint64, callID string) BeginResult {
 	if len(t.records) >= t.cfg.MaxKeys {
-		return Begin{Kind: Full}
+		return BeginResult{Kind: TableFull}
 	}
 	t.insert(&record{key: key, bodyHash: bodyHash, callID: callID, state: running, seen: now})
-	return Begin{Kind: Start}
+	return BeginResult{Kind: Start}
 }
 
 // Finish keeps the answer that the call ran to. A late whole answer also
 // settles a call that was reported Lost.
-func (t *Table) Finish(now time.Time, key Key, callID string, a Answer) {
+func (t *Table) Finish(now time.Time, key Key, callID string, a Response) {
 	r := t.attempt(key, callID)
 	if r == nil || (r.state != running && r.state != lost) {
 		return
@@ -246,7 +246,7 @@
 
 // keep holds the answer and evicts the oldest ones beyond MaxBytes. An answer
 // larger than MaxBytes is evicted at once and leaves its code.
-func (t *Table) keep(now time.Time, r *record, a *Answer) {
+func (t *Table) keep(now time.Time, r *record, a *Response) {
 	r.state = answered
 	r.answer = a
 	r.kept = now
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -60,8 +60,8 @@
 	// An aged key may start again, but need not: a hand-over begins its age
 	// anew.
 	aged := !unused && !k.open && m.now.Sub(k.seen) >= testConfig().KeepKeys
-	if unused || (aged && (b.Kind == Start || b.Kind == Full)) {
-		if b.Kind == Full {
+	if unused || (aged && (b.Kind == Start || b.Kind == TableFull)) {
+		if b.Kind == TableFull {
 			must.Eq(t, testConfig().MaxKeys, m.table.Len())
 			return
 		}
@@ -108,7 +108,7 @@
 	size := rapid.IntRange(1, 3000).Draw(t, "size")
 	m.report(t, func(k *modelKey, key Key, callID string) {
 		k.answer = fmt.Sprintf("%0*s", size, callID)
-		m.table.Finish(m.now, key, callID, Answer{Code: result.OK, Status: 200, Body: []byte(k.answer)})
+		m.table.Finish(m.now, key, callID, Response{Code: result.OK, Status: 200, Body: []byte(k.answer)})
 	})
 }
 
@@ -159,10 +159,10 @@
 	tab := NewTable(Config{MaxBytes: 1000, KeepAnswers: time.Minute, KeepKeys: time.Minute, MaxKeys: 10})
 	for _, name := range []string{"a", "b"} {
 		must.Eq(t, Start, tab.Begin(epoch, keyNamed(name), 1, name).Kind)
-		tab.Finish(epoch, keyNamed(name), name, Answer{Code: result.OK, Body: make([]byte, 400)})
+		tab.Finish(epoch, keyNamed(name), name, Response{Code: result.OK, Body: make([]byte, 400)})
 	}
 	b := tab.Begin(epoch, keyNamed("a"), 1, "again")
-	must.Eq(t, Begin{Kind: Unknown, Code: result.OK}, b)
+	must.Eq(t, BeginResult{Kind: Unknown, Code: result.OK}, b)
 	must.Eq(t, Replay, tab.Begin(epoch, keyNamed("b"), 1, "again").Kind)
 }
 
@@ -176,7 +176,7 @@
 		tab.Begin(epoch, keyNamed(name), 1, name)
 		tab.Lost(epoch, keyNamed(name), name)
 	}
-	must.Eq(t, Full, tab.Begin(epoch, keyNamed("new"), 1, "c").Kind)
+	must.Eq(t, TableFull, tab.Begin(epoch, keyNamed("new"), 1, "c").Kind)
 	must.False(t, tab.Import(epoch, []Entry{{Key: keyNamed("other")}}))
 	must.Eq(t, Unknown, tab.Begin(epoch, keyNamed("0"), 1, "c").Kind)
 	must.Eq(t, Start, tab.Begin(epoch.Add(cfg.KeepKeys), keyNamed("new"), 1, "c").Kind)
@@ -215,7 +215,7 @@
 		now = now.Add(25 * time.Millisecond) // 40 keys a second
 		k := keyNamed(strconv.Itoa(i))
 		tab.Begin(now, k, 1, "c")
-		tab.Finish(now, k, "c", Answer{Code: result.OK, Body: body})
+		tab.Finish(now, k, "c", Response{Code: result.OK, Body: body})
 	}
 }
 
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -112,7 +112,7 @@
 	case err != nil && ctx.Err() != nil:
 		return false, err
 	case err != nil:
-		q.ledger.Silent(now, of.Name)
+		q.ledger.MarkUnresponsive(now, of.Name)
 		q.mesh.bounded.Warn().Str("member", of.Name).Str("workspace", workspace).Err(err).Msg("node gave no answer for a quota")
 		return false, err
 	case got.Granted:
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -55,7 +55,7 @@
 // services behind, and what it failed for: the answer of the whole tree carries both
 // to its entry, whose log line then names the deepest decision although that node's
 // own line was one too many for its bound.
-func (n *Node) ChildEnded(now time.Time, call *Call, a *Answer) {
+func (n *Node) ChildEnded(now time.Time, call *Call, a *Response) {
 	if call.Ctx.ParentID == "" {
 		return
 	}
@@ -70,7 +70,7 @@
 
 // causeOf is what the failure of call comes down to: what its answer says of the calls
 // made for it, or that answer itself.
-func (n *Node) causeOf(call *Call, a *Answer) *result.Cause {
+func (n *Node) causeOf(call *Call, a *Response) *result.Cause {
 	if a.Cause != nil {
 		return a.Cause
 	}
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -71,8 +71,8 @@
 	return idempotency.Key{Workspace: c.Ctx.Workspace, Service: c.Ctx.Service, Key: c.Ctx.Key}
 }
 
-// Answer is the end of one attempt: whole, or a refusal.
-type Answer struct {
+// Response is the end of one attempt: whole, or a refusal.
+type Response struct {
 	CallID string
 	Code   result.Code
 	// Status, Header and Body are set when Refusal is nil.
@@ -102,12 +102,12 @@
 }
 
 // Refused makes the answer of a call that ends without a whole one.
-func Refused(callID string, r *result.Refusal) *Answer {
-	return &Answer{CallID: callID, Code: r.Code, Refusal: r, ShedsFrom: routing.NoThreshold}
+func Refused(callID string, r *result.Refusal) *Response {
+	return &Response{CallID: callID, Code: r.Code, Refusal: r, ShedsFrom: routing.NoThreshold}
 }
 
 // Good reports whether the upstream's answer is no failure.
-func (a *Answer) Good() bool { return a.Code == result.OK || a.Code == result.Replayed }
+func (a *Response) Good() bool { return a.Code == result.OK || a.Code == result.Replayed }
 
 // Whole reports whether the answer may be given to the caller as it is.
-func (a *Answer) Whole() bool { return a.Refusal == nil }
+func (a *Response) Whole() bool { return a.Refusal == nil }
--- a/internal/node/concurrent_test.go
+++ b/internal/node/concurrent_test.go
@@ -153,9 +153,9 @@
 }
 
 // serve is one sending at a guard.
-func (s *sim) serve(ctx context.Context, g *Guard, call *Call) *Answer {
-	got := make(chan *Answer, 1)
-	token, answer := g.Arrive(time.Now(), call, func(a *Answer) { got <- a })
+func (s *sim) serve(ctx context.Context, g *Guard, call *Call) *Response {
+	got := make(chan *Response, 1)
+	token, answer := g.Arrive(time.Now(), call, func(a *Response) { got <- a })
 	if answer != nil {
 		return answer
 	}
@@ -176,7 +176,7 @@
 // carry takes an attempt to its guard. One in five meets a connection that
 // goes silent before or after the guard got it: the request arrives late or
 // its answer never, and a second sending follows.
-func (s *sim) carry(ctx context.Context, rng *rand.Rand, node string, call *Call) *Answer {
+func (s *sim) carry(ctx context.Context, rng *rand.Rand, node string, call *Call) *Response {
 	g := s.guards[node].g
 	if rng.IntN(5) > 0 {
 		return s.serve(ctx, g, call)
@@ -195,7 +195,7 @@
 	return s.serve(ctx, g, &again)
 }
 
-func (s *sim) send(rng *rand.Rand, request string, number int) *Answer {
+func (s *sim) send(rng *rand.Rand, request string, number int) *Response {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(100+rng.IntN(2000))*time.Millisecond)
 	defer cancel()
 	deadline, _ := ctx.Deadline()
@@ -215,7 +215,7 @@
 		case ActionSend:
 			d.Observe(time.Now(), s.carry(ctx, rng, order.Target.Endpoint().Node, order.Attempt))
 		case ActionDone:
-			a := order.Answer
+			a := order.Response
 			s.rec.ended(history.Send{
 				Request: request, Attempt: call.Ctx.RequestID, Service: "s", Code: a.Code,
 				Success: a.Whole(), Whole: a.Whole(), AnswerTo: string(a.Body), AnswerFrom: "s",
--- a/internal/node/continues_test.go
+++ b/internal/node/continues_test.go
@@ -24,7 +24,7 @@
 		Routing: routing.DefaultConfig(), Retry: retry.DefaultPolicy(), Throttle: retry.DefaultThrottleConfig(), Guard: DefaultGuardConfig(),
 	})
 	n.Guard().UpstreamUp(epoch, admission.DefaultConfig(4))
-	_, answer := n.Guard().Arrive(epoch, root, func(*Answer) {})
+	_, answer := n.Guard().Arrive(epoch, root, func(*Response) {})
 	must.Nil(t, answer)
 	return n
 }
@@ -41,10 +41,10 @@
 	n := running(t, root)
 	first := child(t, n, "c")
 	must.False(t, first.Continues)
-	n.ChildEnded(epoch, first, &Answer{Code: result.Shed, Refusal: result.Refuse(result.Shed, "full"), ShedsFrom: routing.NoThreshold})
+	n.ChildEnded(epoch, first, &Response{Code: result.Shed, Refusal: result.Refuse(result.Shed, "full"), ShedsFrom: routing.NoThreshold})
 	second := child(t, n, "c")
 	must.False(t, second.Continues)
-	n.ChildEnded(epoch, second, &Answer{Code: result.OK, ShedsFrom: routing.NoThreshold})
+	n.ChildEnded(epoch, second, &Response{Code: result.OK, ShedsFrom: routing.NoThreshold})
 	must.True(t, child(t, n, "c").Continues)
 	must.EqOp(t, "north", second.Ctx.Workspace)
 }
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -27,11 +27,11 @@
 
 // Action is one instruction of a Dispatch.
 type Action struct {
-	Kind    ActionKind
-	Target  *routing.Target
-	Attempt *Call
-	Pause   time.Duration
-	Answer  *Answer
+	Kind     ActionKind
+	Target   *routing.Target
+	Attempt  *Call
+	Pause    time.Duration
+	Response *Response
 }
 
 // Router is what a Dispatch needs of its node.
@@ -49,7 +49,7 @@
 	// CrashRecords returns the records against the call's request, if any.
 	CrashRecords(now time.Time, call *Call) []quarantine.CrashRecord
 	// ReportCrash records that an upstream died while it ran the call.
-	ReportCrash(now time.Time, call *Call, a *Answer)
+	ReportCrash(now time.Time, call *Call, a *Response)
 	// NewID returns a fresh call ID.
 	NewID() string
 }
@@ -67,7 +67,7 @@
 	next      string // node to ask, when an answer named the owner
 	redirects int
 	// unproven is the first attempt that may have run, if there was one.
-	unproven *Answer
+	unproven *Response
 	attempts int
 	retries  int
 	// reroutes counts attempts that did not reach an upstream and cost nothing.
@@ -75,7 +75,7 @@
 	marks    []quarantine.CrashRecord
 	held     bool // paused once until a suspect may run
 	pause    time.Duration
-	final    *Answer
+	final    *Response
 	target   *routing.Target
 	share    *retry.Share
 	sent     time.Time
@@ -103,7 +103,7 @@
 		}
 	}
 	if d.final != nil {
-		return Action{Kind: ActionDone, Answer: d.final}
+		return Action{Kind: ActionDone, Response: d.final}
 	}
 	if d.pause > 0 {
 		pause := d.pause
@@ -112,12 +112,12 @@
 	}
 	if d.call.Ctx.Remaining(now) <= 0 {
 		d.settle(Refused(d.call.Ctx.CallID, result.Refuse(result.DeadlineTooNear, "no time left before an upstream was chosen")))
-		return Action{Kind: ActionDone, Answer: d.final}
+		return Action{Kind: ActionDone, Response: d.final}
 	}
 	target, refusal := d.pick(now)
 	if refusal != nil {
 		d.settle(Refused(d.call.Ctx.CallID, refusal))
-		return Action{Kind: ActionDone, Answer: d.final}
+		return Action{Kind: ActionDone, Response: d.final}
 	}
 	return d.send(now, target)
 }
@@ -125,7 +125,7 @@
 // settle ends the call with a, unless an earlier attempt may have run: a
 // refusal that promises "not run" would then be false, and the caller gets the
 // earlier outcome.
-func (d *Dispatch) settle(a *Answer) {
+func (d *Dispatch) settle(a *Response) {
 	last := retry.Attempt{Code: a.Code, MayHaveRun: d.unproven != nil}
 	if retry.FinalCode(last) != a.Code {
 		a = d.unproven
@@ -208,7 +208,7 @@
 }
 
 // Observe takes the end of the attempt last sent.
-func (d *Dispatch) Observe(now time.Time, a *Answer) {
+func (d *Dispatch) Observe(now time.Time, a *Response) {
 	d.share.Return(a.Unused)
 	wasOut := d.target.Ejected()
 	d.target.Done(now, routedOutcome(a), now.Sub(d.sent), a.Load)
@@ -236,7 +236,7 @@
 	d.decide(now, a, throttle)
 }
 
-func (d *Dispatch) decide(now time.Time, a *Answer, throttle *retry.Throttle) {
+func (d *Dispatch) decide(now time.Time, a *Response, throttle *retry.Throttle) {
 	if d.hold(now, a) {
 		return
 	}
@@ -276,7 +276,7 @@
 // reroute reports whether the call may go elsewhere without cost: it did not
 // reach an upstream, so it adds no load to any, and a node that learns late that
 // an upstream left must not use up what a caller has for real failures.
-func (d *Dispatch) reroute(a *Answer) bool {
+func (d *Dispatch) reroute(a *Response) bool {
 	if d.watch == nil || d.reroutes >= d.watch.cfg.Reroutes || !neverArrived(a.Code) {
 		return false
 	}
@@ -307,7 +307,7 @@
 
 // hold waits, once, until a request that was in flight at a crash may run
 // alone: word of other crashes needs a moment to arrive.
-func (d *Dispatch) hold(now time.Time, a *Answer) bool {
+func (d *Dispatch) hold(now time.Time, a *Response) bool {
 	wait := a.Refusal.RetryAfter
 	inFlight := d.unproven != nil && d.unproven.Crashed != 0
 	if a.Code != result.Quarantined || !inFlight || d.held || wait <= 0 {
@@ -334,7 +334,7 @@
 	return true
 }
 
-func routedOutcome(a *Answer) routing.Outcome {
+func routedOutcome(a *Response) routing.Outcome {
 	switch {
 	case a.Whole():
 		return routing.Answered
--- a/internal/node/dispatch_property_test.go
+++ b/internal/node/dispatch_property_test.go
@@ -37,7 +37,7 @@
 func (r *fakeRouter) Throttle(string) *retry.Throttle                        { return r.throttle }
 func (r *fakeRouter) RetryPolicy() retry.Policy                              { return retry.DefaultPolicy() }
 func (r *fakeRouter) CrashRecords(time.Time, *Call) []quarantine.CrashRecord { return nil }
-func (r *fakeRouter) ReportCrash(_ time.Time, _ *Call, _ *Answer)            {}
+func (r *fakeRouter) ReportCrash(_ time.Time, _ *Call, _ *Response)          {}
 func (r *fakeRouter) At(_, addr string) string                               { return addr[len("addr-"):] }
 func (r *fakeRouter) NewID() string                                          { r.ids++; return fmt.Sprintf("id%d", r.ids) }
 
@@ -50,7 +50,7 @@
 
 // anyAnswer draws how an attempt ends, with a claim of unused allowance that
 // may be a lie.
-func anyAnswer(t *rapid.T, order Action) *Answer {
+func anyAnswer(t *rapid.T, order Action) *Response {
 	code := rapid.SampledFrom([]result.Code{
 		result.OK, result.UpstreamFailed, result.Shed, result.QueueExpired, result.UpstreamShed, result.Draining,
 		result.Unreachable, result.LostAnswer, result.AnswerCut, result.AnswerMismatch, result.OwnedElsewhere,
@@ -81,12 +81,12 @@
 		call.Ctx.Idempotent = rapid.Bool().Draw(t, "idempotent")
 		account := retry.NewAccount(allowance)
 		d := NewDispatch(router, rand.New(rand.NewPCG(1, uint64(allowance))), call, account)
-		now, final, attempts := epoch, (*Answer)(nil), []sentAttempt(nil)
+		now, final, attempts := epoch, (*Response)(nil), []sentAttempt(nil)
 		bound := 1 + allowance + retry.DefaultPolicy().MaxOwnerAsks
 		for final == nil {
 			switch order := d.Next(now); order.Kind {
 			case ActionDone:
-				final = order.Answer
+				final = order.Response
 			case ActionPause:
 				now = now.Add(order.Pause)
 			case ActionSend:
@@ -106,7 +106,7 @@
 	})
 }
 
-func checkDispatch(t *rapid.T, d *Dispatch, account *retry.Account, allowance int, attempts []sentAttempt, final *Answer) {
+func checkDispatch(t *rapid.T, d *Dispatch, account *retry.Account, allowance int, attempts []sentAttempt, final *Response) {
 	if d.retries+account.Balance() > allowance {
 		t.Fatalf("%d retries and %d left, allowance %d", d.retries, account.Balance(), allowance)
 	}
@@ -151,5 +151,5 @@
 	}
 	order := d.Next(now)
 	must.EqOp(t, ActionDone, order.Kind)
-	must.EqOp(t, result.LostAnswer, order.Answer.Code)
+	must.EqOp(t, result.LostAnswer, order.Response.Code)
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -32,7 +32,7 @@
 
 // Answered records how a call ended at its entry or exit node. Good calls are
 // sampled, so that they cost next to nothing.
-func (n *Node) Answered(call *Call, a *Answer, d *Dispatch) {
+func (n *Node) Answered(call *Call, a *Response, d *Dispatch) {
 	if n.cfg.Observer != nil {
 		n.cfg.Observer.CallEnded(call.Ctx.RequestID, d.retries)
 	}
@@ -66,7 +66,7 @@
 }
 
 // Reattached records that an attempt was sent again over a fresh connection.
-func (n *Node) Reattached(call *Call, upstream string, a *Answer) {
+func (n *Node) Reattached(call *Call, upstream string, a *Response) {
 	n.cfg.Metrics.Inc(metrics.CallsReattached, 1)
 	n.cfg.Metrics.Inc(metrics.ConnectionsReplaced, 1)
 	n.Event(n.Now(), timeline.Event{Kind: timeline.ConnReplaced, Upstream: upstream, Detail: "no answer over the kept connection while a fresh one works"})
--- a/internal/node/fake_test.go
+++ b/internal/node/fake_test.go
@@ -68,10 +68,10 @@
 	}
 }
 
-func wholeAnswerOf(call *Call, body string) *Answer {
-	return &Answer{CallID: call.Ctx.CallID, Code: result.OK, Status: 200, Body: []byte(body)}
+func wholeAnswerOf(call *Call, body string) *Response {
+	return &Response{CallID: call.Ctx.CallID, Code: result.OK, Status: 200, Body: []byte(body)}
 }
 
-func refusedWith(call *Call, code result.Code) *Answer {
+func refusedWith(call *Call, code result.Code) *Response {
 	return Refused(call.Ctx.CallID, result.Refuse(code, "%s", fmt.Sprintf("test: %s", code)))
 }
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -15,7 +15,7 @@
 
 // Waiter receives the answer of a call that had to wait or run. It is called
 // exactly once, without the guard's lock, and must not block.
-type Waiter func(*Answer)
+type Waiter func(*Response)
 
 // Runner performs what the guard decides. Its methods are called without the
 // guard's lock and must not block: they start the work and return.
@@ -58,7 +58,7 @@
 	arrived     time.Time
 	started     time.Time
 	ended       time.Time
-	answer      *Answer
+	answer      *Response
 	cancel      func()
 	// served says that a call made by this one had a good answer.
 	served bool
--- a/internal/node/guard_arrive.go
+++ b/internal/node/guard_arrive.go
@@ -12,7 +12,7 @@
 
 // Arrive takes a call. A nil answer means that w gets it later; the token then
 // names this attachment to the call for Leave.
-func (g *Guard) Arrive(now time.Time, call *Call, w Waiter) (token int, answer *Answer) {
+func (g *Guard) Arrive(now time.Time, call *Call, w Waiter) (token int, answer *Response) {
 	g.mu.Lock()
 	var d due
 	token, answer = g.arriveLocked(now, call, w, &d)
@@ -21,7 +21,7 @@
 	return token, answer
 }
 
-func (g *Guard) arriveLocked(now time.Time, call *Call, w Waiter, d *due) (int, *Answer) {
+func (g *Guard) arriveLocked(now time.Time, call *Call, w Waiter, d *due) (int, *Response) {
 	if e, ok := g.calls[call.Ctx.CallID]; ok {
 		return e.attach(w)
 	}
@@ -37,7 +37,7 @@
 
 // attach joins a sending of a call that is already here: the connection of the
 // first went silent, and the call must not run again by it.
-func (e *execution) attach(w Waiter) (int, *Answer) {
+func (e *execution) attach(w Waiter) (int, *Response) {
 	if e.phase == phaseDone {
 		return 0, e.answer
 	}
@@ -49,7 +49,7 @@
 // considerLocked decides on a call that was never seen here. A key that is
 // remembered is answered from memory, also while draining: its first sending
 // may have run here, and nobody else can say so.
-func (g *Guard) considerLocked(now time.Time, call *Call, w Waiter, d *due) (int, *Answer) {
+func (g *Guard) considerLocked(now time.Time, call *Call, w Waiter, d *due) (int, *Response) {
 	if call.Keyed() {
 		if answer, settled := g.beginKeyLocked(now, call, w); settled {
 			return 0, answer
@@ -94,7 +94,7 @@
 
 // beginKeyLocked looks the key up; settled says that the call does not go on
 // to admission.
-func (g *Guard) beginKeyLocked(now time.Time, call *Call, w Waiter) (answer *Answer, settled bool) {
+func (g *Guard) beginKeyLocked(now time.Time, call *Call, w Waiter) (answer *Response, settled bool) {
 	begin := g.keys.Begin(now, call.IdempotencyKey(), call.BodyHash, call.Ctx.CallID)
 	switch begin.Kind {
 	case idempotency.Start:
@@ -106,14 +106,14 @@
 		return replayed(call, begin.Answer), true
 	case idempotency.Conflict:
 		return g.refusedLocked(call, result.Refuse(result.KeyReused, "the key came before with a different body")), true
-	case idempotency.Full:
+	case idempotency.TableFull:
 		return g.refusedLocked(call, result.Refuse(result.NoAuthority, "the table of keys is full")), true
 	default:
 		return g.refusedLocked(call, result.Refuse(result.OutcomeUnknown, "an earlier attempt with this key may have run")), true
 	}
 }
 
-func (g *Guard) joinLocked(call *Call, runningID string, w Waiter) *Answer {
+func (g *Guard) joinLocked(call *Call, runningID string, w Waiter) *Response {
 	e, ok := g.calls[runningID]
 	if !ok || e.phase == phaseDone {
 		return g.refusedLocked(call, result.Refuse(result.OutcomeUnknown, "the running attempt has ended without an answer"))
@@ -122,7 +122,7 @@
 	return nil
 }
 
-func (g *Guard) admitLocked(now time.Time, call *Call, w Waiter, d *due) (int, *Answer) {
+func (g *Guard) admitLocked(now time.Time, call *Call, w Waiter, d *due) (int, *Response) {
 	e := &execution{
 		call:        call,
 		fingerprint: call.Fingerprint(),
@@ -148,7 +148,7 @@
 	return e.attach(w)
 }
 
-func (g *Guard) refusedLocked(call *Call, r *result.Refusal) *Answer {
+func (g *Guard) refusedLocked(call *Call, r *result.Refusal) *Response {
 	a := Refused(call.Ctx.CallID, r)
 	a.Unused = call.Allowance
 	a.Load = g.loadLocked()
--- a/internal/node/guard_end.go
+++ b/internal/node/guard_end.go
@@ -9,7 +9,7 @@
 )
 
 // endLocked settles the key, closes the account and owes everyone the answer.
-func (g *Guard) endLocked(now time.Time, e *execution, a *Answer, d *due) {
+func (g *Guard) endLocked(now time.Time, e *execution, a *Response, d *due) {
 	e.phase = phaseDone
 	e.ended = now
 	a.Unused = e.account.Close()
@@ -35,14 +35,14 @@
 
 // settleKeyLocked records what is now known about the key. Only a code that
 // promises "not run" lets a resend run again.
-func (g *Guard) settleKeyLocked(now time.Time, call *Call, a *Answer) {
+func (g *Guard) settleKeyLocked(now time.Time, call *Call, a *Response) {
 	if !call.Keyed() {
 		return
 	}
 	key := call.IdempotencyKey()
 	switch {
 	case a.Whole():
-		g.keys.Finish(now, key, call.Ctx.CallID, idempotency.Answer{
+		g.keys.Finish(now, key, call.Ctx.CallID, idempotency.Response{
 			Code: a.Code, Status: a.Status, Header: a.Header, Body: a.Body,
 		})
 	case a.Code.Ran() == result.RanNo:
@@ -101,7 +101,7 @@
 // here. The first sending may lie in the connection that went silent and be
 // delivered yet: it must find the same answer, or a call said not to have run
 // would run after all.
-func (g *Guard) remember(now time.Time, call *Call, a *Answer) {
+func (g *Guard) remember(now time.Time, call *Call, a *Response) {
 	if _, known := g.calls[call.Ctx.CallID]; known {
 		return
 	}
@@ -150,8 +150,8 @@
 	return result.Refuse(result.Cancelled, "the caller left")
 }
 
-func replayed(call *Call, kept *idempotency.Answer) *Answer {
-	return &Answer{
+func replayed(call *Call, kept *idempotency.Response) *Response {
+	return &Response{
 		CallID: call.Ctx.CallID,
 		Code:   result.Replayed,
 		Status: kept.Status,
@@ -166,7 +166,7 @@
 // joinedAnswer gives the answer of the running attempt to another with its
 // key. The joined call used nothing of its allowance, and its share is not
 // reported: an unreported share counts as spent, which errs on the safe side.
-func joinedAnswer(callID string, a *Answer) *Answer {
+func joinedAnswer(callID string, a *Response) *Response {
 	c := *a
 	c.CallID = callID
 	c.Unused = 0
--- a/internal/node/guard_model_test.go
+++ b/internal/node/guard_model_test.go
@@ -16,7 +16,7 @@
 	call  *Call
 	token int
 	left  bool
-	got   []*Answer
+	got   []*Response
 }
 
 // guardModel drives a guard in random order and keeps what must hold.
@@ -116,7 +116,7 @@
 
 func (m *guardModel) send(call *Call) {
 	s := &sending{call: call}
-	token, answer := m.g.Arrive(m.now, call, func(a *Answer) { m.deliver(s, a) })
+	token, answer := m.g.Arrive(m.now, call, func(a *Response) { m.deliver(s, a) })
 	s.token = token
 	m.sendings = append(m.sendings, s)
 	if answer != nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-func (m *guardModel) deliver(s *sending, a *Answer) {
+func (m *guardModel) deliver(s *sending, a *Response) {
 	if len(s.got) > 0 {
 		m.t.Fatalf("sending of %s answered twice", s.call.Ctx.CallID)
 	}
--- a/internal/node/guard_run.go
+++ b/internal/node/guard_run.go
@@ -91,7 +91,7 @@
 }
 
 // Finish reports the end of a run.
-func (g *Guard) Finish(now time.Time, callID string, a *Answer) {
+func (g *Guard) Finish(now time.Time, callID string, a *Response) {
 	g.mu.Lock()
 	var d due
 	if e, ok := g.calls[callID]; ok && e.phase == phaseRunning {
@@ -144,7 +144,7 @@
 	}
 }
 
-func outcomeOf(a *Answer) admission.Outcome {
+func outcomeOf(a *Response) admission.Outcome {
 	switch a.Code {
 	case result.OK, result.UpstreamFailed:
 		return admission.Answered
--- a/internal/node/guard_story_test.go
+++ b/internal/node/guard_story_test.go
@@ -12,9 +12,9 @@
 )
 
 // inbox is the waiter of one attachment.
-type inbox struct{ got []*Answer }
+type inbox struct{ got []*Response }
 
-func (i *inbox) put(a *Answer) { i.got = append(i.got, a) }
+func (i *inbox) put(a *Response) { i.got = append(i.got, a) }
 
 // Guards against a call that left the queue unrun being told that its outcome is unknown.
 func TestLeavingTheQueueIsToldNotRun(t *testing.T) {
@@ -38,7 +38,7 @@
 	g := newGuard(1, &fakeRunner{}, &fakeAuthority{})
 	call := newCall("early", epoch.Add(time.Minute))
 	call.Ctx.Idempotent = true
-	token, _ := g.Arrive(epoch, call, func(*Answer) {})
+	token, _ := g.Arrive(epoch, call, func(*Response) {})
 	g.Leave(epoch, "early", token)
 	cancelled := false
 	g.OnCancel("early", func() { cancelled = true })
@@ -50,7 +50,7 @@
 	g := newGuard(1, &fakeRunner{}, &fakeAuthority{})
 	call := newCall("letter", epoch.Add(time.Minute))
 	call.Ctx.Key = "k"
-	token, _ := g.Arrive(epoch, call, func(*Answer) {})
+	token, _ := g.Arrive(epoch, call, func(*Response) {})
 	cancelled := false
 	g.OnCancel("letter", func() { cancelled = true })
 	g.Leave(epoch, "letter", token)
@@ -58,7 +58,7 @@
 	g.Finish(epoch, "letter", wholeAnswerOf(call, "signed"))
 	again := newCall("letter-again", epoch.Add(time.Minute))
 	again.Ctx.Key = "k"
-	_, answer := g.Arrive(epoch, again, func(*Answer) {})
+	_, answer := g.Arrive(epoch, again, func(*Response) {})
 	must.EqOp(t, result.Replayed, answer.Code)
 	must.Eq(t, "signed", string(answer.Body))
 	must.EqOp(t, "letter-again", answer.CallID)
@@ -88,14 +88,14 @@
 	runner := &fakeRunner{}
 	g := newGuard(2, runner, &fakeAuthority{})
 	first := newCall("first", epoch.Add(time.Minute))
-	g.Arrive(epoch, first, func(*Answer) {})
+	g.Arrive(epoch, first, func(*Response) {})
 	g.Finish(epoch, "first", wholeAnswerOf(first, "done"))
 	large := newCall("large", epoch.Add(time.Minute))
-	g.Arrive(epoch, large, func(*Answer) {})
+	g.Arrive(epoch, large, func(*Response) {})
 	g.Finish(epoch, "large", wholeAnswerOf(large, strings.Repeat("x", 100)))
 	again := newCall("first", epoch.Add(time.Minute))
 	again.Reattach = true
-	_, answer := g.Arrive(epoch.Add(time.Second), again, func(*Answer) {})
+	_, answer := g.Arrive(epoch.Add(time.Second), again, func(*Response) {})
 	must.Len(t, 2, runner.runs)
 	must.NotNil(t, answer)
 	must.EqOp(t, result.LostAnswer, answer.Code)
@@ -133,8 +133,8 @@
 	one.Ctx.Key, one.BodyHash = "k", 1
 	two := newCall("two", epoch.Add(time.Minute))
 	two.Ctx.Key, two.BodyHash = "k", 2
-	g.Arrive(epoch, one, func(*Answer) {})
-	_, answer := g.Arrive(epoch, two, func(*Answer) {})
+	g.Arrive(epoch, one, func(*Response) {})
+	_, answer := g.Arrive(epoch, two, func(*Response) {})
 	must.EqOp(t, result.KeyReused, answer.Code)
 	must.EqOp(t, 422, answer.Code.HTTPStatus())
 	must.Len(t, 1, runner.runs)
@@ -151,11 +151,11 @@
 	again := *late
 	again.Reattach = true
 	var joined inbox
-	g.Arrive(epoch, one, func(*Answer) {})
+	g.Arrive(epoch, one, func(*Response) {})
 	g.Arrive(epoch, &again, joined.put)
 	g.Claimed(epoch, "one", result.Refuse(result.NoAuthority, "the log is out"))
 	must.EqOp(t, result.RanNo, joined.got[0].Code.Ran())
-	_, answer := g.Arrive(epoch, late, func(*Answer) {})
+	_, answer := g.Arrive(epoch, late, func(*Response) {})
 	must.NotNil(t, answer)
 	must.EqOp(t, result.NoAuthority, answer.Code)
 	must.Len(t, 1, runner.claims)
@@ -168,7 +168,7 @@
 	g := newGuard(1, &fakeRunner{}, &fakeAuthority{})
 	call := newCall("large", epoch.Add(time.Minute))
 	call.Body = make([]byte, 1<<20)
-	g.Arrive(epoch, call, func(*Answer) {})
+	g.Arrive(epoch, call, func(*Response) {})
 	g.Finish(epoch, "large", wholeAnswerOf(call, "x"))
 	must.SliceEmpty(t, g.calls["large"].call.Body)
 }
@@ -180,10 +180,10 @@
 	late := newCall("a", epoch.Add(time.Minute))
 	again := *late
 	again.Reattach = true
-	_, answer := g.Arrive(epoch, &again, func(*Answer) {})
+	_, answer := g.Arrive(epoch, &again, func(*Response) {})
 	must.EqOp(t, result.NoUpstream, answer.Code)
 	g.UpstreamUp(epoch, limits(2))
-	_, answer = g.Arrive(epoch.Add(time.Second), late, func(*Answer) {})
+	_, answer = g.Arrive(epoch.Add(time.Second), late, func(*Response) {})
 	must.NotNil(t, answer)
 	must.EqOp(t, result.NoUpstream, answer.Code)
 	must.SliceEmpty(t, runner.runs)
@@ -195,7 +195,7 @@
 	now := epoch
 	for i := range 40 {
 		id := "usual-" + strconv.Itoa(i)
-		g.Arrive(now, newCall(id, now.Add(time.Minute)), func(*Answer) {})
+		g.Arrive(now, newCall(id, now.Add(time.Minute)), func(*Response) {})
 		now = now.Add(50 * time.Millisecond)
 		g.Finish(now, id, wholeAnswerOf(newCall(id, now), "ok"))
 	}
--- a/internal/node/guard_suspects.go
+++ b/internal/node/guard_suspects.go
@@ -40,7 +40,7 @@
 }
 
 // witness records at the entry node that an upstream died running a call.
-func (g *Guard) witness(now time.Time, call *Call, a *Answer) quarantine.CrashRecord {
+func (g *Guard) witness(now time.Time, call *Call, a *Response) quarantine.CrashRecord {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.suspicion.Store(true)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -337,7 +337,7 @@
 }
 
 // RefuseCall makes the answer to a call that the guard never saw.
-func (n *Node) RefuseCall(call *Call, r *result.Refusal) *Answer {
+func (n *Node) RefuseCall(call *Call, r *result.Refusal) *Response {
 	a := Refused(call.Ctx.CallID, r)
 	a.Unused = call.Allowance
 	return a
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -78,7 +78,7 @@
 
 // retried records what came of an attempt that is made again elsewhere. From
 // here on the call is kept, on every hop.
-func (n *Node) retried(now time.Time, d *Dispatch, a *Answer, wait time.Duration) {
+func (n *Node) retried(now time.Time, d *Dispatch, a *Response, wait time.Duration) {
 	n.cfg.Metrics.Inc(metrics.CallsRetried, 1)
 	d.call.Kept = true
 	e := callEvent(timeline.CallRetried, d.call)
@@ -158,7 +158,7 @@
 }
 
 // finished records the end of a run.
-func (o *observer) finished(now time.Time, e *execution, a *Answer) {
+func (o *observer) finished(now time.Time, e *execution, a *Response) {
 	if o == nil {
 		return
 	}
--- a/internal/node/observe_test.go
+++ b/internal/node/observe_test.go
@@ -34,7 +34,7 @@
 	call := &Call{}
 	call.Ctx.RequestID = "r"
 	e := &execution{call: call, arrived: at, started: at}
-	whole := &Answer{Code: result.OK, Status: 200}
+	whole := &Response{Code: result.OK, Status: 200}
 	d := NewDispatch(n, rand.New(rand.NewPCG(1, 1)), call, retry.NewAccount(1))
 	d.attempts = 1
 	allocs := testing.AllocsPerRun(1000, func() {
--- a/internal/node/reconfigure_test.go
+++ b/internal/node/reconfigure_test.go
@@ -51,10 +51,10 @@
 	n.UpstreamAnnounced(epoch, Announcement{Service: "s", Address: "127.0.0.1:1", Slots: 2})
 	must.Eq(t, time.Hour, owners.horizon)
 
-	send := func(id string, at time.Time) *Answer {
+	send := func(id string, at time.Time) *Response {
 		call := newCall(id, at.Add(time.Second))
 		call.Ctx.Key = "letter-7"
-		_, a := n.Guard().Arrive(at, call, func(*Answer) {})
+		_, a := n.Guard().Arrive(at, call, func(*Response) {})
 		return a
 	}
 	must.Nil(t, send("first", epoch))
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -66,7 +66,7 @@
 }
 
 // ReportCrash implements Router.
-func (n *Node) ReportCrash(now time.Time, call *Call, a *Answer) {
+func (n *Node) ReportCrash(now time.Time, call *Call, a *Response) {
 	n.spread([]quarantine.CrashRecord{n.guard.witness(now, call, a)})
 }
 
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -42,7 +42,7 @@
 	maxAnswerBody = 64 << 20
 )
 
-func (s *sending) roundTrip(ctx context.Context, pool *h1.Pool, attempt *node.Call) *node.Answer {
+func (s *sending) roundTrip(ctx context.Context, pool *h1.Pool, attempt *node.Call) *node.Response {
 	header := make(http.Header, len(attempt.Header)+innerHeaders)
 	for name, values := range attempt.Header {
 		header[name] = values
@@ -90,7 +90,7 @@
 	return h
 }
 
-func lost(ctx context.Context, attempt *node.Call, err error) *node.Answer {
+func lost(ctx context.Context, attempt *node.Call, err error) *node.Response {
 	var failed *h1.Error
 	if errors.As(err, &failed) && failed.Stage == h1.StageConnect {
 		return node.Refused(attempt.Ctx.CallID, result.Refuse(result.Unreachable, "no connection: %v", failed.Cause))
@@ -106,7 +106,7 @@
 
 // readInner checks that the answer is of this call. A connection that delivers
 // another call's answer shows as a differing call ID.
-func (s *sending) readInner(attempt *node.Call, got *h1.Answer) *node.Answer {
+func (s *sending) readInner(attempt *node.Call, got *h1.Response) *node.Response {
 	h, err := inner.DecodeAnswer(got.Header.Get(inner.HeaderAnswer))
 	if err != nil {
 		return node.Refused(attempt.Ctx.CallID, result.Refuse(result.AnswerMismatch, "answer header: %v", err))
@@ -118,8 +118,8 @@
 	return decodeAnswer(h, got, s.to.Node)
 }
 
-func decodeAnswer(h *innerpb.AnswerHeader, got *h1.Answer, from string) *node.Answer {
-	a := &node.Answer{
+func decodeAnswer(h *innerpb.AnswerHeader, got *h1.Response, from string) *node.Response {
+	a := &node.Response{
 		CallID:   h.GetCallId(),
 		Code:     result.Code(h.GetCode()),
 		Unused:   int(h.GetUnusedAllowance()),
@@ -218,7 +218,7 @@
 	}
 }
 
-func (p *Proxy) writeInner(w http.ResponseWriter, call *node.Call, a *node.Answer) {
+func (p *Proxy) writeInner(w http.ResponseWriter, call *node.Call, a *node.Response) {
 	h := &innerpb.AnswerHeader{
 		CallId:             a.CallID,
 		Code:               uint32(a.Code),
@@ -258,7 +258,7 @@
 	_, _ = w.Write(a.Body)
 }
 
-func encodeSheds(a *node.Answer) string {
+func encodeSheds(a *node.Response) string {
 	return strconv.FormatUint(uint64(a.ShedsFrom), 10) + " " + a.ShedsBy
 }
 
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -158,7 +158,7 @@
 
 // Ask sends a short question to another node on the connections of data calls: it is
 // part of a request that waits for it.
-func (p *Peers) Ask(ctx context.Context, addr, target string) (*h1.Answer, error) {
+func (p *Peers) Ask(ctx context.Context, addr, target string) (*h1.Response, error) {
 	return p.peer(addr).pool.Do(ctx, &h1.Request{Method: http.MethodPost, Target: target, Host: addr})
 }
 
@@ -211,10 +211,10 @@
 // same call ID is sent over a fresh connection: the guard either knows the
 // call, and the second sending joins it, or never saw it, and runs it now; it
 // can't run twice, because a guard runs a call ID once.
-func (p *Peers) Send(ctx context.Context, to routing.Endpoint, attempt *node.Call) *node.Answer {
+func (p *Peers) Send(ctx context.Context, to routing.Endpoint, attempt *node.Call) *node.Response {
 	peer := p.peer(to.Addr)
 	started := p.node.Now()
-	s := &sending{peers: p, peer: peer, to: to, attempt: attempt, fresh: make(chan *node.Answer, 1)}
+	s := &sending{peers: p, peer: peer, to: to, attempt: attempt, fresh: make(chan *node.Response, 1)}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	defer s.cancel()
 	timer := time.AfterFunc(peer.wait.bound(p.connections.Reattach), s.reattachIfSilent)
@@ -235,7 +235,7 @@
 	attempt *node.Call
 	ctx     context.Context
 	cancel  context.CancelFunc
-	fresh   chan *node.Answer
+	fresh   chan *node.Response
 
 	mu         sync.Mutex
 	reattached bool // a re-attachment is out and will put an answer into fresh
@@ -274,12 +274,12 @@
 // guard may take the second, should its upstream come or a slot become free in
 // between. It shows when the refusal is late, as after a lost packet: the caller
 // was told that nothing ran while the call ran. So the second is waited for.
-func (s *sending) settle(first *node.Answer) *node.Answer {
+func (s *sending) settle(first *node.Response) *node.Response {
 	s.mu.Lock()
 	s.ended = true
 	reattached := s.reattached
 	s.mu.Unlock()
-	var second *node.Answer
+	var second *node.Response
 	switch {
 	case reattached && superseded(first):
 		second = <-s.fresh
@@ -297,7 +297,7 @@
 // broken reports whether the connection of a sending failed. An answer that names
 // its node came over a sound one: what broke lies behind it, and to ask again
 // would bring the same answer.
-func broken(first *node.Answer) bool {
+func broken(first *node.Response) bool {
 	if first.Upstream != "" {
 		return false
 	}
@@ -306,7 +306,7 @@
 
 // superseded reports whether the answer of a first sending leaves open what a
 // second one brings.
-func superseded(first *node.Answer) bool {
+func superseded(first *node.Response) bool {
 	if first.Whole() {
 		return false
 	}
@@ -314,7 +314,7 @@
 }
 
 // reattach sends the call ID again over a fresh connection.
-func (s *sending) reattach() *node.Answer {
+func (s *sending) reattach() *node.Response {
 	again := *s.attempt
 	again.Reattach = true
 	answer := s.roundTrip(s.ctx, s.peer.fresh, &again)
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -24,7 +24,7 @@
 
 // guard serves what a test says in place of a guard, and returns the sender of
 // calls to it.
-func guard(t *testing.T, serve func(l net.Listener, h *innerpb.CallHeader, w http.ResponseWriter)) func(callID string) *node.Answer {
+func guard(t *testing.T, serve func(l net.Listener, h *innerpb.CallHeader, w http.ResponseWriter)) func(callID string) *node.Response {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -41,20 +41,20 @@
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	t.Cleanup(cancel)
-	return func(callID string) *node.Answer {
+	return func(callID string) *node.Response {
 		call := &node.Call{Ctx: callctx.Context{RequestID: callID, CallID: callID, Workspace: "w", Service: "s", Deadline: time.Now().Add(time.Minute)}, Method: "POST", Target: "/"}
 		return peers.Send(ctx, routing.Endpoint{Node: "g", Addr: l.Addr().String()}, call)
 	}
 }
 
 // writeInner answers as a guard does.
-func writeInner(w http.ResponseWriter, a *node.Answer) {
+func writeInner(w http.ResponseWriter, a *node.Response) {
 	p := &Proxy{node: node.New(node.Config{Clock: wallClock{}, Ring: timeline.NewRing("g", 16, &timeline.Clock{})})}
 	p.writeInner(w, &node.Call{}, a)
 }
 
-func whole(callID string) *node.Answer {
-	return &node.Answer{CallID: callID, Code: result.OK, Status: http.StatusOK}
+func whole(callID string) *node.Response {
+	return &node.Response{CallID: callID, Code: result.OK, Status: http.StatusOK}
 }
 
 // Guards against a failed dial of a repeat hiding that the request ran.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -120,7 +120,7 @@
 	// refuse answers a request that did not become a call.
 	refuse(w http.ResponseWriter, call *node.Call, refusal *result.Refusal)
 	// answer gives the answer of a call.
-	answer(w http.ResponseWriter, call *node.Call, a *node.Answer)
+	answer(w http.ResponseWriter, call *node.Call, a *node.Response)
 }
 
 func (p *Proxy) serve(ctx context.Context, x exchange, call *node.Call, account *retry.Account) {
@@ -175,18 +175,18 @@
 	o.p.turn(w, callctx.Raw{Workspace: c.Workspace, Service: c.Service}, c.RequestID, refusal)
 }
 
-func (plainWriter) answer(w http.ResponseWriter, call *node.Call, a *node.Answer) {
+func (plainWriter) answer(w http.ResponseWriter, call *node.Call, a *node.Response) {
 	writeAnswer(w, call, a)
 }
 
 // run follows the orders of a Dispatch until the call has its answer.
-func (p *Proxy) run(ctx context.Context, call *node.Call, account *retry.Account) *node.Answer {
+func (p *Proxy) run(ctx context.Context, call *node.Call, account *retry.Account) *node.Response {
 	rng := p.rngs.Get().(*rand.Rand)
 	defer p.rngs.Put(rng)
 	return p.follow(ctx, call, node.NewDispatch(p.node, rng, call, account))
 }
 
-func (p *Proxy) follow(ctx context.Context, call *node.Call, d *node.Dispatch) *node.Answer {
+func (p *Proxy) follow(ctx context.Context, call *node.Call, d *node.Dispatch) *node.Response {
 	for {
 		if errors.Is(ctx.Err(), context.Canceled) {
 			d.Leave()
@@ -194,8 +194,8 @@
 		order := d.Next(p.node.Now())
 		switch order.Kind {
 		case node.ActionDone:
-			p.node.Answered(call, order.Answer, d)
-			return order.Answer
+			p.node.Answered(call, order.Response, d)
+			return order.Response
 		case node.ActionPause:
 			wait.For(ctx, order.Pause)
 		case node.ActionSend:
@@ -208,7 +208,7 @@
 	}
 }
 
-func (p *Proxy) send(ctx context.Context, order node.Action) *node.Answer {
+func (p *Proxy) send(ctx context.Context, order node.Action) *node.Response {
 	to := order.Target.Endpoint()
 	if to.Node == p.node.ID() {
 		p.node.Metrics().Inc(metrics.CallsLocal, 1)
@@ -261,7 +261,7 @@
 	return buf, err
 }
 
-func writeAnswer(w http.ResponseWriter, call *node.Call, a *node.Answer) {
+func writeAnswer(w http.ResponseWriter, call *node.Call, a *node.Response) {
 	h := w.Header()
 	h.Set(callctx.HeaderRequestID, call.Ctx.RequestID)
 	if !a.Whole() {
--- a/internal/proxy/routed.go
+++ b/internal/proxy/routed.go
@@ -223,7 +223,7 @@
 }
 
 // answer implements answerWriter. The upstream's answer is passed on as it is.
-func (s *routed) answer(w http.ResponseWriter, call *node.Call, a *node.Answer) {
+func (s *routed) answer(w http.ResponseWriter, call *node.Call, a *node.Response) {
 	if a.Code.Ran() == result.RanNo {
 		s.returnQuota(call)
 	}
--- a/internal/proxy/silence_test.go
+++ b/internal/proxy/silence_test.go
@@ -160,7 +160,7 @@
 	call.Ctx.Workspace, call.Ctx.Service = workspace, "letters"
 	call.Ctx.Deadline = time.Now().Add(giveUp)
 	target := entry.node.Table().Targets("letters")[0].Endpoint()
-	answers := make(chan *node.Answer, 2)
+	answers := make(chan *node.Response, 2)
 	for range 2 {
 		go func() { answers <- entry.peers.Send(context.Background(), target, call) }()
 	}
--- a/internal/proxy/treegate.go
+++ b/internal/proxy/treegate.go
@@ -97,7 +97,7 @@
 // learn takes what an answer says of the services behind. One that was refused
 // before it reached an upstream met none of them. An answer that names no service says
 // of the one that earlier answers named that it sheds nothing now.
-func (g *treeGate) learn(now time.Time, call *node.Call, a *node.Answer) {
+func (g *treeGate) learn(now time.Time, call *node.Call, a *node.Response) {
 	if call.Ctx.Depth > 0 || a.Code.Ran() == result.RanNo {
 		return
 	}
@@ -143,7 +143,7 @@
 }
 
 // answer implements answerWriter.
-func (o gatedWriter) answer(w http.ResponseWriter, call *node.Call, a *node.Answer) {
+func (o gatedWriter) answer(w http.ResponseWriter, call *node.Call, a *node.Response) {
 	now := o.p.node.Now()
 	o.gate.learn(now, call, a)
 	o.p.node.ChildEnded(now, call, a)
--- a/internal/proxy/treegate_test.go
+++ b/internal/proxy/treegate_test.go
@@ -40,7 +40,7 @@
 	g := treeGates{metrics: metrics.New(1)}
 	lookups, filings := g.of("h", "/lookups/"), g.of("h", "/filings/")
 	now := time.Unix(1000, 0)
-	shed := &node.Answer{Code: result.UpstreamFailed, ShedsFrom: admission.Rank(callctx.LevelHigh, 0), ShedsBy: "registry"}
+	shed := &node.Response{Code: result.UpstreamFailed, ShedsFrom: admission.Rank(callctx.LevelHigh, 0), ShedsBy: "registry"}
 	for range 20 {
 		lookups.learn(now, gatedCall(callctx.LevelNormal), shed)
 	}
@@ -55,12 +55,12 @@
 	}
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
-		filings.learn(now, gatedCall(callctx.LevelCritical), &node.Answer{Code: result.OK, ShedsFrom: shed.ShedsFrom, ShedsBy: "registry"})
+		filings.learn(now, gatedCall(callctx.LevelCritical), &node.Response{Code: result.OK, ShedsFrom: shed.ShedsFrom, ShedsBy: "registry"})
 	}
 	must.Greater(t, 90, refused())
 	for range 40 {
 		now = now.Add(20 * time.Millisecond)
-		filings.learn(now, gatedCall(callctx.LevelCritical), &node.Answer{Code: result.OK, ShedsFrom: routing.NoThreshold})
+		filings.learn(now, gatedCall(callctx.LevelCritical), &node.Response{Code: result.OK, ShedsFrom: routing.NoThreshold})
 	}
 	must.EqOp(t, 0, refused())
 }
@@ -70,7 +70,7 @@
 	g := treeGates{metrics: metrics.New(1)}
 	now := time.Unix(1000, 0)
 	for range 20 {
-		g.of("h", "/lookups/").learn(now, gatedCall(callctx.LevelNormal), &node.Answer{Code: result.OK, ShedsFrom: 0, ShedsBy: "registry"})
+		g.of("h", "/lookups/").learn(now, gatedCall(callctx.LevelNormal), &node.Response{Code: result.OK, ShedsFrom: 0, ShedsBy: "registry"})
 	}
 	must.Nil(t, g.of("h", "/uploads/").admit(now, gatedCall(callctx.LevelNormal), time.Second))
 }
@@ -78,7 +78,7 @@
 // What a hop says of the services behind arrives as it was, and what can't be read sheds
 // nothing.
 func TestShedsOverOneHop(t *testing.T) {
-	a := &node.Answer{ShedsFrom: 7 << 20, ShedsBy: "registry"}
+	a := &node.Response{ShedsFrom: 7 << 20, ShedsBy: "registry"}
 	from, by := decodeSheds(encodeSheds(a))
 	must.EqOp(t, a.ShedsFrom, from)
 	must.EqOp(t, a.ShedsBy, by)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -120,10 +120,10 @@
 
 // Serve takes a call to its answer at this node's guard. When ctx ends first
 // the attachment is given up and the answer says what may have happened.
-func (u *Upstream) Serve(ctx context.Context, call *node.Call) *node.Answer {
+func (u *Upstream) Serve(ctx context.Context, call *node.Call) *node.Response {
 	guard := u.node.Guard()
-	ch := make(chan *node.Answer, 1)
-	token, answer := guard.Arrive(u.node.Now(), call, func(a *node.Answer) { ch <- a })
+	ch := make(chan *node.Response, 1)
+	token, answer := guard.Arrive(u.node.Now(), call, func(a *node.Response) { ch <- a })
 	if answer != nil {
 		return answer
 	}
@@ -140,7 +140,7 @@
 
 // abandon leaves the guard. A call that was still waiting has its truthful
 // refusal in ch by the time Leave returns.
-func (u *Upstream) abandon(ctx context.Context, call *node.Call, token int, ch chan *node.Answer) *node.Answer {
+func (u *Upstream) abandon(ctx context.Context, call *node.Call, token int, ch chan *node.Response) *node.Response {
 	u.node.Guard().Leave(u.node.Now(), call.Ctx.CallID, token)
 	select {
 	case a := <-ch:
@@ -222,7 +222,7 @@
 	return child, func() { stop(); cancel() }
 }
 
-func (u *Upstream) roundTrip(ctx context.Context, call *node.Call, before time.Time) *node.Answer {
+func (u *Upstream) roundTrip(ctx context.Context, call *node.Call, before time.Time) *node.Response {
 	if !isPathTarget(call.Target) {
 		return node.Refused(call.Ctx.CallID, badTarget())
 	}
@@ -277,7 +277,7 @@
 	return result.Refuse(result.BadContext, "the target of a request must begin with '/'")
 }
 
-func (u *Upstream) failed(ctx context.Context, call *node.Call, err error) *node.Answer {
+func (u *Upstream) failed(ctx context.Context, call *node.Call, err error) *node.Response {
 	var broken *h1.Error
 	if !errors.As(err, &broken) {
 		broken = &h1.Error{Stage: h1.StageSend, Cause: err}
@@ -333,7 +333,7 @@
 	return u.node.UpstreamCrashed(u.node.Now())
 }
 
-func (u *Upstream) answered(call *node.Call, got *h1.Answer) *node.Answer {
+func (u *Upstream) answered(call *node.Call, got *h1.Response) *node.Response {
 	if refusal := u.dialect.NotRun(got.Status, got.Header); refusal != nil {
 		return node.Refused(call.Ctx.CallID, refusal)
 	}
@@ -341,7 +341,7 @@
 	if got.Status >= http.StatusInternalServerError {
 		code = result.UpstreamFailed
 	}
-	return &node.Answer{
+	return &node.Response{
 		CallID: call.Ctx.CallID,
 		Code:   code,
 		Status: got.Status,
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -60,8 +60,8 @@
 	l.accounts.Store(&next)
 }
 
-// Answer is what becomes of a request.
-type Answer struct {
+// Decision is what becomes of a request.
+type Decision struct {
 	// Granted says that the request has its token.
 	Granted bool
 	// Ask are holders to be asked for a token, in this order.
@@ -73,23 +73,23 @@
 // Take spends a token of a workspace's quota here, or says whom to ask; with nobody to
 // ask the request is to be refused. u is a random number in [0, 1). A workspace without a
 // quota has no bound.
-func (l *Ledger) Take(now time.Time, workspace string, u float64, skip func(node string) bool) Answer {
+func (l *Ledger) Take(now time.Time, workspace string, u float64, skip func(node string) bool) Decision {
 	a := (*l.accounts.Load())[workspace]
 	if a == nil {
-		return Answer{Granted: true}
+		return Decision{Granted: true}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	l.refreshLocked(now, a, workspace)
 	if a.bucket.take(now) {
 		a.spent++
-		return Answer{Granted: true}
+		return Decision{Granted: true}
 	}
 	if now.Before(a.exhausted) {
-		return Answer{}
+		return Decision{}
 	}
 	ask, unreached := l.askLocked(now, a, u, skip)
-	return Answer{Ask: ask, Unknown: len(ask) == 0 && unreached}
+	return Decision{Ask: ask, Unknown: len(ask) == 0 && unreached}
 }
 
 // Grant spends a token here for a request of another node. With none left, next is how
@@ -132,8 +132,8 @@
 	})
 }
 
-// Silent notes that a node gave no answer.
-func (l *Ledger) Silent(now time.Time, node string) {
+// MarkUnresponsive notes that a node gave no answer.
+func (l *Ledger) MarkUnresponsive(now time.Time, node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	maps.DeleteFunc(l.silent, func(_ string, until time.Time) bool { return !now.Before(until) })
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -98,7 +98,7 @@
 		m.messages++
 		i := slices.IndexFunc(m.nodes, func(o *modelNode) bool { return o.Name == h.Name })
 		if !m.reaches(n, m.nodes[i]) {
-			n.ledger.Silent(m.Now(), h.Name)
+			n.ledger.MarkUnresponsive(m.Now(), h.Name)
 			continue
 		}
 		granted, next := m.nodes[i].ledger.Grant(m.Now(), workspaceName)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -170,11 +170,11 @@
 	got := l.Take(now, "north", 0, none)
 	must.SliceLen(t, 1, got.Ask)
 	must.False(t, got.Unknown)
-	l.Silent(now, "other")
+	l.MarkUnresponsive(now, "other")
 	must.True(t, l.Take(now, "north", 0, none).Unknown)
 	later := now.Add(silentFor)
 	l.Empty(later, "north", "other", time.Second)
-	must.Eq(t, Answer{}, l.Take(later, "north", 0, none))
+	must.Eq(t, Decision{}, l.Take(later, "north", 0, none))
 }
 
 // Callers that are refused come back as fast as the quota has room for them.
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -256,12 +256,12 @@
 	return out
 }
 
-func decodeKept(k *innerpb.KeyEntry) *idempotency.Answer {
+func decodeKept(k *innerpb.KeyEntry) *idempotency.Response {
 	header := make(map[string][]string, len(k.GetHeader()))
 	for _, f := range k.GetHeader() {
 		header[f.GetName()] = append(header[f.GetName()], f.GetValue())
 	}
-	return &idempotency.Answer{
+	return &idempotency.Response{
 		Code:   result.Code(k.GetCode()),
 		Status: int(k.GetHttpStatus()),
 		Header: header,
