--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -126,9 +126,9 @@
 	return out
 }
 
-// Ask makes the question of an exchange. hold is how long it may be held for
+// NewRequest makes the question of an exchange. hold is how long it may be held for
 // updates; a node that was told too little yet asks for an answer at once.
-func (p *Plane) Ask(now time.Time, hold time.Duration) *innerpb.ExchangeRequest {
+func (p *Plane) NewRequest(now time.Time, hold time.Duration) *innerpb.ExchangeRequest {
 	if !p.caught && p.stale(now) {
 		hold = 0
 	}
@@ -146,13 +146,13 @@
 	}
 }
 
-// AskDue reports whether there are updates that the asked peer does not have yet:
+// RequestDue reports whether there are updates that the asked peer does not have yet:
 // a question that is being held should be asked again.
-func (p *Plane) AskDue() bool { return p.fromBelow > p.sentUp || p.ahead.Addr != "" }
+func (p *Plane) RequestDue() bool { return p.fromBelow > p.sentUp || p.ahead.Addr != "" }
 
-// OnAsked takes the updates of a question. It is called once for each, before
+// OnRequest takes the updates of a question. It is called once for each, before
 // its answer is waited for.
-func (p *Plane) OnAsked(now time.Time, q *innerpb.ExchangeRequest) {
+func (p *Plane) OnRequest(now time.Time, q *innerpb.ExchangeRequest) {
 	p.takeUpdates(now, q, true)
 	if int64(q.GetRecordsFrom()) <= p.replica.Next() || !p.stale(now) && p.reads(now) {
 		return
@@ -170,13 +170,13 @@
 	proof   time.Time
 }
 
-// MustAnswer reports whether a question should not be held any longer: there
+// ResponseDue reports whether a question should not be held any longer: there
 // is an update, or a fresher proof came late in an exchange.
 //
 // A proof is passed on as it comes, or its age would grow by up to an exchange
 // at each level of the tree. The zone's reader has one several times in an
 // exchange and keeps the pace; the others follow their parent's.
-func (p *Plane) MustAnswer(now, received time.Time, q *innerpb.ExchangeRequest) bool {
+func (p *Plane) ResponseDue(now, received time.Time, q *innerpb.ExchangeRequest) bool {
 	held := now.Sub(received)
 	last := p.told[q.GetFrom().GetNodeId()]
 	switch {
@@ -194,8 +194,8 @@
 	return held >= least && p.head.known && p.head.t0.After(last.proof)
 }
 
-// Answer makes the answer to a question that came at received.
-func (p *Plane) Answer(now, received time.Time, q *innerpb.ExchangeRequest) *innerpb.ExchangeResponse {
+// NewResponse makes the answer to a question that came at received.
+func (p *Plane) NewResponse(now, received time.Time, q *innerpb.ExchangeRequest) *innerpb.ExchangeResponse {
 	p.told[q.GetFrom().GetNodeId()] = told{updates: p.updates, proof: p.head.t0}
 	a := &innerpb.ExchangeResponse{
 		From:        Ref(p.self),
@@ -235,10 +235,10 @@
 	}
 }
 
-// OnAnswer takes the answer to a question that was sent at sent. It reports
+// OnResponse takes the answer to a question that was sent at sent. It reports
 // whether the peer's whole state has to be fetched, because the records
 // between are no longer kept there.
-func (p *Plane) OnAnswer(now, sent time.Time, peer Peer, a *innerpb.ExchangeResponse) (fetch bool) {
+func (p *Plane) OnResponse(now, sent time.Time, peer Peer, a *innerpb.ExchangeResponse) (fetch bool) {
 	delete(p.failed, peer.Addr)
 	p.answered = now
 	p.takeUpdates(now, a, false)
@@ -295,14 +295,14 @@
 	return p.replica.Next() > before
 }
 
-// OnAskFailed notes that a peer did not answer.
-func (p *Plane) OnAskFailed(now time.Time, peer Peer) { p.failed[peer.Addr] = now }
+// OnRequestFailed notes that a peer did not answer.
+func (p *Plane) OnRequestFailed(now time.Time, peer Peer) { p.failed[peer.Addr] = now }
 
-// LeaderAsks returns whom a zone's reader asks besides, for answers at once:
+// ReaderTargets returns whom a zone's reader asks besides, for answers at once:
 // with updates one node of each other zone, and regularly one of its own zone.
 // Two readers that came up at the same time would never hear of each other
 // otherwise, since a reader has no parent to ask.
-func (p *Plane) LeaderAsks(now time.Time) []Peer {
+func (p *Plane) ReaderTargets(now time.Time) []Peer {
 	if !p.Leads() || now.Sub(p.asked) < p.cfg.Exchange/2 {
 		return nil
 	}
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -180,7 +180,7 @@
 	}
 	n.perform(n.plane.Tick(w.now))
 	n.exchange()
-	for _, peer := range n.plane.LeaderAsks(w.now) {
+	for _, peer := range n.plane.ReaderTargets(w.now) {
 		n.ask(peer, 0)
 	}
 	for _, s := range n.plane.TakeCrashRecords() {
@@ -243,12 +243,12 @@
 		switch {
 		case to == nil:
 			if w.now.Sub(q.sent) > 2*time.Second {
-				n.plane.OnAskFailed(w.now, q.peer)
+				n.plane.OnRequestFailed(w.now, q.peer)
 				n.asked = nil
 			}
 			return
-		case n.plane.AskDue():
-		case to.plane.MustAnswer(w.now, q.sent, q.q):
+		case n.plane.RequestDue():
+		case to.plane.ResponseDue(w.now, q.sent, q.q):
 			n.answered(to, q)
 		default:
 			return
@@ -263,16 +263,16 @@
 // ask sends a question; with a hold of 0 it is answered at once.
 func (n *planeNode) ask(peer control.Peer, hold time.Duration) *question {
 	w := n.w
-	q := &question{peer: peer, sent: w.now, q: n.plane.Ask(w.now, hold)}
+	q := &question{peer: peer, sent: w.now, q: n.plane.NewRequest(w.now, hold)}
 	to := w.reach(n, peer.Addr)
 	if to == nil {
 		if w.at(peer.Addr) == nil {
-			n.plane.OnAskFailed(w.now, peer) // refused
+			n.plane.OnRequestFailed(w.now, peer) // refused
 			return nil
 		}
 		return q // lost on the way
 	}
-	to.plane.OnAsked(w.now, q.q)
+	to.plane.OnRequest(w.now, q.q)
 	if hold > 0 {
 		return q
 	}
@@ -282,7 +282,7 @@
 
 func (n *planeNode) answered(to *planeNode, q *question) {
 	w := n.w
-	if n.plane.OnAnswer(w.now, q.sent, q.peer, to.plane.Answer(w.now, q.sent, q.q)) {
+	if n.plane.OnResponse(w.now, q.sent, q.peer, to.plane.NewResponse(w.now, q.sent, q.q)) {
 		state, err := to.plane.State(w.now)
 		must.NoError(w.t, err)
 		must.NoError(w.t, n.plane.OnState(w.now, state))
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -131,7 +131,7 @@
 	ctx, cancel := context.WithTimeout(ctx, quotaTimeout)
 	defer cancel()
 	query := url.Values{"of": {of.Name}, "workspace": {workspace}}
-	got, err := m.peers.Ask(ctx, of.Address, quotaPath+"?"+query.Encode())
+	got, err := m.peers.Query(ctx, of.Address, quotaPath+"?"+query.Encode())
 	if err != nil {
 		return grant{}, err
 	}
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -156,9 +156,9 @@
 // calls, so that an operator's questions never wait behind calls.
 func (p *Peers) ControlTransport() *http.Transport { return p.newTransport() }
 
-// Ask sends a short question to another node on the connections of data calls: it is
+// Query sends a short question to another node on the connections of data calls: it is
 // part of a request that waits for it.
-func (p *Peers) Ask(ctx context.Context, addr, target string) (*h1.Response, error) {
+func (p *Peers) Query(ctx context.Context, addr, target string) (*h1.Response, error) {
 	return p.peer(addr).pool.Do(ctx, &h1.Request{Method: http.MethodPost, Target: target, Host: addr})
 }
 
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -243,7 +243,7 @@
 		var asks []control.Peer
 		c.with(func(now time.Time, p *control.Plane) {
 			actions = p.Tick(now)
-			asks = p.LeaderAsks(now)
+			asks = p.ReaderTargets(now)
 		})
 		c.perform(ctx, actions)
 		for _, peer := range asks {
--- a/internal/server/exchange.go
+++ b/internal/server/exchange.go
@@ -64,12 +64,12 @@
 	if err != nil {
 		c.clients.drop(peer.Addr)
 		c.server.metrics.Inc(metrics.ControlExchangeFailures, 1)
-		c.with(func(now time.Time, p *control.Plane) { p.OnAskFailed(now, peer) })
+		c.with(func(now time.Time, p *control.Plane) { p.OnRequestFailed(now, peer) })
 		return false
 	}
 	c.clients.answer(peer.Addr)
 	var fetch bool
-	c.with(func(now time.Time, p *control.Plane) { fetch = p.OnAnswer(now, sent, peer, resp) })
+	c.with(func(now time.Time, p *control.Plane) { fetch = p.OnResponse(now, sent, peer, resp) })
 	if fetch {
 		c.fetch(peer)
 	}
@@ -83,7 +83,7 @@
 	defer cancel()
 	var q *innerpb.ExchangeRequest
 	var sent time.Time
-	c.with(func(now time.Time, p *control.Plane) { q, sent = p.Ask(now, hold), now })
+	c.with(func(now time.Time, p *control.Plane) { q, sent = p.NewRequest(now, hold), now })
 	done := make(chan struct{})
 	defer close(done)
 	if hold > 0 {
@@ -105,7 +105,7 @@
 	wait.For(ctx, askPause)
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		due, woken := c.plane.AskDue(), c.wake
+		due, woken := c.plane.RequestDue(), c.wake
 		c.mu.Unlock()
 		if due {
 			cancel()
--- a/internal/server/service.go
+++ b/internal/server/service.go
@@ -27,7 +27,7 @@
 	hold := min(time.Duration(q.GetHoldUs())*time.Microsecond, maxHold)
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
-	c.with(func(now time.Time, p *control.Plane) { p.OnAsked(now, q) })
+	c.with(func(now time.Time, p *control.Plane) { p.OnRequest(now, q) })
 	for expired := false; ; {
 		a, woken := c.answer(received, q, expired)
 		if a != nil {
@@ -50,10 +50,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.server.node.Now()
-	if !expired && !c.plane.MustAnswer(now, received, q) {
+	if !expired && !c.plane.ResponseDue(now, received, q) {
 		return nil, c.wake
 	}
-	return c.plane.Answer(now, received, q), nil
+	return c.plane.NewResponse(now, received, q), nil
 }
 
 // Probe implements innerpbconnect.ControlHandler.
