--- a/internal/bench/capacity.go
+++ b/internal/bench/capacity.go
@@ -119,7 +119,7 @@
 	for s := range opts.Services {
 		for m := s; m < opts.Members; m += opts.Services {
 			t := lease.Takeover{
-				Service: serviceName(s), By: membership.Identity{Node: fmt.Sprintf("m%d", m), Incarnation: 1},
+				Service: serviceName(s), NewOwner: membership.Identity{Node: fmt.Sprintf("m%d", m), Incarnation: 1},
 				Addr: addrOf(m), Folded: int64(len(entries)),
 			}
 			perService := opts.Members/opts.Services + 1
--- a/internal/bench/control_measure.go
+++ b/internal/bench/control_measure.go
@@ -60,7 +60,7 @@
 		select {
 		case <-sample.C:
 			for _, n := range w.nodes {
-				ages = append(ages, n.ControlStats().ProofAge)
+				ages = append(ages, n.ControlStats().HeadAge)
 			}
 		case <-t.C:
 			_, _ = w.publish()
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -154,7 +154,7 @@
 	}
 	p.head = h
 	if p.follower != nil {
-		p.follower.Proof(h.t0, h.next)
+		p.follower.ObserveHead(h.t0, h.next)
 	}
 }
 
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -153,13 +153,13 @@
 	return services
 }
 
-// Proof takes a head of the log: at some time after t0, on the local clock, no
+// ObserveHead takes a head of the log: at some time after t0, on the local clock, no
 // record at or beyond head existed.
-func (o *Ownership) Proof(t0 time.Time, head int64) {
+func (o *Ownership) ObserveHead(t0 time.Time, head int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, l := range o.lessors {
-		l.Proof(t0, head)
+		l.ObserveHead(t0, head)
 	}
 }
 
@@ -252,9 +252,9 @@
 	return head, proven
 }
 
-// HeadSeen takes another guard's word on its newest head.
-func (o *Ownership) HeadSeen(from membership.Identity, head int64) {
-	o.localLessor(func(l *lease.Lessor) { l.HeadSeen(from, head) })
+// ObservePeerHead takes another guard's word on its newest head.
+func (o *Ownership) ObservePeerHead(from membership.Identity, head int64) {
+	o.localLessor(func(l *lease.Lessor) { l.ObservePeerHead(from, head) })
 }
 
 // Promised takes a promise that was asked for at t0.
--- a/internal/control/plane.go
+++ b/internal/control/plane.go
@@ -87,9 +87,9 @@
 	Applied(now time.Time, entries []logstore.Entry)
 	// Truncated says that entries expired before they were read here.
 	Truncated()
-	// Proof says that at some time after t0 the next offset of the log was
+	// ObserveHead says that at some time after t0 the next offset of the log was
 	// head: t0 is a local time before the read that showed it was sent.
-	Proof(t0 time.Time, head int64)
+	ObserveHead(t0 time.Time, head int64)
 }
 
 // Peer is a node to send a message to. ID is zero when only its address is
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -99,8 +99,8 @@
 
 func (n *planeNode) Truncated() { n.next = n.w.oldest }
 
-// Proof checks that whatever was in the log at t0 lies below the head.
-func (n *planeNode) Proof(t0 time.Time, head int64) {
+// ObserveHead checks that whatever was in the log at t0 lies below the head.
+func (n *planeNode) ObserveHead(t0 time.Time, head int64) {
 	must.GreaterEq(n.w.t, n.w.headAt(t0), head, must.Sprintf("%s: proof from %v", n.id.Node, n.w.now.Sub(t0)))
 	n.proof = t0
 }
--- a/internal/lease/authority.go
+++ b/internal/lease/authority.go
@@ -16,7 +16,7 @@
 	Refusal *result.Refusal
 }
 
-// Proof takes the result of reading the log's head: at some time after t0 no
+// ObserveHead takes the result of reading the log's head: at some time after t0 no
 // record at or beyond head existed. t0 is the local time before the read was
 // sent; through a relay, the own send time less the age that the relay
 // reported. Every record below head must have been folded before.
@@ -24,7 +24,7 @@
 // It rests on reads not being stale. For a log whose reads lag by a bound, the
 // caller subtracts that bound from t0. A head below an earlier one shows a
 // stale read and is dropped.
-func (l *Lessor) Proof(t0 time.Time, head int64) {
+func (l *Lessor) ObserveHead(t0 time.Time, head int64) {
 	if head > l.next {
 		// Takeovers not folded yet may hide below head.
 		return
--- a/internal/lease/hold_test.go
+++ b/internal/lease/hold_test.go
@@ -18,8 +18,8 @@
 	for i := range DefaultConfig().Slots {
 		all = append(all, i)
 	}
-	l.Apply(now, 2, Takeover{Service: "s", Slots: all, By: owner, Addr: "a:1", Folded: 2, At: now})
-	l.HeadSeen(owner, 3)
+	l.Apply(now, 2, Takeover{Service: "s", Slots: all, NewOwner: owner, Addr: "a:1", Folded: 2, At: now})
+	l.ObservePeerHead(owner, 3)
 	must.True(t, l.OnPromiseRequest(now, owner, []int{7, 8}))
 	must.True(t, l.ImportedHandOver(now, HandOver{From: owner, Slots: []HandedSlot{{Slot: 7, Offset: 2}}}))
 	actions := l.Plan(now, []Identity{owner, taker})
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -174,12 +174,12 @@
 	if !l.advance(offset) {
 		return
 	}
-	void := l.guards.isGone(t.By)
+	void := l.guards.isGone(t.NewOwner)
 	for _, i := range t.Slots {
 		if i < 0 || i >= len(l.slots) {
 			continue
 		}
-		if t.By == l.self {
+		if t.NewOwner == l.self {
 			delete(l.pending, i)
 		}
 		if void || l.slots[i].offset >= t.Folded {
@@ -201,12 +201,12 @@
 
 func (l *Lessor) take(now time.Time, offset int64, i int, t Takeover) {
 	prev := l.slots[i]
-	if prev.owner == t.By {
+	if prev.owner == t.NewOwner {
 		l.renew(now, offset, i, t)
 		return
 	}
-	s := slot{owner: t.By, addr: t.Addr, offset: offset, first: offset, read: now}
-	if t.By == l.self {
+	s := slot{owner: t.NewOwner, addr: t.Addr, offset: offset, first: offset, read: now}
+	if t.NewOwner == l.self {
 		l.begin(now, &s, prev, i)
 	}
 	l.dropStale(i, offset)
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -83,7 +83,7 @@
 		Workspace: l.workspace,
 		Service:   l.service,
 		Slots:     slots,
-		By:        l.self,
+		NewOwner:  l.self,
 		Addr:      l.addr,
 		Folded:    l.next,
 		At:        now,
--- a/internal/lease/promise.go
+++ b/internal/lease/promise.go
@@ -41,9 +41,9 @@
 	return l.joined == noOffset || l.slots[i].owner == from
 }
 
-// HeadSeen takes a guard's own word on the newest log head that it has proof
+// ObservePeerHead takes a guard's own word on the newest log head that it has proof
 // of. It shows which guards that one knows of.
-func (l *Lessor) HeadSeen(from Identity, head int64) {
+func (l *Lessor) ObservePeerHead(from Identity, head int64) {
 	if g, ok := l.guards.byID[from]; ok {
 		g.head = max(g.head, head)
 	}
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -15,8 +15,8 @@
 	Workspace string `json:"workspace"`
 	Service   string `json:"service"`
 	Slots     []int  `json:"slots"`
-	// By is the new owner.
-	By Identity `json:"by"`
+	// NewOwner is the new owner.
+	NewOwner Identity `json:"by"`
 	// Addr is the new owner's inner address.
 	Addr string `json:"addr"`
 	// Folded is the offset up to which the taker had folded the log. A slot
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -274,7 +274,7 @@
 		for offset := p.l.Next(); offset < int64(len(records)); offset++ {
 			w.fold(p, offset, records[offset])
 		}
-		p.l.Proof(t0, int64(len(records)))
+		p.l.ObserveHead(t0, int64(len(records)))
 	})
 }
 
@@ -289,7 +289,7 @@
 		p.l.Evicted(now, offset, r.ID)
 	case Takeover:
 		p.l.Apply(now, offset, r)
-		if s := p.l.slots[r.Slots[0]]; r.By == p.id && s.first == offset && s.effective.After(now) {
+		if s := p.l.slots[r.Slots[0]]; r.NewOwner == p.id && s.first == offset && s.effective.After(now) {
 			w.seen["crash takeovers"]++
 		}
 	}
@@ -358,7 +358,7 @@
 	for _, to := range w.procs {
 		w.later(func() {
 			if w.awake(to) {
-				to.l.HeadSeen(p.id, head)
+				to.l.ObservePeerHead(p.id, head)
 			}
 		})
 	}
--- a/internal/lease/status.go
+++ b/internal/lease/status.go
@@ -18,13 +18,13 @@
 	Unowned int `json:"unowned"`
 	// Pending is how many takeovers were appended and not read back.
 	Pending int `json:"pending"`
-	// ProofAge is the age of the last proof; ok on a good day while it stays
+	// HeadAge is the age of the last proof; ok on a good day while it stays
 	// below half of Validity.
-	ProofAge time.Duration `json:"proofAge"`
+	HeadAge time.Duration `json:"proofAge"`
 	// Promises is how many guards' promises count now, of Takers.
 	Promises int `json:"promises"`
-	// Takers is how many other guards could take slots over.
-	Takers int `json:"takers"`
+	// Contenders is how many other guards could take slots over.
+	Contenders int `json:"takers"`
 	// Eligible says whether self may take slots that have had an owner.
 	Eligible bool `json:"eligible"`
 	// Stopped says that self is no longer a member and starts nothing.
@@ -35,7 +35,7 @@
 func (l *Lessor) Status(now time.Time) Status {
 	st := Status{
 		Pending:  len(l.pending),
-		ProofAge: l.proofAge(now),
+		HeadAge:  l.proofAge(now),
 		Eligible: l.Eligible(now),
 		Stopped:  l.stopped,
 	}
@@ -43,7 +43,7 @@
 		l.countSlot(now, &l.slots[i], &st)
 	}
 	for _, g := range l.guards.takers(l.self) {
-		st.Takers++
+		st.Contenders++
 		p, ok := l.promises[g.addr]
 		if ok && standsFor(p.by, g.id) && now.Sub(p.t0) < l.cfg.Validity {
 			st.Promises++
--- a/internal/lease/unit_test.go
+++ b/internal/lease/unit_test.go
@@ -55,7 +55,7 @@
 	w := calm()
 	a := w.starter()
 	end := w.local(a).Add(simConfig().Validity)
-	a.l.Proof(w.local(a).Add(time.Millisecond), a.l.Next()+1)
+	a.l.ObserveHead(w.local(a).Add(time.Millisecond), a.l.Next()+1)
 	must.False(t, a.l.MayStart(end, 0, time.Time{}).OK)
 }
 
@@ -70,7 +70,7 @@
 	w.flush()
 	w.read(b)
 	w.flush()
-	b.l.HeadSeen(w.others(a)[1].id, b.l.Next())
+	b.l.ObservePeerHead(w.others(a)[1].id, b.l.Next())
 	must.False(t, b.l.Eligible(w.local(b)))
 	b.l.Evicted(w.local(b), b.l.Next(), a.id)
 	must.False(t, b.l.Eligible(w.local(b)))
@@ -94,7 +94,7 @@
 	wait := simConfig().takeoverWait()
 	made := w.local(b).Add(wait - time.Millisecond)
 	w.settle(wait)
-	b.l.Proof(w.local(b), b.l.Next())
+	b.l.ObserveHead(w.local(b), b.l.Next())
 	must.True(t, b.l.mayHaveRun(w.local(b), &b.l.slots[0], made.Add(simConfig().SkewBound)))
 	must.False(t, b.l.mayHaveRun(w.local(b), &b.l.slots[0], made.Add(simConfig().SkewBound+2*time.Millisecond)))
 }
@@ -122,7 +122,9 @@
 	a := w.starter()
 	b, l := w.others(a)[0], w.others(a)[1].l
 	now := epoch.Add(time.Hour)
-	by := func(id Identity, folded int64) Takeover { return Takeover{Slots: []int{0}, By: id, Folded: folded} }
+	by := func(id Identity, folded int64) Takeover {
+		return Takeover{Slots: []int{0}, NewOwner: id, Folded: folded}
+	}
 	stale := l.Next()
 	l.Apply(now, stale, by(a.id, stale)) // the owner writes its record again
 	l.Apply(now, l.Next(), by(b.id, stale))
@@ -156,8 +158,8 @@
 	l := NewLessor(simConfig(), Options{Self: Identity{Node: "a", Incarnation: 1}, Addr: "a"})
 	l.Truncated()
 	l.Joined(epoch, 7, l.self, "a", true)
-	l.Apply(epoch, 8, Takeover{Slots: []int{0}, By: l.self, Addr: "a", Folded: 8})
-	l.Proof(epoch, 9)
+	l.Apply(epoch, 8, Takeover{Slots: []int{0}, NewOwner: l.self, Addr: "a", Folded: 8})
+	l.ObserveHead(epoch, 9)
 	must.False(t, l.MayStart(epoch, 0, time.Time{}).OK)
 	must.False(t, l.slots[0].unknownBefore.IsZero())
 }
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -107,9 +107,9 @@
 	f.server.own.state.Truncated()
 }
 
-// Proof implements control.Follower.
-func (f follower) Proof(t0 time.Time, head int64) {
-	f.server.own.state.Proof(t0, head)
+// ObserveHead implements control.Follower.
+func (f follower) ObserveHead(t0 time.Time, head int64) {
+	f.server.own.state.ObserveHead(t0, head)
 }
 
 // with runs f on the plane, puts what came of it in force and wakes whoever
--- a/internal/server/ownership.go
+++ b/internal/server/ownership.go
@@ -169,7 +169,7 @@
 		return nil, err
 	}
 	if resp.Msg.GetProven() {
-		o.state.HeadSeen(control.IdentityOf(resp.Msg.GetFrom()), resp.Msg.GetProofHead())
+		o.state.ObservePeerHead(control.IdentityOf(resp.Msg.GetFrom()), resp.Msg.GetProofHead())
 	}
 	return resp.Msg, nil
 }
@@ -207,7 +207,7 @@
 	from := control.IdentityOf(req.Msg.GetOwner())
 	now := o.server.node.Now()
 	if req.Msg.GetProven() {
-		o.state.HeadSeen(from, req.Msg.GetProofHead())
+		o.state.ObservePeerHead(from, req.Msg.GetProofHead())
 	}
 	slots := slotInts(req.Msg.GetSlots())
 	granted := len(slots) > 0 && o.state.Promise(now, req.Msg.GetService().GetService(), from, slots)
--- a/internal/server/ownership_watch.go
+++ b/internal/server/ownership_watch.go
@@ -35,7 +35,7 @@
 
 func (o *ownership) note(now time.Time, kind timeline.Kind, st *lease.Status, lapsed int) {
 	detail := fmt.Sprintf("%d of %d slots without authority, proof %s old, promises %d of %d",
-		lapsed, st.Owned, st.ProofAge.Round(time.Millisecond), st.Promises, st.Takers)
+		lapsed, st.Owned, st.HeadAge.Round(time.Millisecond), st.Promises, st.Contenders)
 	o.server.node.Event(now, timeline.Event{Kind: kind, Service: o.state.Local(), Upstream: o.server.cfg.NodeID, Detail: detail})
 	o.server.logger.Warn().Str("event", string(kind)).Str("why", detail).Msg("authority over keys")
 }
@@ -44,7 +44,7 @@
 func (s *Server) refreshOwnership() {
 	st := s.own.state.Status(s.node.Now())
 	s.metrics.SetGauge(metrics.SlotsOwned, int64(st.Owned))
-	s.metrics.SetGauge(metrics.AuthorityAgeMillis, st.ProofAge.Milliseconds())
+	s.metrics.SetGauge(metrics.AuthorityAgeMillis, st.HeadAge.Milliseconds())
 }
 
 // countPromise counts the answer to a question for a promise.
--- a/internal/server/stats.go
+++ b/internal/server/stats.go
@@ -10,9 +10,9 @@
 	Exchanges, Probes, Gossips, Fetches uint64
 	// Reads and Appends count requests to the log, failed ones included.
 	Reads, Appends uint64
-	// ProofAge is the present age of the newest proof of the log's head; 0
+	// HeadAge is the present age of the newest proof of the log's head; 0
 	// before the first.
-	ProofAge time.Duration
+	HeadAge time.Duration
 }
 
 type controlCounters struct {
@@ -35,6 +35,6 @@
 		Fetches:   n.fetches.Load(),
 		Reads:     n.reads.Load(),
 		Appends:   uint64(s.appender.Stats().Appends),
-		ProofAge:  age,
+		HeadAge:   age,
 	}
 }
