--- a/internal/control/codec.go
+++ b/internal/control/codec.go
@@ -45,7 +45,7 @@
 		}
 		out = append(out, &innerpb.Liveness{
 			NodeId: target.NodeId, Incarnation: target.Incarnation, State: state,
-			AgeUs: max(0, f.Age.Microseconds()), Observer: f.Accuser.String(),
+			AgeUs: max(0, f.Age.Microseconds()), Observer: f.Observer.String(),
 		})
 	}
 	return out
@@ -56,10 +56,10 @@
 	for _, l := range list {
 		node, incarnation, _ := strings.Cut(l.GetObserver(), "#")
 		out = append(out, membership.Finding{
-			Target:  identityOf(l.GetNodeId(), l.GetIncarnation()),
-			Accuser: identityOf(node, incarnation),
-			Age:     age(l.GetAgeUs()),
-			Alive:   l.GetState() == innerpb.LivenessState_LIVENESS_STATE_ALIVE,
+			Target:   identityOf(l.GetNodeId(), l.GetIncarnation()),
+			Observer: identityOf(node, incarnation),
+			Age:      age(l.GetAgeUs()),
+			Alive:    l.GetState() == innerpb.LivenessState_LIVENESS_STATE_ALIVE,
 		})
 	}
 	return out
@@ -90,7 +90,7 @@
 // ownBeat is the heartbeat that a question carries: only a zone's reader tells
 // its own, since all others hear of it from above.
 func (p *Plane) ownBeat() *innerpb.Relay {
-	if !p.Leads() {
+	if !p.IsLeader() {
 		return nil
 	}
 	return p.elected()
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -188,7 +188,7 @@
 		return true
 	}
 	least := p.cfg.Exchange / 2
-	if p.Leads() {
+	if p.IsLeader() {
 		least = p.cfg.Exchange * 3 / 5
 	}
 	return held >= least && p.head.known && p.head.t0.After(last.proof)
@@ -303,7 +303,7 @@
 // Two readers that came up at the same time would never hear of each other
 // otherwise, since a reader has no parent to ask.
 func (p *Plane) ReaderTargets(now time.Time) []Peer {
-	if !p.Leads() || now.Sub(p.asked) < p.cfg.Exchange/2 {
+	if !p.IsLeader() || now.Sub(p.asked) < p.cfg.Exchange/2 {
 		return nil
 	}
 	var out []Peer
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -164,7 +164,7 @@
 }
 
 func (p *Plane) stale(now time.Time) bool {
-	return p.failing && p.Leads() || !p.head.known || now.Sub(p.head.t0) > p.cfg.Stale
+	return p.failing && p.IsLeader() || !p.head.known || now.Sub(p.head.t0) > p.cfg.Stale
 }
 
 // membersChanged brings up to date what rests on who is a member.
--- a/internal/control/plane.go
+++ b/internal/control/plane.go
@@ -210,8 +210,8 @@
 // Until then no claim may be decided: an earlier one may have been missed.
 func (p *Plane) Whole() bool { return p.caught && p.replica.Strict() >= p.replica.Next() }
 
-// Leads reports whether this node reads the log for its zone.
-func (p *Plane) Leads() bool {
+// IsLeader reports whether this node reads the log for its zone.
+func (p *Plane) IsLeader() bool {
 	l, ok := p.election.Leader()
 	return ok && l == p.self
 }
--- a/internal/control/tick.go
+++ b/internal/control/tick.go
@@ -182,7 +182,7 @@
 // reached the target.
 func (p *Plane) OnEvictChecked(now time.Time, id membership.Identity, alive bool) []Action {
 	delete(p.evicting, id)
-	if alive || !p.dead[id] || !p.Leads() || !p.Members().Live(id) {
+	if alive || !p.dead[id] || !p.IsLeader() || !p.Members().Live(id) {
 		return nil
 	}
 	return p.appendRecord(now, logstore.KindEvict, membership.Evict{ID: id, By: p.self})
@@ -211,7 +211,7 @@
 // alone, and two doing it are harmless.
 func (p *Plane) snapshotTurn(now time.Time) []Action {
 	rule := policy.DefaultSnapshotRule(p.cfg.Retention)
-	if !p.Leads() || !p.Whole() || p.Policy().Version() == 0 || !p.replica.SnapshotDue(&rule, now, p.head.oldest) {
+	if !p.IsLeader() || !p.Whole() || p.Policy().Version() == 0 || !p.replica.SnapshotDue(&rule, now, p.head.oldest) {
 		p.snapDue = time.Time{}
 		return nil
 	}
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -328,7 +328,7 @@
 
 func (w *planeWorld) leaders(zone string) (found []*planeNode) {
 	for _, n := range w.nodes {
-		if n.up && n.id.Zone == zone && n.plane.Leads() {
+		if n.up && n.id.Zone == zone && n.plane.IsLeader() {
 			found = append(found, n)
 		}
 	}
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -17,10 +17,10 @@
 	ProbeTimeout time.Duration
 	// Helpers is how many peers try a target that did not answer.
 	Helpers int
-	// Confirm is how many nodes must have found a target silent.
-	Confirm int
-	// AccusationAge is how long a finding counts.
-	AccusationAge time.Duration
+	// MinObservers is how many nodes must have found a target silent.
+	MinObservers int
+	// FindingMaxAge is how long a finding counts.
+	FindingMaxAge time.Duration
 	// EvictEvery is the least time between two evict records for one target.
 	EvictEvery time.Duration
 }
@@ -32,8 +32,8 @@
 		Interval:      time.Second,
 		ProbeTimeout:  400 * time.Millisecond,
 		Helpers:       2,
-		Confirm:       2,
-		AccusationAge: 15 * time.Second,
+		MinObservers:  2,
+		FindingMaxAge: 15 * time.Second,
 		EvictEvery:    10 * time.Second,
 	}
 }
@@ -49,10 +49,10 @@
 		return fmt.Errorf("membership: Targets = %d, must be at least 0", c.Targets)
 	case c.Helpers < 0:
 		return fmt.Errorf("membership: Helpers = %d, must be at least 0", c.Helpers)
-	case c.Confirm < 1:
-		return fmt.Errorf("membership: Confirm = %d, must be at least 1", c.Confirm)
-	case c.AccusationAge < 4*c.Interval:
-		return fmt.Errorf("membership: AccusationAge = %v, must be at least four times Interval = %v", c.AccusationAge, c.Interval)
+	case c.MinObservers < 1:
+		return fmt.Errorf("membership: Confirm = %d, must be at least 1", c.MinObservers)
+	case c.FindingMaxAge < 4*c.Interval:
+		return fmt.Errorf("membership: AccusationAge = %v, must be at least four times Interval = %v", c.FindingMaxAge, c.Interval)
 	case c.EvictEvery < c.Interval:
 		return fmt.Errorf("membership: EvictEvery = %v, must be at least Interval = %v", c.EvictEvery, c.Interval)
 	}
@@ -290,14 +290,14 @@
 	}
 	n := 0
 	for _, at := range s.accusers {
-		if now.Sub(at) < d.cfg.AccusationAge {
+		if now.Sub(at) < d.cfg.FindingMaxAge {
 			n++
 		}
 	}
 	switch {
 	case n == 0:
 		return Alive
-	case n >= min(d.cfg.Confirm, max(1, len(d.peers)-1)):
+	case n >= min(d.cfg.MinObservers, max(1, len(d.peers)-1)):
 		return Dead
 	default:
 		return Suspect
--- a/internal/membership/elector_test.go
+++ b/internal/membership/elector_test.go
@@ -217,7 +217,7 @@
 	must.False(t, due)
 	must.Len(t, 2, z.Live(epoch))
 	z.OnHeartbeat(epoch, Heartbeat{From: Identity{"b", 1}, Rank: 1})
-	must.False(t, z.Leads())
+	must.False(t, z.IsLeader())
 	z.Apply(epoch, []Entry{{2, Evict{ID: self.Identity}}})
 	due, again = z.NeedsJoin()
 	must.True(t, due && again)
--- a/internal/membership/findings.go
+++ b/internal/membership/findings.go
@@ -12,9 +12,9 @@
 // Finding is what one node knows first hand about a target. Age is the time
 // since, so that clocks need not agree.
 type Finding struct {
-	Target  Identity      `json:"t"`
-	Accuser Identity      `json:"a"`
-	Age     time.Duration `json:"g"`
+	Target   Identity      `json:"t"`
+	Observer Identity      `json:"a"`
+	Age      time.Duration `json:"g"`
 	// Alive says that there was an answer; else there was none.
 	Alive bool `json:"l,omitempty"`
 }
@@ -24,7 +24,7 @@
 func (d *Detector) Findings(now time.Time) []Finding {
 	var out []Finding
 	for _, id := range d.peers {
-		out = d.states[id].findings(now, id, d.self, d.cfg.AccusationAge, out)
+		out = d.states[id].findings(now, id, d.self, d.cfg.FindingMaxAge, out)
 	}
 	slices.SortStableFunc(out, func(a, b Finding) int { return int(a.Age - b.Age) })
 	return out[:min(len(out), maxFindings)]
@@ -35,10 +35,10 @@
 		return out
 	}
 	for _, who := range slices.SortedFunc(maps.Keys(s.accusers), Identity.Compare) {
-		out = append(out, Finding{Target: id, Accuser: who, Age: now.Sub(s.accusers[who])})
+		out = append(out, Finding{Target: id, Observer: who, Age: now.Sub(s.accusers[who])})
 	}
 	if !s.cleared.IsZero() && now.Sub(s.cleared) < maxAge {
-		out = append(out, Finding{Target: id, Accuser: self, Age: now.Sub(s.heard), Alive: true})
+		out = append(out, Finding{Target: id, Observer: self, Age: now.Sub(s.heard), Alive: true})
 	}
 	return out
 }
@@ -47,7 +47,7 @@
 func (d *Detector) OnGossip(now time.Time, findings []Finding) {
 	for _, f := range findings {
 		s, ok := d.states[f.Target]
-		if !ok || f.Age < 0 || f.Age >= d.cfg.AccusationAge {
+		if !ok || f.Age < 0 || f.Age >= d.cfg.FindingMaxAge {
 			continue
 		}
 		at := now.Add(-f.Age)
@@ -55,8 +55,8 @@
 			d.alive(at, f.Target)
 			continue
 		}
-		if at.After(s.heard) && at.After(s.accusers[f.Accuser]) && d.member(f.Accuser) {
-			s.accusers[f.Accuser] = at
+		if at.After(s.heard) && at.After(s.accusers[f.Observer]) && d.member(f.Observer) {
+			s.accusers[f.Observer] = at
 		}
 	}
 }
@@ -72,7 +72,7 @@
 			continue
 		}
 		maps.DeleteFunc(s.accusers, func(_ Identity, at time.Time) bool {
-			return now.Sub(at) >= d.cfg.AccusationAge
+			return now.Sub(at) >= d.cfg.FindingMaxAge
 		})
 	}
 }
--- a/internal/membership/zone.go
+++ b/internal/membership/zone.go
@@ -116,8 +116,8 @@
 // Leader is who reads the log for the zone; false right after a start.
 func (z *Zone) Leader() (Identity, bool) { return z.election.Leader() }
 
-// Leads reports whether self reads the log for the zone.
-func (z *Zone) Leads() bool {
+// IsLeader reports whether self reads the log for the zone.
+func (z *Zone) IsLeader() bool {
 	id, ok := z.election.Leader()
 	return ok && id == z.self.Identity
 }
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -191,7 +191,7 @@
 		var reads, leads bool
 		c.with(func(now time.Time, p *control.Plane) {
 			from, reads = p.ReadFrom(now)
-			leads = p.Leads()
+			leads = p.IsLeader()
 		})
 		if !reads {
 			wait.OrWoken(ctx, woken, idleWait)
--- a/internal/server/watch.go
+++ b/internal/server/watch.go
@@ -91,7 +91,7 @@
 	s.metrics.Inc(metrics.ControlExchanges, int64(now.Exchanges-seen.control.Exchanges))
 	seen.control = now
 	s.control.mu.Lock()
-	leads := s.control.plane.Leads()
+	leads := s.control.plane.IsLeader()
 	s.control.mu.Unlock()
 	s.metrics.SetGauge(metrics.IsRelay, asInt(leads))
 }
