--- a/cmd/galenactl/node_test.go
+++ b/cmd/galenactl/node_test.go
@@ -36,7 +36,7 @@
 		Name: "lookup", Host: "h", Prefix: "/a/", Timeout: time.Second, Objective: time.Second, MaxAttempts: 2,
 		Targets: []routes.WeightedService{{Service: service, Weight: 1}},
 	}}, Workspaces: []routes.Workspace{{Name: "north", Rate: 12, Burst: 30, Keys: []routes.Key{routes.KeyOf("secret")}}, {Name: "south"}}}))
-	m.Learn(fleet.Member{Node: "other", Incarnation: 1, Revision: 1, Zone: "z", Address: "127.0.0.1:2", Service: "letters", Slots: 3, State: fleet.Serving})
+	m.ApplyMember(fleet.Member{Node: "other", Incarnation: 1, Revision: 1, Zone: "z", Address: "127.0.0.1:2", Service: "letters", Slots: 3, State: fleet.Serving})
 	return m.MetricsAddress().String()
 }
 
--- a/internal/admission/tree.go
+++ b/internal/admission/tree.go
@@ -46,9 +46,9 @@
 	at        time.Time
 }
 
-// Learn takes the rank from which on services behind an upstream shed, as an
+// ObserveThreshold takes the rank from which on services behind an upstream shed, as an
 // answer of this route said; nothingShed where none do.
-func (g *TreeGate) Learn(now time.Time, shedsFrom uint32) {
+func (g *TreeGate) ObserveThreshold(now time.Time, shedsFrom uint32) {
 	if g.at.IsZero() || now.Sub(g.at) > treeAge {
 		g.threshold = nothingShed
 	}
--- a/internal/admission/tree_test.go
+++ b/internal/admission/tree_test.go
@@ -27,7 +27,7 @@
 			refused++
 			continue
 		}
-		g.Learn(now, mid)
+		g.ObserveThreshold(now, mid)
 		if i < 500 {
 			continue
 		}
@@ -45,7 +45,7 @@
 	var g TreeGate
 	now := time.Unix(1000, 0)
 	for range 100 {
-		g.Learn(now, mid)
+		g.ObserveThreshold(now, mid)
 	}
 	for _, hash := range []uint32{0, 1 << 31, 1<<32 - 1} {
 		must.Nil(t, g.Admit(now, callctx.LevelHigh, hash, time.Second, 0.5, 0.5))
@@ -59,12 +59,12 @@
 	var g TreeGate
 	now := time.Unix(1000, 0)
 	for range 100 {
-		g.Learn(now, mid)
+		g.ObserveThreshold(now, mid)
 	}
 	old := now.Add(treeAge + time.Millisecond)
 	must.EqOp(t, uint32(nothingShed), g.Threshold(old))
 	for range 100 {
-		g.Learn(now, nothingShed)
+		g.ObserveThreshold(now, nothingShed)
 	}
 	must.Nil(t, g.Admit(now, callctx.LevelNormal, 1<<31, time.Second, 0.5, 0.5))
 }
@@ -75,7 +75,7 @@
 	var g TreeGate
 	now := time.Unix(1000, 0)
 	for range 100 {
-		g.Learn(now, 0)
+		g.ObserveThreshold(now, 0)
 	}
 	first := g.Admit(now, callctx.LevelNormal, 0, time.Second, 0.5, 0)
 	last := g.Admit(now, callctx.LevelNormal, 0, time.Second, 0.5, 0.99)
--- a/internal/admission/treemodel_test.go
+++ b/internal/admission/treemodel_test.go
@@ -273,7 +273,7 @@
 	if completed && f.model.Now().After(t.deadline) {
 		completed = false
 	}
-	f.entries[t.entry][t.route].Learn(f.model.Now(), t.sheds)
+	f.entries[t.entry][t.route].ObserveThreshold(f.model.Now(), t.sheds)
 	if !f.counted() {
 		return
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -96,9 +96,9 @@
 // Guards against calls to an upstream that is gone, after its report came late.
 func TestLateReportOfADeadProcess(t *testing.T) {
 	var u LocalUpstream
-	must.EqOp(t, Started, u.Heard(report("old", 100, 5)))
-	must.EqOp(t, Started, u.Heard(report("new", 200, 1)))
-	must.EqOp(t, Outdated, u.Heard(report("old", 100, 6)))
+	must.EqOp(t, Started, u.Apply(report("old", 100, 5)))
+	must.EqOp(t, Started, u.Apply(report("new", 200, 1)))
+	must.EqOp(t, Outdated, u.Apply(report("old", 100, 6)))
 	must.EqOp(t, Outdated, u.Departed("old", 100))
 	got, serving := u.Current()
 	must.EqOp(t, "new", got.ID)
@@ -108,9 +108,9 @@
 // The same, where upstreams don't state their start.
 func TestLateReportWithoutBirth(t *testing.T) {
 	var u LocalUpstream
-	u.Heard(report("old", 0, 5))
-	must.EqOp(t, Started, u.Heard(report("new", 0, 1)))
-	must.EqOp(t, Outdated, u.Heard(report("old", 0, 6)))
+	u.Apply(report("old", 0, 5))
+	must.EqOp(t, Started, u.Apply(report("new", 0, 1)))
+	must.EqOp(t, Outdated, u.Apply(report("old", 0, 6)))
 	got, _ := u.Current()
 	must.EqOp(t, "new", got.ID)
 }
@@ -119,12 +119,12 @@
 // drain of its former life doesn't bind it.
 func TestSameIDStartsAgain(t *testing.T) {
 	var u LocalUpstream
-	u.Heard(report("u", 100, 50))
+	u.Apply(report("u", 100, 50))
 	leaving := report("u", 100, 51)
 	leaving.Leaving = true
-	must.EqOp(t, Left, u.Heard(leaving))
-	must.EqOp(t, Outdated, u.Heard(report("u", 100, 49)))
-	must.EqOp(t, Started, u.Heard(report("u", 200, 1)))
+	must.EqOp(t, Left, u.Apply(leaving))
+	must.EqOp(t, Outdated, u.Apply(report("u", 100, 49)))
+	must.EqOp(t, Started, u.Apply(report("u", 200, 1)))
 	must.EqOp(t, Outdated, u.Departed("u", 100))
 	_, serving := u.Current()
 	must.True(t, serving)
@@ -134,9 +134,9 @@
 // stays out: the acknowledgement of its leaving binds.
 func TestLeavingIsFinal(t *testing.T) {
 	var u LocalUpstream
-	u.Heard(report("u", 100, 1))
+	u.Apply(report("u", 100, 1))
 	must.EqOp(t, Left, u.Departed("u", 0))
-	must.EqOp(t, Unchanged, u.Heard(report("u", 100, 2)))
+	must.EqOp(t, Unchanged, u.Apply(report("u", 100, 2)))
 	_, serving := u.Current()
 	must.False(t, serving)
 }
--- a/internal/fleet/upstream.go
+++ b/internal/fleet/upstream.go
@@ -86,8 +86,8 @@
 	return true
 }
 
-// Heard takes a report.
-func (u *LocalUpstream) Heard(r Report) Change {
+// Apply takes a report.
+func (u *LocalUpstream) Apply(r Report) Change {
 	if u.adopted {
 		u.adopted = false
 		if r.ID == u.current.ID {
--- a/internal/fleet/upstream_test.go
+++ b/internal/fleet/upstream_test.go
@@ -26,8 +26,8 @@
 			must.False(t, u.Adopt(found))
 			r := report
 			x.change(&r)
-			must.EqOp(t, x.want, u.Heard(r))
-			must.EqOp(t, Outdated, u.Heard(r))
+			must.EqOp(t, x.want, u.Apply(r))
+			must.EqOp(t, Outdated, u.Apply(r))
 		})
 	}
 }
@@ -35,7 +35,7 @@
 // The upstream reports before the node has asked it: what it says goes first.
 func TestAdoptionComesTooLate(t *testing.T) {
 	var u LocalUpstream
-	must.EqOp(t, Started, u.Heard(Report{ID: "i-1", Slots: 8, Sequence: 1}))
+	must.EqOp(t, Started, u.Apply(Report{ID: "i-1", Slots: 8, Sequence: 1}))
 	must.False(t, u.Adopt(Report{ID: "i-0", Slots: 8}))
 	current, serving := u.Current()
 	must.EqOp(t, "i-1", current.ID)
--- a/internal/mesh/compare.go
+++ b/internal/mesh/compare.go
@@ -71,7 +71,7 @@
 	if err := json.Unmarshal(raw, &theirs); err != nil {
 		return errors.Wrap(err, "offsets of another node")
 	}
-	m.routes.Heard(of.Address, theirs.RoutesVersion)
+	m.routes.ObserveVersion(of.Address, theirs.RoutesVersion)
 	m.routes.follower.heard(theirs.Routes)
 	m.following.heard(theirs.Members)
 	return nil
--- a/internal/mesh/local.go
+++ b/internal/mesh/local.go
@@ -27,7 +27,7 @@
 		return
 	}
 	_, served := l.known.Current()
-	change := l.known.Heard(r)
+	change := l.known.Apply(r)
 	switch change {
 	case fleet.Started:
 		l.started(r, served)
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -86,9 +86,9 @@
 	m.changed(m.registry)
 }
 
-// Learn takes in a record that did not come from the store, unless a newer one is
+// ApplyMember takes in a record that did not come from the store, unless a newer one is
 // known.
-func (m *Mesh) Learn(record fleet.Member) { m.members.learn(record) }
+func (m *Mesh) ApplyMember(record fleet.Member) { m.members.learn(record) }
 
 // takeOver folds records that another node knows; unsound ones are left out.
 func (m *members) takeOver(records []fleet.Member, from string) {
--- a/internal/mesh/routekeeper.go
+++ b/internal/mesh/routekeeper.go
@@ -44,9 +44,9 @@
 // Version implements proxy.Versions.
 func (k *routeKeeper) Version() int64 { return k.version.Load() }
 
-// Heard implements proxy.Versions. A node that can't reach the store learns from
+// ObserveVersion implements proxy.Versions. A node that can't reach the store learns from
 // the calls of others that it is behind, and asks the one that is ahead.
-func (k *routeKeeper) Heard(addr string, version int64) {
+func (k *routeKeeper) ObserveVersion(addr string, version int64) {
 	if addr == "" || version <= k.version.Load() {
 		return
 	}
--- a/internal/mesh/spread.go
+++ b/internal/mesh/spread.go
@@ -198,6 +198,6 @@
 		http.Error(w, "records unreadable", http.StatusBadRequest)
 		return
 	}
-	m.routes.Heard(got.Address, got.RoutesVersion)
+	m.routes.ObserveVersion(got.Address, got.RoutesVersion)
 	m.spread.told(got.Items)
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -113,8 +113,8 @@
 	_ = s.registry.Register(b.String()+".limit", gometrics.NewFunctionalGauge(func() int64 { return limit }))
 }
 
-// TurnedAway counts what a full bound refused or pushed out.
-func (s *Set) TurnedAway(b Bound, n int64) { s.away[b].Inc(n) }
+// CountRejected counts what a full bound refused or pushed out.
+func (s *Set) CountRejected(b Bound, n int64) { s.away[b].Inc(n) }
 
 // UnwatchedBounds returns the bounds without WatchBound. A node's test keeps
 // it empty, so that no queue grows unseen.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -34,7 +34,7 @@
 	s.Observe(CallTime, 1500*time.Microsecond)
 	s.WatchBound(BoundQueue, 100, func() int64 { return 1 })
 	s.WatchBound(BoundQueue, 1024, func() int64 { return 7 })
-	s.TurnedAway(BoundQueue, 2)
+	s.CountRejected(BoundQueue, 2)
 	got := get(t, s, "/metrics")
 	must.Eq(t, 3, got["calls.received"]["count"])
 	must.Eq(t, 12, got["config.version"]["value"])
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -29,8 +29,8 @@
 	return uint64(n.cfg.Ring.Clock().Now(n.Now()))
 }
 
-// Heard takes in the clock that came with a call or an answer.
-func (n *Node) Heard(stamp uint64) {
+// ObserveClock takes in the clock that came with a call or an answer.
+func (n *Node) ObserveClock(stamp uint64) {
 	if stamp != 0 && n.cfg.Ring != nil {
 		n.cfg.Ring.Clock().Receive(timeline.HLC(stamp), n.Now())
 	}
@@ -44,9 +44,9 @@
 	n.Event(now, e)
 }
 
-// Turned records a request that ended before it was a call: its context, its
+// RecordRejected records a request that ended before it was a call: its context, its
 // workspace or its body was at fault, or this node could not take it.
-func (n *Node) Turned(workspace, service, requestID string, r *result.Refusal) {
+func (n *Node) RecordRejected(workspace, service, requestID string, r *result.Refusal) {
 	n.cfg.Metrics.Result(r.Code)
 	call := &Call{}
 	call.Ctx.Workspace, call.Ctx.Service, call.Ctx.RequestID = workspace, service, requestID
--- a/internal/node/observe_test.go
+++ b/internal/node/observe_test.go
@@ -44,7 +44,7 @@
 		n.guard.observer.started(at, e)
 		n.guard.observer.finished(at, e, whole)
 		n.Answered(call, whole, d)
-		n.Heard(n.Stamp(call))
+		n.ObserveClock(n.Stamp(call))
 	})
 	must.Eq(t, 0, allocs)
 	must.Eq(t, 0, n.Ring().Len())
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -21,8 +21,8 @@
 // Held is what a node holds at present.
 type Held struct {
 	Calls, Bytes int64
-	// TurnedAway counts requests refused for either bound.
-	TurnedAway int64
+	// Rejected counts requests refused for either bound.
+	Rejected int64
 }
 
 // gate counts calls and bytes against their limits. Calls of the local
@@ -72,5 +72,5 @@
 
 // Held returns what the node holds.
 func (p *Proxy) Held() Held {
-	return Held{Calls: p.gate.calls.Load(), Bytes: p.gate.bytes.Load(), TurnedAway: p.gate.turnedAway.Load()}
+	return Held{Calls: p.gate.calls.Load(), Bytes: p.gate.bytes.Load(), Rejected: p.gate.turnedAway.Load()}
 }
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -114,7 +114,7 @@
 	if h.GetCallId() != attempt.Ctx.CallID {
 		return node.Refused(attempt.Ctx.CallID, result.Refuse(result.AnswerMismatch, "answer is for call %.64q", h.GetCallId()))
 	}
-	s.peers.node.Heard(h.GetHlc())
+	s.peers.node.ObserveClock(h.GetHlc())
 	return decodeAnswer(h, got, s.to.Node)
 }
 
@@ -200,7 +200,7 @@
 }
 
 func (p *Proxy) decodeCall(h *innerpb.CallHeader, r *http.Request) *node.Call {
-	p.node.Heard(h.GetHlc())
+	p.node.ObserveClock(h.GetHlc())
 	return &node.Call{
 		Ctx:          *inner.ToContext(h, p.node.Now()),
 		Method:       r.Header.Get(headerMethod),
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -67,9 +67,9 @@
 type Versions interface {
 	// Version returns the version in force; 0 when there is none.
 	Version() int64
-	// Heard says that the node at an inner address has that version in force;
+	// ObserveVersion says that the node at an inner address has that version in force;
 	// the address is empty when it isn't known. It must not block.
-	Heard(addr string, version int64)
+	ObserveVersion(addr string, version int64)
 }
 
 // SetVersions sets who compares versions; call it before the first sending.
@@ -87,7 +87,7 @@
 		return
 	}
 	if version, err := strconv.ParseInt(text, 10, 64); err == nil {
-		p.versions.Heard(addr, version)
+		p.versions.ObserveVersion(addr, version)
 	}
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -163,7 +163,7 @@
 
 // turn refuses a request that did not become a call.
 func (p *Proxy) turn(w http.ResponseWriter, raw callctx.Raw, requestID string, refusal *result.Refusal) {
-	p.node.Turned(raw.Workspace, raw.Service, requestID, refusal)
+	p.node.RecordRejected(raw.Workspace, raw.Service, requestID, refusal)
 	refusal.Write(w, requestID)
 }
 
--- a/internal/proxy/routed.go
+++ b/internal/proxy/routed.go
@@ -200,13 +200,13 @@
 
 // turn refuses a request that did not become a call.
 func (s *routed) turn(w http.ResponseWriter, requestID string, refusal *result.Refusal) {
-	s.p.node.Turned("", "", requestID, refusal)
+	s.p.node.RecordRejected("", "", requestID, refusal)
 	s.edge.Refuse(w, refusal)
 }
 
 // turnCall refuses a call that was not begun.
 func (s *routed) turnCall(w http.ResponseWriter, call *node.Call, refusal *result.Refusal) {
-	s.p.node.Turned(call.Ctx.Workspace, call.Ctx.Service, call.Ctx.RequestID, refusal)
+	s.p.node.RecordRejected(call.Ctx.Workspace, call.Ctx.Service, call.Ctx.RequestID, refusal)
 	s.edge.Refuse(w, refusal)
 }
 
--- a/internal/proxy/treegate.go
+++ b/internal/proxy/treegate.go
@@ -110,7 +110,7 @@
 	}
 	behind.mu.Lock()
 	defer behind.mu.Unlock()
-	behind.state.Learn(now, a.ShedsFrom)
+	behind.state.ObserveThreshold(now, a.ShedsFrom)
 }
 
 // gatedWriter tells the gate of a route what its answers say.
--- a/internal/server/events_rpc.go
+++ b/internal/server/events_rpc.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInternal, err)
 	}
-	e.server.node.Heard(r.GetHlc())
+	e.server.node.ObserveClock(r.GetHlc())
 	resp := &innerpb.FetchEventsResponse{
 		Hlc:       uint64(ring.Clock().Now(e.server.node.Now())),
 		JsonLines: lines,
@@ -154,7 +154,7 @@
 			out[i].err = err
 			return
 		}
-		b.server.node.Heard(resp.Msg.GetHlc())
+		b.server.node.ObserveClock(resp.Msg.GetHlc())
 		out[i].forgotten = resp.Msg.GetForgotten()
 		out[i].events, out[i].err = timeline.ReadJSONLines(bytes.NewReader(resp.Msg.GetJsonLines()), maxFetched)
 	})
--- a/internal/server/observe_test.go
+++ b/internal/server/observe_test.go
@@ -167,7 +167,7 @@
 			codes <- h.Get(result.HeaderResult)
 		})
 	}
-	w.until("two refusals", func() bool { return a.proxy.Held().TurnedAway == 2 })
+	w.until("two refusals", func() bool { return a.proxy.Held().Rejected == 2 })
 	release()
 	wg.Wait()
 	var got []string
--- a/internal/server/watch.go
+++ b/internal/server/watch.go
@@ -74,14 +74,14 @@
 	s.metrics.Inc(metrics.LogAppends, now.Appends-seen.appender.Appends)
 	s.metrics.Inc(metrics.LogAppendFailures, now.Failures-seen.appender.Failures)
 	s.metrics.Inc(metrics.LogAppendsSettled, now.Uncertain-seen.appender.Uncertain)
-	s.metrics.TurnedAway(metrics.BoundAppends, now.Refused-seen.appender.Refused)
+	s.metrics.CountRejected(metrics.BoundAppends, now.Refused-seen.appender.Refused)
 	seen.appender = now
 	s.refreshControl(seen)
-	held := s.proxy.Held().TurnedAway
-	s.metrics.TurnedAway(metrics.BoundCallsInFlight, held-seen.held)
+	held := s.proxy.Held().Rejected
+	s.metrics.CountRejected(metrics.BoundCallsInFlight, held-seen.held)
 	seen.held = held
 	forgotten := int64(s.node.Ring().Forgotten())
-	s.metrics.TurnedAway(metrics.BoundTimeline, forgotten-seen.forgotten)
+	s.metrics.CountRejected(metrics.BoundTimeline, forgotten-seen.forgotten)
 	seen.forgotten = forgotten
 }
 
@@ -170,7 +170,7 @@
 			return conns.OnClose(c, func() { open.Add(-1) }), nil
 		}
 		open.Add(-1)
-		l.server.metrics.TurnedAway(metrics.BoundCallerConnections, 1)
+		l.server.metrics.CountRejected(metrics.BoundCallerConnections, 1)
 		_ = c.Close()
 	}
 }
