--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -115,7 +115,7 @@
 	// spent on its root already. Further calls of a tree may wait as well, or what deep
 	// services did for it is lost; its first call decides.
 	above := rank >= c.shedder.threshold
-	if above && !r.Continues && !(slotFree && r.Depth > 0) {
+	if above && !r.HasPriorWork && !(slotFree && r.Depth > 0) {
 		return c.refuse(&r, reasonThreshold), out
 	}
 	if slotFree {
--- a/internal/admission/treemodel_test.go
+++ b/internal/admission/treemodel_test.go
@@ -249,7 +249,7 @@
 			f.model.After(2*time.Millisecond, func() { f.step(t) })
 		})
 	}}
-	d, others := g.ctl.Offer(f.model.Now(), Request{ID: id, Level: t.level, CallerHash: t.hash, Deadline: deadline, RootAdmitted: t.began, Depth: depth, Continues: f.continues(t)})
+	d, others := g.ctl.Offer(f.model.Now(), Request{ID: id, Level: t.level, CallerHash: t.hash, Deadline: deadline, RootAdmitted: t.began, Depth: depth, HasPriorWork: f.continues(t)})
 	f.apply(g, others)
 	f.apply(g, []Decision{d})
 }
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -29,8 +29,8 @@
 	RootAdmitted time.Time
 	// Depth is 0 for a root call.
 	Depth int
-	// Continues says that other calls of its tree were served already.
-	Continues bool
+	// HasPriorWork says that other calls of its tree were served already.
+	HasPriorWork bool
 }
 
 // Verdict is what becomes of a call.
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -98,6 +98,6 @@
 		ctx.Deadline = running.Ctx.Deadline
 	}
 	call.IsRetry = running.IsRetry
-	call.Continues = n.guard.continues(parent)
+	call.HasPriorWork = n.guard.continues(parent)
 	return call, account, true
 }
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -26,9 +26,9 @@
 	// IsRetry says that an earlier attempt may have reached an upstream, or that
 	// the call was made by a run that was itself a repeat.
 	IsRetry bool
-	// Continues says that calls were served already that the same root, or the run that
+	// HasPriorWork says that calls were served already that the same root, or the run that
 	// makes this call, made before.
-	Continues bool
+	HasPriorWork bool
 	// Header holds only what goes on to the upstream.
 	Header   http.Header
 	Body     []byte
--- a/internal/node/continues_test.go
+++ b/internal/node/continues_test.go
@@ -40,17 +40,17 @@
 	root := &Call{Routed: true, Ctx: callctx.Context{RequestID: "q", CallID: "c", Workspace: "north", Service: "letters", Deadline: epoch.Add(time.Minute)}}
 	n := running(t, root)
 	first := child(t, n, "c")
-	must.False(t, first.Continues)
+	must.False(t, first.HasPriorWork)
 	n.ChildEnded(epoch, first, &Response{Code: result.Shed, Refusal: result.Refuse(result.Shed, "full"), ShedsFrom: routing.NoThreshold})
 	second := child(t, n, "c")
-	must.False(t, second.Continues)
+	must.False(t, second.HasPriorWork)
 	n.ChildEnded(epoch, second, &Response{Code: result.OK, ShedsFrom: routing.NoThreshold})
-	must.True(t, child(t, n, "c").Continues)
+	must.True(t, child(t, n, "c").HasPriorWork)
 	must.EqOp(t, "north", second.Ctx.Workspace)
 }
 
 // Guards against a tree that is taken for a new one on its way down.
 func TestCallsOfACallThatContinuesContinue(t *testing.T) {
-	n := running(t, &Call{Routed: true, Continues: true, Ctx: callctx.Context{RequestID: "q.1", CallID: "c", Workspace: "north", Service: "consent", Depth: 1, Deadline: epoch.Add(time.Minute)}})
-	must.True(t, child(t, n, "c").Continues)
+	n := running(t, &Call{Routed: true, HasPriorWork: true, Ctx: callctx.Context{RequestID: "q.1", CallID: "c", Workspace: "north", Service: "consent", Depth: 1, Deadline: epoch.Add(time.Minute)}})
+	must.True(t, child(t, n, "c").HasPriorWork)
 }
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -144,7 +144,7 @@
 
 // rank is what upstreams shed the call by. Further calls of a tree are not shed.
 func (d *Dispatch) rank() uint32 {
-	if d.call.Continues {
+	if d.call.HasPriorWork {
 		return 0
 	}
 	return admission.Rank(d.call.Ctx.Level, d.call.Ctx.CallerHash)
@@ -152,11 +152,11 @@
 
 func (d *Dispatch) pick(now time.Time) (*routing.Target, *result.Refusal) {
 	info := routing.PickInfo{
-		Service: d.call.Ctx.Service,
-		Rank:    d.rank(),
-		Avoid:   d.tried,
-		Deep:    d.call.Ctx.Depth > 0,
-		Node:    d.next,
+		Service:      d.call.Ctx.Service,
+		Rank:         d.rank(),
+		Avoid:        d.tried,
+		HasPriorWork: d.call.Ctx.Depth > 0,
+		Node:         d.next,
 	}
 	d.marks = d.router.CrashRecords(now, d.call)
 	switch {
--- a/internal/node/guard_arrive.go
+++ b/internal/node/guard_arrive.go
@@ -163,6 +163,6 @@
 		Deadline:     call.Ctx.Deadline,
 		RootAdmitted: call.Ctx.RootAdmitted,
 		Depth:        call.Ctx.Depth,
-		Continues:    call.Continues,
+		HasPriorWork: call.HasPriorWork,
 	}
 }
--- a/internal/node/guard_upstream.go
+++ b/internal/node/guard_upstream.go
@@ -224,7 +224,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e, ok := g.calls[callID]
-	return ok && (e.served || e.call.Continues)
+	return ok && (e.served || e.call.HasPriorWork)
 }
 
 func (g *Guard) parent(callID string) (*Call, *retry.Account, bool) {
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -55,7 +55,7 @@
 	if attempt.IsRetry {
 		header.Set(headerRepeat, "1")
 	}
-	if attempt.Continues {
+	if attempt.HasPriorWork {
 		header.Set(headerContinues, "1")
 	}
 	if version := s.peers.configVersion(); version > 0 {
@@ -208,7 +208,7 @@
 		Host:         r.Header.Get(headerHost),
 		Routed:       r.Header.Get(headerHost) != "",
 		IsRetry:      r.Header.Get(headerRepeat) != "",
-		Continues:    r.Header.Get(headerContinues) != "",
+		HasPriorWork: r.Header.Get(headerContinues) != "",
 		Header:       callctx.Forwardable(r.Header),
 		BodyHash:     h.GetBodyHash(),
 		Allowance:    int(h.GetAllowance()),
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -73,9 +73,9 @@
 	// SuspectedCrasher sends the call where the fewest others would be lost
 	// if it brought the upstream down.
 	SuspectedCrasher bool
-	// Deep says that work was spent on the call's root already. A guard gives
+	// HasPriorWork says that work was spent on the call's root already. A guard gives
 	// such a call an idle slot whatever its threshold.
-	Deep bool
+	HasPriorWork bool
 }
 
 // Outcome says how an attempt at a target ended.
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -71,7 +71,7 @@
 		svc:        v.svc,
 		rng:        rng,
 		rank:       info.Rank,
-		deep:       info.Deep,
+		deep:       info.HasPriorWork,
 		avoid:      info.Avoid,
 		validUntil: math.MaxInt64,
 	}
