--- a/internal/h1/conn.go
+++ b/internal/h1/conn.go
@@ -172,7 +172,7 @@
 		if err != nil {
 			return nil, false, err
 		}
-		if r.Mine == nil || r.Mine(answer.Header) {
+		if r.Matches == nil || r.Matches(answer.Header) {
 			return answer, reusable && c.reader.Buffered() == 0, nil
 		}
 		if !reusable {
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -18,8 +18,8 @@
 	// Idle is how long an unused connection is kept; a shorter time that the
 	// server states in Keep-Alive goes first. 0 keeps none.
 	Idle time.Duration
-	// Kept bounds the idle connections.
-	Kept int
+	// MaxIdleConns bounds the idle connections.
+	MaxIdleConns int
 	// RoundRobin uses the connection next that was idle for longest, so that all stay in
 	// use. Otherwise the one used last goes first, and what a low load doesn't need is
 	// closed after Idle.
@@ -62,9 +62,9 @@
 	Body                 []byte
 	// MaxBody bounds the answer's body in bytes; 0 leaves it to the pool.
 	MaxBody int64
-	// Mine reports whether an answer belongs to this request; nil takes every
+	// Matches reports whether an answer belongs to this request; nil takes every
 	// one. Answers that don't belong are skipped, at most maxSkipped.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 }
 
 // Do sends a request and reads its whole answer. When ctx ends first the
@@ -131,12 +131,12 @@
 	return newConn(raw, generation), nil
 }
 
-// SetKept bounds the idle connections from now on; those above it are closed as
+// SetMaxIdleConns bounds the idle connections from now on; those above it are closed as
 // others are kept.
-func (p *Pool) SetKept(kept int) {
+func (p *Pool) SetMaxIdleConns(kept int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cfg.Kept = kept
+	p.cfg.MaxIdleConns = kept
 }
 
 // put keeps a connection, and closes those that were idle for too long: the
@@ -146,11 +146,11 @@
 	c.expires = now.Add(min(p.cfg.Idle, c.stated))
 	p.mu.Lock()
 	var stale []*conn
-	for len(p.idle) > 0 && (len(p.idle) > p.cfg.Kept || !now.Before(p.idle[0].expires)) {
+	for len(p.idle) > 0 && (len(p.idle) > p.cfg.MaxIdleConns || !now.Before(p.idle[0].expires)) {
 		stale = append(stale, p.idle[0])
 		p.idle = p.idle[1:]
 	}
-	keep := !p.closed && c.generation == p.generation && len(p.idle) < p.cfg.Kept && p.cfg.Idle > 0
+	keep := !p.closed && c.generation == p.generation && len(p.idle) < p.cfg.MaxIdleConns && p.cfg.Idle > 0
 	if keep {
 		p.idle = append(p.idle, c)
 	}
--- a/internal/h1/pool_test.go
+++ b/internal/h1/pool_test.go
@@ -49,7 +49,7 @@
 }
 
 func pool(t *testing.T, addr string) *Pool {
-	p := NewPool(addr, Config{Dial: (&net.Dialer{Timeout: time.Second}).DialContext, Idle: time.Minute, Kept: 4, MaxBody: 1 << 20})
+	p := NewPool(addr, Config{Dial: (&net.Dialer{Timeout: time.Second}).DialContext, Idle: time.Minute, MaxIdleConns: 4, MaxBody: 1 << 20})
 	t.Cleanup(p.Close)
 	return p
 }
@@ -57,7 +57,7 @@
 func request(id string) *Request {
 	return &Request{
 		Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"Id": {id}},
-		Mine: func(h http.Header) bool { return h.Get("Id") == id },
+		Matches: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
@@ -71,7 +71,7 @@
 			dialled++
 			return (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, addr)
 		}
-		p := NewPool(addr, Config{Dial: dial, Idle: idle, Kept: most, MaxBody: 1 << 20, RoundRobin: roundRobin})
+		p := NewPool(addr, Config{Dial: dial, Idle: idle, MaxIdleConns: most, MaxBody: 1 << 20, RoundRobin: roundRobin})
 		t.Cleanup(p.Close)
 		peak := func() {
 			var conns []*conn
@@ -139,7 +139,7 @@
 		}()
 	}
 	all.Wait()
-	p.SetKept(1)
+	p.SetMaxIdleConns(1)
 	for range 3 {
 		_, err := p.Do(context.Background(), request("x"))
 		must.NoError(t, err)
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -110,11 +110,11 @@
 	}
 	m.peers = proxy.NewPeers(nil)
 	m.peers.SetConnections(proxy.Connections{
-		Connect:  peerConnect,
-		Idle:     peerIdle,
-		Kept:     peerKept,
-		Silence:  peerSilence,
-		Reattach: proxy.WaitBounds{Min: peerReattachMin, Max: peerReattachMax},
+		Connect:      peerConnect,
+		Idle:         peerIdle,
+		MaxIdleConns: peerKept,
+		Silence:      peerSilence,
+		Reattach:     proxy.WaitBounds{Min: peerReattachMin, Max: peerReattachMax},
 	})
 	m.spread = m.newSpreader()
 	m.suspects = newSuspects(m.platform.Members(), m.cfg.NodeID, m.bounded, m.logger, m.spread.tell)
@@ -177,7 +177,7 @@
 		addrs[e.Addr] = true
 	}
 	m.peers.Retain(addrs)
-	m.peers.SetKept(keptFor(m.Settings().Resources.Descriptors, len(endpoints)))
+	m.peers.SetMaxIdleConns(keptFor(m.Settings().Resources.Descriptors, len(endpoints)))
 	m.node.Guard().SetRetryBudget(m.repeatBudget(endpoints))
 	m.quotas.setEndpoints(endpoints)
 }
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -47,7 +47,7 @@
 		call.Ctx.RequestID = id
 	}
 	n.cfg.Metrics.Inc(metrics.CallsReceived, 1)
-	call.Kept = n.Sampled(call.Ctx.RequestID)
+	call.Sampled = n.Sampled(call.Ctx.RequestID)
 	return call, retry.NewAccount(r.Retries)
 }
 
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -39,9 +39,9 @@
 	CrashRecords []quarantine.CrashRecord
 	// Reattach says that an earlier sending of the same call ID got no answer.
 	Reattach bool
-	// Kept says that the call's events are kept, by sample or because it was
+	// Sampled says that the call's events are kept, by sample or because it was
 	// refused or retried on the way.
-	Kept bool
+	Sampled bool
 }
 
 // HashBody returns the hash by which two bodies under one key are compared.
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -45,7 +45,7 @@
 		n.cfg.OnRefused(call, a.Refusal)
 	}
 	attempts := d.attempts
-	if a.Whole() && a.Code != result.UpstreamFailed && attempts == 1 && !call.Kept {
+	if a.Whole() && a.Code != result.UpstreamFailed && attempts == 1 && !call.Sampled {
 		return
 	}
 	kind := timeline.CallAnswered
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -259,7 +259,7 @@
 		return nil, 0, refusal
 	}
 	n.cfg.Metrics.Inc(metrics.CallsReceived, 1)
-	call.Kept = n.Sampled(id)
+	call.Sampled = n.Sampled(id)
 	return call, eff.RetryAllowance, nil
 }
 
@@ -279,7 +279,7 @@
 		return nil, nil, result.Refuse(result.TooDeep, "depth %d, bound %d", parent.Depth+1, eff.MaxDepth)
 	}
 	n.cfg.Metrics.Inc(metrics.CallsFromUpstream, 1)
-	call := &Call{Ctx: parent, Kept: running.Kept}
+	call := &Call{Ctx: parent, Sampled: running.Sampled}
 	call.Ctx.CallID = n.NewID()
 	call.Ctx.ParentID = parent.CallID
 	call.Ctx.Service = raw.Service
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -23,7 +23,7 @@
 // Stamp returns the clock that travels with a call whose events are kept, and
 // 0 for any other.
 func (n *Node) Stamp(call *Call) uint64 {
-	if !call.Kept || n.cfg.Ring == nil {
+	if !call.Sampled || n.cfg.Ring == nil {
 		return 0
 	}
 	return uint64(n.cfg.Ring.Clock().Now(n.Now()))
@@ -58,7 +58,7 @@
 
 // began records a call that a Dispatch took up.
 func (n *Node) began(now time.Time, call *Call, allowance int) {
-	if !call.Kept {
+	if !call.Sampled {
 		return
 	}
 	c := &call.Ctx
@@ -68,7 +68,7 @@
 
 // routed records the choice of an upstream.
 func (n *Node) routed(now time.Time, d *Dispatch, attempt *Call) {
-	if !attempt.Kept {
+	if !attempt.Sampled {
 		return
 	}
 	s := d.target.Stats()
@@ -80,7 +80,7 @@
 // here on the call is kept, on every hop.
 func (n *Node) retried(now time.Time, d *Dispatch, a *Response, wait time.Duration) {
 	n.cfg.Metrics.Inc(metrics.CallsRetried, 1)
-	d.call.Kept = true
+	d.call.Sampled = true
 	e := callEvent(timeline.CallRetried, d.call)
 	e.Code, e.Upstream = a.Code, d.target.Endpoint().Node
 	e.Detail = fmt.Sprintf("retry %d after %s, attempt was call %s: %s", d.retries, wait.Round(time.Millisecond), a.CallID, a.Refusal.Detail)
@@ -112,7 +112,7 @@
 	limitAt time.Time
 }
 
-func (o *observer) kept(call *Call) bool { return o != nil && call.Kept }
+func (o *observer) kept(call *Call) bool { return o != nil && call.Sampled }
 
 func (o *observer) inc(c metrics.Counter) {
 	if o != nil {
--- a/internal/node/observe_test.go
+++ b/internal/node/observe_test.go
@@ -48,7 +48,7 @@
 	})
 	must.Eq(t, 0, allocs)
 	must.Eq(t, 0, n.Ring().Len())
-	call.Kept = true
+	call.Sampled = true
 	n.began(at, call, 1)
 	must.Eq(t, 1, n.Ring().Len())
 }
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -15,8 +15,8 @@
 	// Prepare sets the headers of a request right before it is sent; remaining
 	// is the time left to its deadline.
 	Prepare(h http.Header, call *node.Call, remaining time.Duration)
-	// Mine reports whether an answer with these headers belongs to the call.
-	Mine(h http.Header, call *node.Call) bool
+	// Matches reports whether an answer with these headers belongs to the call.
+	Matches(h http.Header, call *node.Call) bool
 	// NotRun returns a refusal when the answer promises that the upstream did
 	// not run the call; nil otherwise.
 	NotRun(status int, h http.Header) *result.Refusal
@@ -37,8 +37,8 @@
 	h.Set(callctx.HeaderTimeout, remaining.String())
 }
 
-// Mine implements Dialect.
-func (ownDialect) Mine(h http.Header, call *node.Call) bool {
+// Matches implements Dialect.
+func (ownDialect) Matches(h http.Header, call *node.Call) bool {
 	got := h.Get(callctx.HeaderContext)
 	return got == "" || got == call.Ctx.CallID
 }
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -214,7 +214,7 @@
 		Allowance:    int(h.GetAllowance()),
 		CrashRecords: inner.Suspects(p.node.Now(), h.GetMarks()),
 		Reattach:     h.GetReattach(),
-		Kept:         h.GetHlc() != 0 || p.node.Sampled(h.GetRequestId()),
+		Sampled:      h.GetHlc() != 0 || p.node.Sampled(h.GetRequestId()),
 	}
 }
 
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -28,10 +28,10 @@
 	// Idle bounds how long one is kept without use: something between the two
 	// ends may have forgotten it, and nothing on it would ever say so.
 	Idle time.Duration
-	// Kept bounds the idle ones to one node. Those that carry calls have no
+	// MaxIdleConns bounds the idle ones to one node. Those that carry calls have no
 	// bound of their own: a call that waited for one would look like a slow
 	// peer.
-	Kept int
+	MaxIdleConns int
 	// Silence is how long the path of a connection may be silent before the
 	// connection fails; 0 leaves that to the re-attachment.
 	Silence time.Duration
@@ -42,7 +42,7 @@
 
 // DefaultConnections are those of the settings' defaults.
 func DefaultConnections() Connections {
-	return Connections{Connect: 250 * time.Millisecond, Idle: 5 * time.Second, Kept: 256}
+	return Connections{Connect: 250 * time.Millisecond, Idle: 5 * time.Second, MaxIdleConns: 256}
 }
 
 // Peers carries attempts to the guards of other nodes. Safe for concurrent use.
@@ -116,13 +116,13 @@
 	}
 }
 
-// SetKept bounds the idle connections to each node from now on.
-func (p *Peers) SetKept(kept int) {
+// SetMaxIdleConns bounds the idle connections to each node from now on.
+func (p *Peers) SetMaxIdleConns(kept int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.connections.Kept = kept
+	p.connections.MaxIdleConns = kept
 	for _, to := range p.peers {
-		to.pool.SetKept(kept)
+		to.pool.SetMaxIdleConns(kept)
 	}
 }
 
@@ -330,14 +330,14 @@
 	if p.dialTLS != nil {
 		dial = p.dialTLS
 	}
-	return h1.NewPool(addr, h1.Config{Dial: h1.DialFunc(dial), Idle: idle, Kept: p.connections.Kept, MaxBody: maxAnswerBody})
+	return h1.NewPool(addr, h1.Config{Dial: h1.DialFunc(dial), Idle: idle, MaxIdleConns: p.connections.MaxIdleConns, MaxBody: maxAnswerBody})
 }
 
 func (p *Peers) newTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         p.dial,
 		DialTLSContext:      p.dialTLS,
-		MaxIdleConnsPerHost: p.connections.Kept,
+		MaxIdleConnsPerHost: p.connections.MaxIdleConns,
 		IdleConnTimeout:     p.connections.Idle,
 		DisableCompression:  true,
 	}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -78,11 +78,11 @@
 // upstream has slots, and one that is opened anew after a lower load may hold a slot.
 func newUpstreamPool(addr string) *h1.Pool {
 	return h1.NewPool(addr, h1.Config{
-		Dial:       conns.DetectSilence(&net.Dialer{Timeout: upstreamConnect}, upstreamSilence).DialContext,
-		Idle:       upstreamIdle,
-		Kept:       upstreamKept,
-		MaxBody:    maxAnswerBody,
-		RoundRobin: true,
+		Dial:         conns.DetectSilence(&net.Dialer{Timeout: upstreamConnect}, upstreamSilence).DialContext,
+		Idle:         upstreamIdle,
+		MaxIdleConns: upstreamKept,
+		MaxBody:      maxAnswerBody,
+		RoundRobin:   true,
 	})
 }
 
@@ -249,7 +249,7 @@
 		Header:  header,
 		Body:    call.Body,
 		MaxBody: u.maxAnswer(call),
-		Mine:    func(h http.Header) bool { return u.dialect.Mine(h, call) },
+		Matches: func(h http.Header) bool { return u.dialect.Matches(h, call) },
 	})
 	if err != nil {
 		return u.failed(ctx, call, err)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -185,9 +185,9 @@
 func (s *Server) build(opts Options) {
 	s.peers = proxy.NewPeers(opts.Dial)
 	s.peers.SetConnections(proxy.Connections{
-		Connect: s.cfg.Timing.Connect.Std(),
-		Idle:    s.cfg.Timing.IdleConnection.Std(),
-		Kept:    s.cfg.Limits.PeerConnections,
+		Connect:      s.cfg.Timing.Connect.Std(),
+		Idle:         s.cfg.Timing.IdleConnection.Std(),
+		MaxIdleConns: s.cfg.Limits.PeerConnections,
 	})
 	s.securePeers()
 	s.control = newControl(s, newControlClients(s.peers))
