--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -273,8 +273,8 @@
 	return c.dispatch(now, out)
 }
 
-// Usual returns how long a call usually takes: the median of late; 0 while unknown.
-func (c *Controller) Usual() time.Duration { return c.estimate.median }
+// MedianLatency returns how long a call usually takes: the median of late; 0 while unknown.
+func (c *Controller) MedianLatency() time.Duration { return c.estimate.median }
 
 // Load returns the present reading.
 func (c *Controller) Load() Load {
--- a/internal/node/guard_arrive.go
+++ b/internal/node/guard_arrive.go
@@ -73,8 +73,8 @@
 	if g.draining {
 		return result.Refuse(result.Draining, "the upstream is leaving")
 	}
-	if !g.endsBy.IsZero() && now.Add(usualTimes*g.admission.Usual()).After(g.endsBy) {
-		return result.Refuse(result.Draining, "the node ends in %v, calls usually take %v", g.endsBy.Sub(now), g.admission.Usual())
+	if !g.endsBy.IsZero() && now.Add(usualTimes*g.admission.MedianLatency()).After(g.endsBy) {
+		return result.Refuse(result.Draining, "the node ends in %v, calls usually take %v", g.endsBy.Sub(now), g.admission.MedianLatency())
 	}
 	if !g.upstreamUp {
 		return result.Refuse(result.NoUpstream, "no upstream is announced to this node")
