--- a/internal/bench/operators.go
+++ b/internal/bench/operators.go
@@ -88,7 +88,7 @@
 }
 
 func (o *operators) publish(ctx context.Context, id, author, service string, base policy.Version) told {
-	p := policy.Publication{ID: id, Author: author, Based: base, Instance: &policy.Instance{
+	p := policy.Publication{ID: id, Author: author, BaseVersion: base, Instance: &policy.Instance{
 		Workspace: o.world.deployment.Name, Service: service, Template: "balanced", Revision: 1,
 		Values: map[string]string{"keep_answers": fmt.Sprintf("%ds", keepAnswersBase+o.value.Add(1))},
 	}}
--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -53,7 +53,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
-		p := &Publication{ID: fmt.Sprint("b", n), Author: "ito", Based: s.InstanceVersion(inst.Workspace, inst.Service), Instance: &inst}
+		p := &Publication{ID: fmt.Sprint("b", n), Author: "ito", BaseVersion: s.InstanceVersion(inst.Workspace, inst.Service), Instance: &inst}
 		s = s.Apply(logstore.Entry{Offset: int64(s.Version()), Record: record(p)})
 		if d, _ := s.Decision(p.ID); d.Outcome != Accepted {
 			b.Fatal(d)
--- a/internal/policy/decide.go
+++ b/internal/policy/decide.go
@@ -70,8 +70,8 @@
 	if p.Author == "" || len(p.Author) > MaxNameBytes {
 		return s.rejected(d, FieldErrors{{"publication.author", clip(p.Author), "1..64 bytes"}})
 	}
-	if p.Based < 0 || p.Based >= version {
-		return s.rejected(d, FieldErrors{{"publication.based", strconv.FormatInt(int64(p.Based), 10), "a version below " + strconv.FormatInt(int64(version), 10)}})
+	if p.BaseVersion < 0 || p.BaseVersion >= version {
+		return s.rejected(d, FieldErrors{{"publication.based", strconv.FormatInt(int64(p.BaseVersion), 10), "a version below " + strconv.FormatInt(int64(version), 10)}})
 	}
 	if p.Template != nil {
 		return s.decideTemplate(p, d)
@@ -81,15 +81,15 @@
 
 func (s *State) decideTemplate(p *Publication, d Decision) outcome {
 	old := s.templates[p.Template.Name]
-	if old != nil && old.last.Version != p.Based {
+	if old != nil && old.last.Version != p.BaseVersion {
 		return s.lost(d, old.last)
 	}
 	errs := p.Template.check()
 	want := 1
 	if old != nil {
 		want = old.revisions[len(old.revisions)-1].Revision + 1
-	} else if p.Based != 0 {
-		errs.add("publication.based", strconv.FormatInt(int64(p.Based), 10), "0: there is no such template")
+	} else if p.BaseVersion != 0 {
+		errs.add("publication.based", strconv.FormatInt(int64(p.BaseVersion), 10), "0: there is no such template")
 	}
 	if p.Template.Revision != want {
 		errs.add("template.revision", strconv.Itoa(p.Template.Revision), strconv.Itoa(want))
@@ -158,12 +158,12 @@
 	inst := p.Instance
 	k := key{inst.Workspace, inst.Service}
 	old := s.instances[k]
-	if old != nil && old.last.Version != p.Based {
+	if old != nil && old.last.Version != p.BaseVersion {
 		return s.lost(d, old.last)
 	}
 	var errs FieldErrors
-	if old == nil && p.Based != 0 {
-		errs.add("publication.based", strconv.FormatInt(int64(p.Based), 10), "0: there is no such instance")
+	if old == nil && p.BaseVersion != 0 {
+		errs.add("publication.based", strconv.FormatInt(int64(p.BaseVersion), 10), "0: there is no such instance")
 	}
 	if inst.Withdrawn {
 		return s.decideWithdrawal(inst, old, d)
@@ -233,7 +233,7 @@
 
 func (s *State) lost(d Decision, to change) outcome {
 	d.Outcome = Lost
-	d.Lost = &LostTo{ID: to.ID, Author: to.Author, Version: to.Version, What: to.What}
+	d.Lost = &ConflictingPublication{ID: to.ID, Author: to.Author, Version: to.Version, What: to.What}
 	return outcome{decision: d, bytes: s.bytes}
 }
 
--- a/internal/policy/decision.go
+++ b/internal/policy/decision.go
@@ -18,8 +18,8 @@
 	Rejected Outcome = "rejected"
 )
 
-// LostTo is the accepted publication that stands in the way.
-type LostTo struct {
+// ConflictingPublication is the accepted publication that stands in the way.
+type ConflictingPublication struct {
 	ID      string  `json:"id"`
 	Author  string  `json:"author"`
 	Version Version `json:"version"`
@@ -35,9 +35,9 @@
 	Object  string  `json:"object,omitempty"`
 	Outcome Outcome `json:"outcome"`
 	// Version is that of the deciding record: of the object when Accepted.
-	Version Version     `json:"version"`
-	Lost    *LostTo     `json:"lost_to,omitempty"`
-	Errors  FieldErrors `json:"errors,omitempty"`
+	Version Version                 `json:"version"`
+	Lost    *ConflictingPublication `json:"lost_to,omitempty"`
+	Errors  FieldErrors             `json:"errors,omitempty"`
 }
 
 // Err returns nil for an accepted publication and else a *DecisionError.
--- a/internal/policy/fuzz_test.go
+++ b/internal/policy/fuzz_test.go
@@ -14,7 +14,7 @@
 // being read.
 func FuzzPublication(f *testing.F) {
 	for _, p := range []*Publication{
-		{ID: "x", Author: "ito", Based: 1, Template: testTemplate("strict", 2, 7)},
+		{ID: "x", Author: "ito", BaseVersion: 1, Template: testTemplate("strict", 2, 7)},
 		{ID: "x", Author: "ito", Instance: testInstance("letters", "strict", 1, "2")},
 		{ID: "x", Author: "ito", Instance: testInstance("letters", "strict", 1, "9")},
 	} {
--- a/internal/policy/history_test.go
+++ b/internal/policy/history_test.go
@@ -116,21 +116,21 @@
 			revision = current.Revision + rapid.IntRange(0, 1).Draw(t, "step")
 		}
 		p.Template = testTemplate(name, revision, h.serial)
-		p.Based = seen.TemplateVersion(name)
+		p.BaseVersion = seen.TemplateVersion(name)
 		return p
 	}
 	service := rapid.SampledFrom([]string{"letters", "tracker"}).Draw(t, "service")
 	revision := 1
 	if rapid.IntRange(0, 6).Draw(t, "withdraw") == 0 {
 		p.Instance = &Instance{Workspace: "chikugo", Service: service, Withdrawn: true}
-		p.Based = seen.InstanceVersion("chikugo", service)
+		p.BaseVersion = seen.InstanceVersion("chikugo", service)
 		return p
 	}
 	if current, ok := seen.Template(name, 0); ok {
 		revision = rapid.IntRange(max(0, current.Revision-4), current.Revision).Draw(t, "revision")
 	}
 	p.Instance = testInstance(service, name, revision, fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "allowance")))
-	p.Based = seen.InstanceVersion("chikugo", service)
+	p.BaseVersion = seen.InstanceVersion("chikugo", service)
 	return p
 }
 
--- a/internal/policy/linear_test.go
+++ b/internal/policy/linear_test.go
@@ -129,7 +129,7 @@
 
 // publish sends one change of the one instance and reports what it was told.
 func (o *operator) publish(ctx context.Context, id string, based Version, allowance int) answer {
-	p := &Publication{ID: id, Author: "ito", Based: based, Instance: testInstance("letters", "strict", 1, fmt.Sprint(allowance))}
+	p := &Publication{ID: id, Author: "ito", BaseVersion: based, Instance: testInstance("letters", "strict", 1, fmt.Sprint(allowance))}
 	if _, err := o.app.Append(ctx, record(p)); errors.Is(err, logstore.ErrUncertain) {
 		return answer{}
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -69,8 +69,8 @@
 	// ID is the ID of the record that carries it.
 	ID     string `json:"id"`
 	Author string `json:"author"`
-	// Based is the version of the object that the author saw; 0 to create.
-	Based Version `json:"based"`
+	// BaseVersion is the version of the object that the author saw; 0 to create.
+	BaseVersion Version `json:"based"`
 	// Rules is the rule set that decides p; 0 means the first. See RulesVersion.
 	Rules    int       `json:"rules,omitempty"`
 	Template *Template `json:"template,omitempty"`
--- a/internal/policy/stories_test.go
+++ b/internal/policy/stories_test.go
@@ -16,14 +16,14 @@
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
 	h.append(record(&Publication{ID: "i", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")}))
 	based := h.now().InstanceVersion("chikugo", "letters")
-	h.append(record(&Publication{ID: "a", Author: "ito", Based: based, Instance: testInstance("letters", "strict", 1, "3")}))
-	h.append(record(&Publication{ID: "b", Author: "reyes", Based: based, Instance: testInstance("letters", "strict", 1, "4")}))
+	h.append(record(&Publication{ID: "a", Author: "ito", BaseVersion: based, Instance: testInstance("letters", "strict", 1, "3")}))
+	h.append(record(&Publication{ID: "b", Author: "reyes", BaseVersion: based, Instance: testInstance("letters", "strict", 1, "4")}))
 	e, _ := h.now().Lookup("chikugo", "letters")
 	must.Eq(t, 3, e.RetryAllowance)
 	d, ok := h.now().Decision("b")
 	must.True(t, ok)
 	must.Eq(t, Lost, d.Outcome)
-	must.Eq(t, &LostTo{ID: "a", Author: "ito", Version: 3, What: "instance chikugo/letters: retry_allowance 1 -> 3"}, d.Lost)
+	must.Eq(t, &ConflictingPublication{ID: "a", Author: "ito", Version: 3, What: "instance chikugo/letters: retry_allowance 1 -> 3"}, d.Lost)
 	must.ErrorContains(t, d.Err(), "lost to a by ito at version 3")
 }
 
@@ -33,7 +33,7 @@
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
 	first := record(&Publication{ID: "a", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")})
 	h.append(first)
-	h.append(record(&Publication{ID: "b", Author: "reyes", Based: 2, Instance: testInstance("letters", "strict", 1, "2")}))
+	h.append(record(&Publication{ID: "b", Author: "reyes", BaseVersion: 2, Instance: testInstance("letters", "strict", 1, "2")}))
 	h.append(first)
 	d, _ := h.now().Decision("a")
 	must.Eq(t, Accepted, d.Outcome)
@@ -50,7 +50,7 @@
 	h.append(record(&Publication{ID: "a", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")}))
 	old, err := h.now().SnapshotRecord("s", epoch)
 	must.NoError(t, err)
-	h.append(record(&Publication{ID: "b", Author: "ito", Based: 2, Instance: testInstance("letters", "strict", 1, "2")}))
+	h.append(record(&Publication{ID: "b", Author: "ito", BaseVersion: 2, Instance: testInstance("letters", "strict", 1, "2")}))
 	h.append(old)
 	h.oldest = 2
 	for _, r := range []*Replica{h.replicas[0], NewReplica(h.oracle[3])} {
@@ -72,7 +72,7 @@
 	h.append(record(&Publication{ID: "a", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")}))
 	away := h.replicas[0]
 	h.catchUp(away)
-	h.append(record(&Publication{ID: "b", Author: "ito", Based: 2, Instance: testInstance("letters", "strict", 1, "2")}))
+	h.append(record(&Publication{ID: "b", Author: "ito", BaseVersion: 2, Instance: testInstance("letters", "strict", 1, "2")}))
 	h.append(record(&Publication{ID: "c", Author: "ito", Instance: testInstance("tracker", "strict", 1, "1")}))
 	h.oldest = 3
 	h.catchUp(away)
@@ -168,7 +168,7 @@
 	first := record(&Publication{ID: "i", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")})
 	h.append(first)
 	gone := &Instance{Workspace: "chikugo", Service: "letters", Withdrawn: true}
-	h.append(record(&Publication{ID: "w", Author: "ito", Based: 3, Instance: gone}))
+	h.append(record(&Publication{ID: "w", Author: "ito", BaseVersion: 3, Instance: gone}))
 	for i := range maxDecisions {
 		h.append(logstore.Record{ID: fmt.Sprint("x", i), Kind: logstore.KindInstance, Body: []byte("{}")})
 	}
@@ -181,10 +181,10 @@
 		must.SliceEmpty(t, s.Instances())
 		must.Eq(t, 4, s.InstanceVersion("chikugo", "letters"))
 	}
-	again, _ := h.now().Check(&Publication{ID: "w2", Author: "ito", Based: 4, Instance: gone})
+	again, _ := h.now().Check(&Publication{ID: "w2", Author: "ito", BaseVersion: 4, Instance: gone})
 	must.Eq(t, Rejected, again.Outcome)
 	back := testInstance("letters", "strict", 1, "2")
-	h.append(record(&Publication{ID: "b", Author: "ito", Based: 4, Instance: back}))
+	h.append(record(&Publication{ID: "b", Author: "ito", BaseVersion: 4, Instance: back}))
 	e, ok := h.now().Lookup("chikugo", "letters")
 	must.True(t, ok)
 	must.Eq(t, 2, e.RetryAllowance)
@@ -200,7 +200,7 @@
 	must.False(t, ok)
 	must.True(t, started.Merge(h.replicas[0].State()))
 	must.False(t, started.Merge(h.oracle[2]))
-	h.append(record(&Publication{ID: "j", Author: "ito", Based: 3, Instance: testInstance("letters", "strict", 1, "2")}))
+	h.append(record(&Publication{ID: "j", Author: "ito", BaseVersion: 3, Instance: testInstance("letters", "strict", 1, "2")}))
 	h.catchUp(started)
 	e, _ := started.State().Lookup("chikugo", "letters")
 	must.Eq(t, 2, e.RetryAllowance)
--- a/internal/policy/validate_test.go
+++ b/internal/policy/validate_test.go
@@ -139,7 +139,7 @@
 	next := *inst
 	next.Values = map[string]string{"queue_limit": "10"}
 	next.Template = "strict"
-	p := &Publication{ID: "b", Author: "ito", Based: s.InstanceVersion("w", "s"), Instance: &next}
+	p := &Publication{ID: "b", Author: "ito", BaseVersion: s.InstanceVersion("w", "s"), Instance: &next}
 	d, changes := s.Check(p)
 	must.Eq(t, Accepted, d.Outcome)
 	must.Eq(t, Change{"template", "balanced/1", "strict/1"}, changes[0])
@@ -147,7 +147,7 @@
 	must.SliceContains(t, changes, Change{"retry_allowance", "2", "1"})
 	_, ok := s.Decision("b")
 	must.False(t, ok)
-	p.Based--
+	p.BaseVersion--
 	d, _ = s.Check(p)
 	must.Eq(t, Lost, d.Outcome)
 }
@@ -159,7 +159,7 @@
 	h.append(record(&Publication{ID: "t1", Author: "ito", Template: testTemplate("strict", 1, 0)}))
 	h.append(record(&Publication{ID: "i", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")}))
 	for r := 2; r <= 9; r++ {
-		h.append(record(&Publication{ID: "t" + string(rune('0'+r)), Author: "ito", Based: h.now().TemplateVersion("strict"), Template: testTemplate("strict", r, r)}))
+		h.append(record(&Publication{ID: "t" + string(rune('0'+r)), Author: "ito", BaseVersion: h.now().TemplateVersion("strict"), Template: testTemplate("strict", r, r)}))
 	}
 	_, used := h.now().Template("strict", 1)
 	_, unused := h.now().Template("strict", 3)
--- a/internal/server/publish.go
+++ b/internal/server/publish.go
@@ -47,7 +47,7 @@
 	if t.Name != r.GetName() {
 		return nil, admin.Invalid("document_json.name is %q, must be %q", t.Name, r.GetName())
 	}
-	p := &policy.Publication{ID: r.GetChangeId(), Author: operator, Based: policy.Version(r.GetBasedOn()), Template: t}
+	p := &policy.Publication{ID: r.GetChangeId(), Author: operator, BaseVersion: policy.Version(r.GetBasedOn()), Template: t}
 	d, err := b.publish(ctx, state, p)
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &policy.Publication{ID: r.GetChangeId(), Author: operator, Based: policy.Version(r.GetBasedOn()), Instance: inst}
+	p := &policy.Publication{ID: r.GetChangeId(), Author: operator, BaseVersion: policy.Version(r.GetBasedOn()), Instance: inst}
 	d, err := b.publish(ctx, state, p)
 	if err != nil {
 		return nil, err
@@ -167,8 +167,8 @@
 	if d, ok := state.Decision(p.ID); ok {
 		return d, admin.Invalid("change_id is %q, which named a change of %s, must be new for %s", p.ID, d.Object, p.Object())
 	}
-	if have := versionOf(state, p); p.Based > have {
-		return policy.Decision{}, admin.Unavailable("this node lags: it has %s at version %d, the change is based on %d", p.Object(), have, p.Based)
+	if have := versionOf(state, p); p.BaseVersion > have {
+		return policy.Decision{}, admin.Unavailable("this node lags: it has %s at version %d, the change is based on %d", p.Object(), have, p.BaseVersion)
 	}
 	if d, ok := foreseen(state, p); ok {
 		return d, nil
@@ -223,7 +223,7 @@
 	d, _ := state.Check(p)
 	switch d.Outcome {
 	case policy.Lost:
-		return d, p.Based < d.Lost.Version
+		return d, p.BaseVersion < d.Lost.Version
 	case policy.Rejected:
 		for _, e := range d.Errors {
 			if e.Field == "publication.based" || e.Field == "instance.template" || e.Field == "template.revision" {
@@ -283,7 +283,7 @@
 		return nil, err
 	}
 	based := state.InstanceVersion(r.GetWorkspace(), r.GetService())
-	d, changes := state.Check(&policy.Publication{ID: "diff", Author: "diff", Based: based, Instance: inst})
+	d, changes := state.Check(&policy.Publication{ID: "diff", Author: "diff", BaseVersion: based, Instance: inst})
 	if d.Outcome == policy.Rejected {
 		return nil, admin.Invalid("%v", d.Errors)
 	}
