--- a/cmd/galenactl/node.go
+++ b/cmd/galenactl/node.go
@@ -138,19 +138,19 @@
 
 func rounded(x float64) string { return strconv.FormatFloat(x, 'f', 2, 64) }
 
-func beliefAge(b mesh.Belief) string {
+func beliefAge(b mesh.Freshness) string {
 	if b.AgeMillis < 0 {
 		return "never"
 	}
 	return (time.Duration(b.AgeMillis) * time.Millisecond).String()
 }
 
-func beliefLink(b mesh.Belief) string {
+func beliefLink(b mesh.Freshness) string {
 	if b.Lost {
 		return "LOST"
 	}
-	if b.Through != "" {
-		return "through " + b.Through
+	if b.Relay != "" {
+		return "through " + b.Relay
 	}
 	return "reached"
 }
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -153,8 +153,8 @@
 	return out
 }
 
-// Elsewhere returns the newest records of the serving nodes of other zones, in no order.
-func (r *Registry) Elsewhere(region, zone string) []Member {
+// OtherZones returns the newest records of the serving nodes of other zones, in no order.
+func (r *Registry) OtherZones(region, zone string) []Member {
 	var out []Member
 	for _, m := range r.members {
 		if m.State == Serving && (m.Zone != zone || m.Region != region) {
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -146,7 +146,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.farAt != m.registry.Changes() {
-		m.far = m.registry.Elsewhere(cfg.Region, cfg.Zone)
+		m.far = m.registry.OtherZones(cfg.Region, cfg.Zone)
 		m.farAt = m.registry.Changes()
 	}
 	if len(m.far) == 0 {
--- a/internal/mesh/observe.go
+++ b/internal/mesh/observe.go
@@ -17,15 +17,15 @@
 
 // NodeState is what a node believes and what is in force at it.
 type NodeState struct {
-	Node        string `json:"node"`
-	Incarnation uint64 `json:"incarnation"`
-	Zone        string `json:"zone"`
-	Service     string `json:"service"`
-	Ready       bool   `json:"ready"`
-	Stopping    bool   `json:"stopping"`
-	Routes      Belief `json:"routes"`
-	Members     Belief `json:"members"`
-	Guard       Guard  `json:"guard"`
+	Node        string    `json:"node"`
+	Incarnation uint64    `json:"incarnation"`
+	Zone        string    `json:"zone"`
+	Service     string    `json:"service"`
+	Ready       bool      `json:"ready"`
+	Stopping    bool      `json:"stopping"`
+	Routes      Freshness `json:"routes"`
+	Members     Freshness `json:"members"`
+	Guard       Guard     `json:"guard"`
 	// Config is nil until routes are in force.
 	Config  *routes.Config `json:"config"`
 	Records []MemberState  `json:"records"`
@@ -34,17 +34,17 @@
 	Store  StoreStats    `json:"store"`
 }
 
-// Belief is how new something is that came from the store.
-type Belief struct {
+// Freshness is how new something is that came from the store.
+type Freshness struct {
 	Version int64 `json:"version,omitempty"`
 	// AgeMillis is how long ago it was true for certain; negative when it never
 	// came from the store.
 	AgeMillis int64 `json:"age_ms"`
 	// Lost is whether the last read failed.
 	Lost bool `json:"lost"`
-	// Through is the node of the zone that it comes through; empty when the node reads
+	// Relay is the node of the zone that it comes through; empty when the node reads
 	// the store itself.
-	Through string `json:"through,omitempty"`
+	Relay string `json:"through,omitempty"`
 }
 
 // Guard is what the guard of the local upstream has in force.
@@ -97,8 +97,8 @@
 // Events returns those of the node's time line that pass the filter.
 func (m *Mesh) Events(f timeline.Filter) []timeline.Event { return m.node.Ring().Events(f) }
 
-func beliefOf(f *follower, now time.Time) Belief {
-	return Belief{AgeMillis: f.age(now).Milliseconds(), Lost: f.lost.Load(), Through: f.relay.Through()}
+func beliefOf(f *follower, now time.Time) Freshness {
+	return Freshness{AgeMillis: f.age(now).Milliseconds(), Lost: f.lost.Load(), Relay: f.relay.Through()}
 }
 
 func (m *Mesh) guardState() Guard {
