--- a/cmd/galenabench/demo.go
+++ b/cmd/galenabench/demo.go
@@ -60,7 +60,7 @@
 	}
 	full := d.FullCapacity()
 	fmt.Printf("load: %.0f requests a second, %.0f%% of what the slots can serve; %s: %s\n",
-		full*d.SteadyLoad, 100*d.SteadyLoad, s.Name, s.Story)
+		full*d.SteadyLoad, 100*d.SteadyLoad, s.Name, s.Description)
 	fmt.Printf("a caller wants its answer within %s, and sends up to %d times\n", bench.Patience, bench.MaxSends)
 	fmt.Println("scaling: upstreams, slots, connections and delays are full size; instead of VMs all of it")
 	fmt.Println("  runs in this one process over loopback, and upstreams sleep for their service time;")
--- a/cmd/galenabench/main.go
+++ b/cmd/galenabench/main.go
@@ -56,7 +56,7 @@
 // Run lists the scenarios.
 func (scenariosCmd) Run() error {
 	for _, s := range bench.Scenarios() {
-		fmt.Printf("%-20s %s\n", s.Name, s.Story)
+		fmt.Printf("%-20s %s\n", s.Name, s.Description)
 	}
 	return nil
 }
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -21,26 +21,26 @@
 func faultScenarios() []Scenario {
 	return []Scenario{
 		{
-			Name:   "crash-request",
-			Story:  "now and then one request crashes each upstream that runs it, and its caller sends it again",
-			Poison: poisonShare,
+			Name:        "crash-request",
+			Description: "now and then one request crashes each upstream that runs it, and its caller sends it again",
+			Poison:      poisonShare,
 		},
 		{
-			Name:  "silent-connections",
-			Story: "every open connection between nodes goes silent for good, twice, while new ones work",
+			Name:        "silent-connections",
+			Description: "every open connection between nodes goes silent for good, twice, while new ones work",
 			Events: func(*Deployment) []Event {
 				silence := func(w *World) { w.network.Silence(clients) }
 				return []Event{{time.Second, silence}, {5 * time.Second, silence}}
 			},
 		},
 		{
-			Name:   "rolling-restart",
-			Story:  "one upstream after another is stopped as planned, and started again, under load",
-			Events: rollingRestart,
+			Name:        "rolling-restart",
+			Description: "one upstream after another is stopped as planned, and started again, under load",
+			Events:      rollingRestart,
 		},
 		{
-			Name:  "lying-health",
-			Story: "one upstream of the deepest service takes ten times as long and says that all is well",
+			Name:        "lying-health",
+			Description: "one upstream of the deepest service takes ten times as long and says that all is well",
 			Events: func(d *Deployment) []Event {
 				return []Event{{0, slowOneDeepest(slowFactor)}, {phasePressure, slowOneDeepest(1)}}
 			},
@@ -49,9 +49,9 @@
 			},
 		},
 		{
-			Name:  "cold-start",
-			Story: "half of the deepest service's upstreams restart at once and are slow while they warm up",
-			Gone:  deepest(0.5),
+			Name:        "cold-start",
+			Description: "half of the deepest service's upstreams restart at once and are slow while they warm up",
+			Gone:        deepest(0.5),
 			Events: func(d *Deployment) []Event {
 				return []Event{{0, coldRestart}}
 			},
--- a/internal/bench/measure.go
+++ b/internal/bench/measure.go
@@ -173,7 +173,7 @@
 	r.Duplicates = history.Count(violations, history.AtMostOnce)
 	r.FalseRefusals = history.Count(violations, history.TrueRefusal)
 	r.WrongAnswers = history.Count(violations, history.RightAnswer)
-	r.Broken = len(violations)
+	r.InvariantViolations = len(violations)
 	for _, v := range violations[:min(len(violations), maxEvidence)] {
 		r.Evidence = append(r.Evidence, v.Error())
 	}
--- a/internal/bench/outages.go
+++ b/internal/bench/outages.go
@@ -23,15 +23,15 @@
 func outageScenarios() []Scenario {
 	return []Scenario{
 		{
-			Name:      "log-outage",
-			Story:     "the log is out for ten seconds; meanwhile an upstream of the deepest service crashes twice, and a VM joins",
-			Operators: 1,
-			Events:    logOutage,
+			Name:        "log-outage",
+			Description: "the log is out for ten seconds; meanwhile an upstream of the deepest service crashes twice, and a VM joins",
+			Operators:   1,
+			Events:      logOutage,
 		},
 		{
-			Name:      "lost-acks",
-			Story:     "the log loses the acknowledgements of three appends in ten",
-			Operators: 1,
+			Name:        "lost-acks",
+			Description: "the log loses the acknowledgements of three appends in ten",
+			Operators:   1,
 			Events: func(*Deployment) []Event {
 				return []Event{
 					{0, knobs(func(k *logd.Knobs) { k.AckLoss = ackLoss })},
@@ -40,17 +40,17 @@
 			},
 		},
 		{
-			Name:      "zone-partition",
-			Story:     "one zone is cut off from the log and from the other zones; callers still reach every zone",
-			Operators: 1,
+			Name:        "zone-partition",
+			Description: "one zone is cut off from the log and from the other zones; callers still reach every zone",
+			Operators:   1,
 			Events: func(*Deployment) []Event {
 				return []Event{{0, setPartition(true)}, {phasePressure, setPartition(false)}}
 			},
 		},
 		{
-			Name:      "paused-holder",
-			Story:     "a node that owns keys stands still for longer than its authority, and goes on in the middle of its calls; then another",
-			Operators: 1,
+			Name:        "paused-holder",
+			Description: "a node that owns keys stands still for longer than its authority, and goes on in the middle of its calls; then another",
+			Operators:   1,
 			Events: func(*Deployment) []Event {
 				return []Event{
 					{500 * time.Millisecond, pauseHolder(0)},
@@ -59,17 +59,17 @@
 			},
 		},
 		{
-			Name:      "racing-operators",
-			Story:     "three operators publish conflicting values of one instance, again and again",
-			Operators: racers,
+			Name:        "racing-operators",
+			Description: "three operators publish conflicting values of one instance, again and again",
+			Operators:   racers,
 		},
 		vmCrash(),
 		{
-			Name:      "replace-all",
-			Story:     "every node is replaced as planned, one after another, under load",
-			Operators: 1,
-			Pressure:  replaceAllTime,
-			Events:    replaceAll,
+			Name:        "replace-all",
+			Description: "every node is replaced as planned, one after another, under load",
+			Operators:   1,
+			Pressure:    replaceAllTime,
+			Events:      replaceAll,
 		},
 	}
 }
@@ -77,10 +77,10 @@
 // vmCrash takes two VMs away for good.
 func vmCrash() Scenario {
 	return Scenario{
-		Name:      "vm-crash",
-		Story:     "a VM of the first and one of the deepest service die with their nodes, in the middle of calls, and stay away",
-		Operators: 1,
-		Gone:      oneGone,
+		Name:        "vm-crash",
+		Description: "a VM of the first and one of the deepest service die with their nodes, in the middle of calls, and stay away",
+		Operators:   1,
+		Gone:        oneGone,
 		Events: func(d *Deployment) []Event {
 			return []Event{
 				{time.Second, func(w *World) { w.kill(w.upstreamsOf(d.Services[0].Name)[0]) }},
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -61,7 +61,7 @@
 		return fmt.Errorf("report: runs is empty, must hold at least one")
 	}
 	doc := document{
-		Scenario: s.Name, Story: s.Story, Deployment: d.Name,
+		Scenario: s.Name, Story: s.Description, Deployment: d.Name,
 		Seed:     runs[0].Result.Seed,
 		Offered:  fmt.Sprintf("%.0f", runs[0].Result.Offered),
 		Capacity: fmt.Sprintf("%.0f", runs[0].Result.Capacity),
--- a/internal/bench/report/report_test.go
+++ b/internal/bench/report/report_test.go
@@ -31,7 +31,7 @@
 func TestWriteIsSelfContained(t *testing.T) {
 	runs := []report.Run{course(bench.PolicyBaseline, 3*time.Second), course(bench.PolicyGalenagrade, 100*time.Millisecond)}
 	var out bytes.Buffer
-	must.NoError(t, report.Write(&out, bench.Scenario{Name: "surge", Story: "a < b"}, bench.Chikugo(), runs))
+	must.NoError(t, report.Write(&out, bench.Scenario{Name: "surge", Description: "a < b"}, bench.Chikugo(), runs))
 	text := out.String()
 	must.Eq(t, 10, strings.Count(text, "<svg"))
 	must.StrContains(t, text, "a &lt; b")
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -65,10 +65,10 @@
 	MaxCrashes int `json:"max_crashes_per_request"`
 	// Codes counts the final codes of sendings.
 	Codes map[int]int `json:"codes"`
-	// Broken counts every break of a promise in the run's history; Evidence
+	// InvariantViolations counts every break of a promise in the run's history; Evidence
 	// tells of the first few.
-	Broken   int      `json:"broken_promises"`
-	Evidence []string `json:"evidence,omitempty"`
+	InvariantViolations int      `json:"broken_promises"`
+	Evidence            []string `json:"evidence,omitempty"`
 	// Details holds one explanation for each code of a refusal.
 	Details map[int]string `json:"details,omitempty"`
 }
@@ -106,7 +106,7 @@
 		{"max_retries_per_request", int64(r.MaxRetries), int64(r.RetryAllowance)},
 		{"max_crashes_per_request", int64(r.MaxCrashes), maxCrashesBound},
 		{"new_work_after_drain_ms", r.NewWorkAfterDrain, newWorkBound},
-		{"broken_promises", int64(r.Broken), 0},
+		{"broken_promises", int64(r.InvariantViolations), 0},
 		{"config_reverts", int64(r.ConfigReverts), 0},
 		{"race_violations", int64(r.RaceViolations), 0},
 	} {
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -11,8 +11,8 @@
 
 // Scenario is one run's load and faults.
 type Scenario struct {
-	Name  string
-	Story string
+	Name        string
+	Description string
 	// Pressure lasts this long, between Before and After of steady load.
 	Before, Pressure, After time.Duration
 	// Surge multiplies arrivals while pressure lasts.
@@ -54,29 +54,29 @@
 func Scenarios() []Scenario {
 	list := []Scenario{
 		{
-			Name:     "steady",
-			Story:    "ordinary load, nothing fails",
-			Pressure: 5 * time.Second,
+			Name:        "steady",
+			Description: "ordinary load, nothing fails",
+			Pressure:    5 * time.Second,
 		},
 		{
-			Name:  "surge",
-			Story: "three times the load for ten seconds; callers whose request fails send it again at once",
-			Surge: surgeFactor,
+			Name:        "surge",
+			Description: "three times the load for ten seconds; callers whose request fails send it again at once",
+			Surge:       surgeFactor,
 		},
 		{
-			Name:     "slow-deep",
-			Story:    "the deepest service takes ten times as long for ten seconds, then heals",
-			Slowdown: deepest(slowFactor),
+			Name:        "slow-deep",
+			Description: "the deepest service takes ten times as long for ten seconds, then heals",
+			Slowdown:    deepest(slowFactor),
 			Events: func(*Deployment) []Event {
 				return []Event{{0, slowDeepest(slowFactor)}, {phasePressure, slowDeepest(1)}}
 			},
 		},
 		{
-			Name:     "storm",
-			Story:    "three times the load, the deepest service ten times as slow, and half of its upstreams die",
-			Surge:    surgeFactor,
-			Slowdown: deepest(slowFactor),
-			Gone:     deepest(0.5),
+			Name:        "storm",
+			Description: "three times the load, the deepest service ten times as slow, and half of its upstreams die",
+			Surge:       surgeFactor,
+			Slowdown:    deepest(slowFactor),
+			Gone:        deepest(0.5),
 			Events: func(*Deployment) []Event {
 				return []Event{
 					{0, slowDeepest(slowFactor)},
--- a/internal/ceiling/ceiling.go
+++ b/internal/ceiling/ceiling.go
@@ -46,8 +46,8 @@
 	Upstreams []Upstream `json:"upstreams"`
 	// Refused is the share of calls that the scarce service refuses at random.
 	Refused float64 `json:"refused"`
-	// Apart is the share of callers who are cut off from the scarce service.
-	Apart float64 `json:"apart"`
+	// Partitioned is the share of callers who are cut off from the scarce service.
+	Partitioned float64 `json:"apart"`
 }
 
 // Share is what fits of one kind.
@@ -87,7 +87,7 @@
 // complete fills in defaults and returns an error that names the first field out of
 // bounds, its value and the bound.
 func (w *Window) complete() error {
-	checks := []bound{{"seconds", w.Seconds, 0.001, 1e6}, {"refused", w.Refused, 0, 1}, {"apart", w.Apart, 0, 1}}
+	checks := []bound{{"seconds", w.Seconds, 0.001, 1e6}, {"refused", w.Refused, 0, 1}, {"apart", w.Partitioned, 0, 1}}
 	for i := range w.Upstreams {
 		u := &w.Upstreams[i]
 		checks = append(checks, bound{"upstreams.slots", u.Slots, 1, 1 << 16}, bound{"upstreams.call_ms", u.CallMS, 0.001, 1e6})
@@ -128,7 +128,7 @@
 		return 1
 	}
 	once := math.Pow(1-w.Refused, k.Calls)
-	return (1 - w.Apart) * (1 - math.Pow(1-once, k.Tries))
+	return (1 - w.Partitioned) * (1 - math.Pow(1-once, k.Tries))
 }
 
 // Bound returns what fits into the window: whole requests, those worth most for the
--- a/internal/ceiling/ceiling_test.go
+++ b/internal/ceiling/ceiling_test.go
@@ -54,7 +54,7 @@
 // Nothing that fits into the slots and the chances is worth more than the bound.
 func TestNoAllocationBeatsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := Window{Seconds: 1, Refused: rapid.Float64Range(0, 0.9).Draw(t, "refused"), Apart: rapid.Float64Range(0, 1).Draw(t, "apart")}
+		w := Window{Seconds: 1, Refused: rapid.Float64Range(0, 0.9).Draw(t, "refused"), Partitioned: rapid.Float64Range(0, 1).Draw(t, "apart")}
 		for range rapid.IntRange(0, 3).Draw(t, "upstreams") {
 			w.Upstreams = append(w.Upstreams, Upstream{rapid.Float64Range(1, 50).Draw(t, "slots"), rapid.Float64Range(10, 200).Draw(t, "ms")})
 		}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -142,7 +142,7 @@
 	m.peers.Bind(m.node)
 	m.upstream.Bind(m.node)
 	m.proxy = proxy.New(m.node, m.peers, m.upstream)
-	m.proxy.TakeOver(m.cfg.Service)
+	m.proxy.AcceptPredecessorCalls(m.cfg.Service)
 	m.quotas = newQuotas(m)
 	m.pace = newPace(m.node.Guard())
 	m.upstream.OnQueued(m.pace.kick)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -44,11 +44,11 @@
 	return p
 }
 
-// TakeOver lets the node take calls that are meant for an earlier process at its
+// AcceptPredecessorCalls lets the node take calls that are meant for an earlier process at its
 // address, if they are for that service. It is for deployments without idempotency
 // keys: who ran what is not kept from one process to the next. Call it before
 // serving.
-func (p *Proxy) TakeOver(service string) { p.successorOf = service }
+func (p *Proxy) AcceptPredecessorCalls(service string) { p.successorOf = service }
 
 // Answering returns how many calls of other nodes have not got their whole
 // answer yet.
