--- a/internal/routing/average.go
+++ b/internal/routing/average.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// average is an exponentially weighted moving average; safe for concurrent
-// use. The zero value is 0.
+// average is an exponentially weighted moving average. It is safe for concurrent use. The zero
+// value is 0.
 type average struct {
 	bits atomic.Uint64
 }
@@ -15,7 +15,7 @@
 
 func (a *average) store(v float64) { a.bits.Store(math.Float64bits(v)) }
 
-// add moves the average towards sample by gain in (0, 1].
+// add moves the average towards sample by the fraction gain, in (0, 1].
 func (a *average) add(sample, gain float64) {
 	for {
 		old := a.bits.Load()
@@ -27,7 +27,7 @@
 	}
 }
 
-// addOrSet is add, except that the first sample is taken as it is.
+// addOrSet is like add, but stores the first sample unchanged.
 func (a *average) addOrSet(sample, gain float64) {
 	if a.bits.CompareAndSwap(0, math.Float64bits(sample)) {
 		return
@@ -35,9 +35,10 @@
 	a.add(sample, gain)
 }
 
-// forget returns what is left of v after some idle time: half after halfLife, a
-// third after twice that. The hyperbola needs no exponential on a call's path.
-func forget(v float64, idle, halfLife int64) float64 {
+// decay returns v reduced for an idle time: to half after halfLife, to a third after twice
+// halfLife. It is a hyperbola, because an exponential would be too expensive on the path of every
+// call.
+func decay(v float64, idle, halfLife int64) float64 {
 	if idle <= 0 {
 		return v
 	}
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkCall is Pick, Start and Done; with -cpu the contended cost.
+// BenchmarkCall measures Pick, Start and Done in parallel; use -cpu for the cost under contention.
 func BenchmarkCall(b *testing.B) {
 	report := benchReports["room"]
 	table := benchTable(100, report)
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// Config holds the knobs of routing. docs/operations/routing.md says which to
-// turn when.
+// Config is the configuration of routing. docs/operations/routing.md explains when to change which
+// field.
 type Config struct {
-	// SlowStart is how long a fresh endpoint takes to reach its full share;
-	// 0 turns slow start off.
+	// SlowStart is the time a new endpoint takes to reach its full share of calls. 0 disables slow
+	// start.
 	SlowStart time.Duration
-	// SlowStartAnswers is how many answers it must give as well.
+	// SlowStartAnswers is the number of responses that a new endpoint must also give to reach its
+	// full share.
 	SlowStartAnswers int
-	// EjectFor is the first ejection's length; it doubles with each failed
-	// probe up to maxEjectDoublings times.
+	// EjectFor is the duration of the first ejection. It doubles with each failed probe, up to
+	// maxEjectDoublings times.
 	EjectFor time.Duration
-	// EjectFailures is how many consecutive failures eject an endpoint. A
-	// failure to connect counts double.
+	// EjectFailures is the number of consecutive failures that eject an endpoint. A failure to
+	// connect counts double.
 	EjectFailures int
-	// EjectRatioExcess ejects an endpoint whose share of failures exceeds
-	// the mean of its peers by this much, in (0, 1].
+	// EjectRatioExcess ejects an endpoint whose share of failures exceeds the mean of its peers by
+	// this much. It is in (0, 1].
 	EjectRatioExcess float64
-	// MaxEjectedShare bounds the ejected share of a service, in [0, 1). At
-	// least one endpoint always stays.
+	// MaxEjectedShare bounds the ejected share of a service's endpoints, in [0, 1). At least one
+	// endpoint always stays in use.
 	MaxEjectedShare float64
-	// LoadAge is how long a load report is believed.
+	// LoadAge is the age up to which a load report is used.
 	LoadAge time.Duration
-	// DrainHold is how long a report of draining is believed without
-	// membership or another report confirming it.
+	// DrainHold is the time for which a report of draining is used if neither membership nor
+	// another report confirms it.
 	DrainHold time.Duration
-	// LatencyDecay is how long a high latency is held against an endpoint
-	// that gets no calls: after it, half of the excess is forgotten.
+	// LatencyDecay is the time after which half of the excess latency of an endpoint that receives
+	// no calls is disregarded.
 	LatencyDecay time.Duration
-	// ProbeShare of the calls that would be refused early is sent anyway.
+	// ProbeShare is the share of calls that are sent although they would be refused early.
 	ProbeShare float64
-	// OwnNodeLoad is the score up to which the upstream of the choosing node
-	// itself is taken without a comparison, which saves a hop: about its
-	// utilisation in [0, 1]. 0 gives it no preference.
+	// OwnNodeLoad is the score, approximately a utilisation in [0, 1], up to which the sending
+	// node's own upstream is chosen without comparing it with others. This saves a network hop. 0
+	// disables the preference.
 	OwnNodeLoad float64
-	// SubsetSize is how many endpoints of a service are normally used.
+	// SubsetSize is the number of endpoints of a service that a node normally uses.
 	SubsetSize int
-	// RetryAfter is what an early refusal tells the caller to wait.
+	// RetryAfter is the wait that an early refusal reports to the caller.
 	RetryAfter time.Duration
-	// Services overrides some values for single services; may be nil.
+	// Services overrides some values for single services, by service name. It may be nil.
 	Services map[string]Override
 }
 
-// Override holds the values that a service's template may set.
+// Override holds the values that the template of a service can set.
 type Override struct {
 	SlowStart, EjectFor time.Duration
 	MaxEjectedShare     float64
@@ -59,18 +60,18 @@
 	if !ok {
 		return c
 	}
-	own := *c
-	own.SlowStart = o.SlowStart
-	own.EjectFor = o.EjectFor
-	own.MaxEjectedShare = o.MaxEjectedShare
-	if own.Validate() != nil {
+	merged := *c
+	merged.SlowStart = o.SlowStart
+	merged.EjectFor = o.EjectFor
+	merged.MaxEjectedShare = o.MaxEjectedShare
+	if merged.Validate() != nil {
 		return c
 	}
-	return &own
+	return &merged
 }
 
-// DefaultConfig returns values for services of some hundred slots whose calls
-// take milliseconds to seconds.
+// DefaultConfig returns a configuration for services of some hundred slots whose calls take
+// milliseconds to seconds.
 func DefaultConfig() Config {
 	return Config{
 		SlowStart:        10 * time.Second,
@@ -89,7 +90,7 @@
 	}
 }
 
-// FieldError names a Config field outside its bound.
+// FieldError reports a Config field whose value is out of bounds.
 type FieldError struct {
 	Field string
 	Value any
@@ -101,7 +102,7 @@
 	return fmt.Sprintf("routing config: %s is %v, must be %s", e.Field, e.Value, e.Bound)
 }
 
-// Validate returns a *FieldError for the first field out of bounds.
+// Validate returns a *FieldError for the first field that is out of bounds.
 func (c Config) Validate() error {
 	checks := []struct {
 		ok    bool
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -1,13 +1,12 @@
-// Package routing chooses the upstream that a call is sent to.
+// Package routing chooses the upstream for a call.
 //
-// It is pure: time and randomness come in as arguments, and it does no I/O. A
-// Table is an immutable view of the known endpoints, replaced as a whole when
-// membership changes (read-copy-update). A Target holds what this node has
-// observed of one endpoint; it is shared by successive tables and its fields
-// are atomics, so Pick, Start and Done may be called concurrently and take no
-// lock.
+// The package does no I/O; the time and the source of randomness are arguments. A Table is an
+// immutable view of the known endpoints and is replaced as a whole when membership changes
+// (read-copy-update). A Target holds this node's observations of one endpoint. Successive tables
+// share targets. Their fields are atomics, so Pick, Start and Done can be called concurrently and
+// take no lock.
 //
-// The choice is the power of two choices on outstanding work relative to
-// capacity, in the own availability zone first. docs/design/routing.md says
-// what was weighed; docs/operations/routing.md is for operators.
+// The algorithm is the power of two choices on outstanding work relative to capacity, with the
+// node's own availability zone first. docs/design/routing.md describes the design and its
+// alternatives; docs/operations/routing.md is for operators.
 package routing
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -5,97 +5,97 @@
 	"time"
 )
 
-// Endpoint is one upstream as membership describes it.
+// Endpoint describes one upstream, as published by membership.
 type Endpoint struct {
-	// Node names the node that guards the upstream.
+	// Node is the name of the node that guards the upstream.
 	Node string
-	// Incarnation tells apart successive processes of one node.
+	// Incarnation distinguishes successive processes of one node.
 	Incarnation uint64
 	Region      string
 	Zone        string
 	Service     string
 	// Addr is the address of the node's inner protocol.
 	Addr string
-	// Slots is how many calls the upstream announced to run at once.
+	// Slots is the number of concurrent calls that the upstream announced.
 	Slots int
-	// Joined is when the endpoint announced itself, on its own clock.
+	// Joined is the time at which the endpoint announced itself, by its own clock.
 	Joined time.Time
-	// Draining means that the upstream is leaving and gets no new work.
+	// Draining means that the upstream is draining and gets no new calls.
 	Draining bool
-	// Suspect means that membership doubts that the node is alive.
+	// Suspect means that membership suspects the node of having failed.
 	Suspect bool
-	// Fallback means that the endpoint takes calls that find no other one, as
-	// while its node is being stopped.
+	// Fallback means that the endpoint only takes calls that no other endpoint takes, for example
+	// while its node is stopping.
 	Fallback bool
 }
 
-// Self says where the choosing node is.
+// Self is the name and location of the sending node.
 type Self struct {
 	Node   string
 	Region string
 	Zone   string
 }
 
-// NoThreshold in LoadReport.Threshold means that no rank is shed.
+// NoThreshold as LoadReport.Threshold means that no rank is shed.
 const NoThreshold uint32 = math.MaxUint32
 
-// LoadReport is what a guard says of itself with every answer.
+// LoadReport is the load of a guard, which it sends with every response.
 type LoadReport struct {
-	// InFlight counts calls running at the upstream, from all senders.
+	// InFlight is the number of calls running at the upstream, from all senders.
 	InFlight int
-	// Queued counts calls that wait at the guard.
+	// Queued is the number of calls waiting at the guard.
 	Queued int
-	// Limit is how many calls the guard runs at once at present.
+	// Limit is the guard's current limit of concurrent calls.
 	Limit int
-	// Threshold sheds every call with Rank >= Threshold, unless it is
-	// NoThreshold. 0 sheds everything.
+	// Threshold is the rank from which calls are shed: every call with Rank >= Threshold, unless it
+	// is NoThreshold. 0 sheds all calls.
 	Threshold uint32
-	// Overloaded says that the upstream itself sheds or slows down.
+	// Overloaded means that the upstream itself sheds calls or slows down.
 	Overloaded bool
-	// Draining says that the upstream is leaving.
+	// Draining means that the upstream is draining.
 	Draining bool
-	// Incarnation of the process that made the report; 0 when not known.
+	// Incarnation identifies the process that made the report; 0 if unknown.
 	Incarnation uint64
 }
 
-// PickInfo is what the choice needs to know of a call.
+// PickInfo holds the properties of a call that affect the choice of its target.
 type PickInfo struct {
 	Service string
-	// Rank is the admission rank: level in the top bits, caller hash below.
-	// Lower is more important.
+	// Rank is the admission rank: level in the top bits, caller hash below. A lower rank is more
+	// important.
 	Rank uint32
-	// Avoid lists nodes that already failed or refused this call. They are
-	// never chosen.
+	// Avoid lists nodes that already failed or refused this call. They are never chosen.
 	Avoid []string
-	// Node, if set, is the only node that may be chosen, such as the owner
-	// of the call's idempotency key.
+	// Node, if set, is the only node that may be chosen, for example the owner of the call's
+	// idempotency key.
 	Node string
-	// SuspectedCrasher sends the call where the fewest others would be lost
-	// if it brought the upstream down.
+	// SuspectedCrasher sends the call to the target with the fewest calls in flight, which limits
+	// the calls lost if it crashes the upstream.
 	SuspectedCrasher bool
-	// HasPriorWork says that work was spent on the call's root already. A guard gives
-	// such a call an idle slot whatever its threshold.
+	// HasPriorWork means that work was already spent on the call's root request. A guard gives such
+	// a call an idle slot regardless of its threshold.
 	HasPriorWork bool
 }
 
-// Outcome says how an attempt at a target ended.
+// Outcome is the result of an attempt at a target.
 type Outcome int
 
 const (
-	// Answered is a whole answer of the upstream, whatever its content.
+	// Answered means that the upstream gave a complete response, whatever its content.
 	Answered Outcome = iota
 	// Refused means that the guard or upstream did not run the call.
 	Refused
-	// Failed means that the upstream ran the call and failed, or that the
-	// answer was cut or lost.
+	// Failed means that the upstream ran the call and failed, or that the response was truncated or
+	// lost.
 	Failed
-	// Unreachable means that no connection was made or it broke unsent.
+	// Unreachable means that no connection was established, or that it broke before the call was
+	// sent.
 	Unreachable
-	// Cancelled means that the sender gave the call up for reasons of its
-	// own; it says nothing against the target but that it had not answered.
+	// Cancelled means that the sender cancelled the call for reasons of its own. The only thing it
+	// shows about the target is that no response had arrived yet.
 	Cancelled
-	// Slow means that the deadline passed, or the attempt was given up,
-	// with no answer from the target.
+	// Slow means that the deadline passed, or the attempt was abandoned, without a response from
+	// the target.
 	Slow
 )
 
@@ -118,7 +118,7 @@
 	return "unknown"
 }
 
-// bad reports whether the outcome counts towards ejection.
-func (o Outcome) bad() bool {
+// countsAsFailure reports whether the outcome counts towards ejection.
+func (o Outcome) countsAsFailure() bool {
 	return o == Failed || o == Unreachable || o == Slow
 }
--- a/internal/routing/fake_test.go
+++ b/internal/routing/fake_test.go
@@ -15,28 +15,29 @@
 
 const lowRank uint32 = 3 << 30
 
-// fakeUpstream answers after a fixed time, and queues above its slots.
+// fakeUpstream responds after a fixed service time and queues calls beyond its slots.
 type fakeUpstream struct {
-	ep      Endpoint
-	service time.Duration
-	outcome Outcome
-	// failures is the share of calls that fail.
-	failures float64
-	silent   bool
-	lie      func(*LoadReport)
-	running  int
-	// busyUntil is when each slot has done what was given to it.
+	ep          Endpoint
+	serviceTime time.Duration
+	outcome     Outcome
+	// failureShare is the share of calls that fail.
+	failureShare float64
+	unresponsive bool
+	misreport    func(*LoadReport)
+	running      int
+	// busyUntil is the time at which each slot has finished the calls assigned to it.
 	busyUntil []time.Time
 }
 
-// take gives a call to the slot that is free first, and returns its end.
-func (u *fakeUpstream) take(now time.Time) time.Time {
+// schedule assigns a call to the slot that becomes free first and returns the time at which the
+// call ends.
+func (u *fakeUpstream) schedule(now time.Time) time.Time {
 	if u.busyUntil == nil {
 		u.busyUntil = make([]time.Time, u.ep.Slots)
 	}
-	first := slices.MinFunc(u.busyUntil, time.Time.Compare)
-	slot := slices.Index(u.busyUntil, first)
-	u.busyUntil[slot] = slices.MaxFunc([]time.Time{first, now}, time.Time.Compare).Add(u.service)
+	earliest := slices.MinFunc(u.busyUntil, time.Time.Compare)
+	slot := slices.Index(u.busyUntil, earliest)
+	u.busyUntil[slot] = slices.MaxFunc([]time.Time{earliest, now}, time.Time.Compare).Add(u.serviceTime)
 	return u.busyUntil[slot]
 }
 
@@ -48,8 +49,8 @@
 		Threshold:   NoThreshold,
 		Incarnation: u.ep.Incarnation,
 	}
-	if u.lie != nil {
-		u.lie(r)
+	if u.misreport != nil {
+		u.misreport(r)
 	}
 	return r
 }
@@ -57,39 +58,39 @@
 type fakeCall struct {
 	upstream *fakeUpstream
 	target   *Target
-	sent     time.Time
-	ends     time.Time
+	sentAt   time.Time
+	endsAt   time.Time
 }
 
-// fakeNode is one sender with its own time in front of fake upstreams.
+// fakeNode is one sender with a virtual clock in front of fake upstreams.
 type fakeNode struct {
-	t       *testing.T
-	cfg     Config
-	now     time.Time
-	rng     *rand.Rand
-	table   *Table
-	ups     map[string]*fakeUpstream
-	calls   []fakeCall // by time of end
-	timeout time.Duration
-	// patience is when callers leave; 0 is after the timeout.
-	patience time.Duration
-	refusals map[result.Code]int
+	t         *testing.T
+	cfg       Config
+	now       time.Time
+	rng       *rand.Rand
+	table     *Table
+	upstreams map[string]*fakeUpstream
+	calls     []fakeCall // in order of endsAt
+	timeout   time.Duration
+	// callerTimeout is the time after which callers cancel; 0 means that they wait for timeout.
+	callerTimeout time.Duration
+	refusals      map[result.Code]int
 }
 
 func newFakeNode(t *testing.T, cfg Config, ups ...*fakeUpstream) *fakeNode {
 	must.NoError(t, cfg.Validate())
 	n := &fakeNode{
 		t: t, cfg: cfg, now: origin, rng: rand.New(rand.NewPCG(1, 2)), timeout: time.Second,
-		ups: map[string]*fakeUpstream{}, refusals: map[result.Code]int{},
+		upstreams: map[string]*fakeUpstream{}, refusals: map[result.Code]int{},
 	}
 	for _, u := range ups {
-		n.ups[u.ep.Node] = u
+		n.upstreams[u.ep.Node] = u
 	}
-	n.membership(ups...)
+	n.setMembership(ups...)
 	return n
 }
 
-func (n *fakeNode) membership(ups ...*fakeUpstream) {
+func (n *fakeNode) setMembership(ups ...*fakeUpstream) {
 	var eps []Endpoint
 	for _, u := range ups {
 		eps = append(eps, u.ep)
@@ -99,7 +100,7 @@
 
 func upstream(zone string, i, slots int) *fakeUpstream {
 	return &fakeUpstream{
-		service: 10 * time.Millisecond,
+		serviceTime: 10 * time.Millisecond,
 		ep: Endpoint{
 			Node: fmt.Sprintf("%s-%d", zone, i), Incarnation: 1, Region: "kyushu", Zone: zone,
 			Service: "archive", Slots: slots, Joined: origin.Add(-time.Hour),
@@ -115,23 +116,23 @@
 	return ups
 }
 
-// advance ends every call that is due by then.
+// advance moves the clock to the given time and ends every call that is due by then.
 func (n *fakeNode) advance(to time.Time) {
-	for len(n.calls) > 0 && !n.calls[0].ends.After(to) {
+	for len(n.calls) > 0 && !n.calls[0].endsAt.After(to) {
 		c := n.calls[0]
 		n.calls = n.calls[1:]
-		n.now = c.ends
+		n.now = c.endsAt
 		c.upstream.running--
-		took := c.ends.Sub(c.sent)
+		took := c.endsAt.Sub(c.sentAt)
 		outcome, report := c.upstream.outcome, c.upstream.report()
 		switch {
 		case took >= n.timeout:
 			outcome, report = Slow, nil
-		case took == n.patience:
+		case took == n.callerTimeout:
 			outcome, report = Cancelled, nil
 		case outcome == Unreachable:
 			report = nil
-		case n.rng.Float64() < c.upstream.failures:
+		case n.rng.Float64() < c.upstream.failureShare:
 			outcome = Failed
 		}
 		c.target.Done(n.now, outcome, took, report)
@@ -139,7 +140,7 @@
 	n.now = to
 }
 
-// send makes one call and returns the node it went to, or "".
+// send makes one call and returns the node that it was sent to, or "" if it was refused.
 func (n *fakeNode) send(info PickInfo) string {
 	info.Service = "archive"
 	g, refusal := n.table.Pick(n.now, n.rng, info)
@@ -147,26 +148,27 @@
 		n.refusals[refusal.Code]++
 		return ""
 	}
-	u := n.ups[g.Endpoint().Node]
+	u := n.upstreams[g.Endpoint().Node]
 	g.Start(n.now)
 	u.running++
-	ends := n.now.Add(n.timeout)
-	if n.patience > 0 {
-		ends = n.now.Add(n.patience)
+	endsAt := n.now.Add(n.timeout)
+	if n.callerTimeout > 0 {
+		endsAt = n.now.Add(n.callerTimeout)
 	}
-	if !u.silent {
-		ends = slices.MinFunc([]time.Time{ends, u.take(n.now)}, time.Time.Compare)
+	if !u.unresponsive {
+		endsAt = slices.MinFunc([]time.Time{endsAt, u.schedule(n.now)}, time.Time.Compare)
 	}
-	at, _ := slices.BinarySearchFunc(n.calls, ends, func(c fakeCall, t time.Time) int { return c.ends.Compare(t) })
-	n.calls = slices.Insert(n.calls, at, fakeCall{u, g, n.now, ends})
+	index, _ := slices.BinarySearchFunc(n.calls, endsAt, func(c fakeCall, t time.Time) int { return c.endsAt.Compare(t) })
+	n.calls = slices.Insert(n.calls, index, fakeCall{u, g, n.now, endsAt})
 	return u.ep.Node
 }
 
-// run sends at an even rate and returns how many calls each node got.
-func (n *fakeNode) run(d, every time.Duration) map[string]int {
-	got := map[string]int{}
-	for end := n.now.Add(d); n.now.Before(end); n.advance(n.now.Add(every)) {
-		got[n.send(PickInfo{Rank: lowRank})]++
+// run sends calls at a constant rate and returns the number of calls per node. Refused calls are
+// counted under "".
+func (n *fakeNode) run(duration, interval time.Duration) map[string]int {
+	callsByNode := map[string]int{}
+	for end := n.now.Add(duration); n.now.Before(end); n.advance(n.now.Add(interval)) {
+		callsByNode[n.send(PickInfo{Rank: lowRank})]++
 	}
-	return got
+	return callsByNode
 }
--- a/internal/routing/guards_test.go
+++ b/internal/routing/overload_test.go
@@ -14,20 +14,21 @@
 	"github.com/galenagrade/galenagrade/internal/testclock"
 )
 
-// zoneModel is a few entries that send to a few guards in virtual time: the real choice of
-// upstreams before the real admission.
+// zoneModel simulates a few entries that send to a few guards in virtual time. It uses the real
+// choice of upstreams and the real admission control.
 type zoneModel struct {
 	*testclock.Clock
-	rng    *rand.Rand
-	sent   int
-	asked  int
-	tables []*Table
-	guards map[string]*zoneGuard
-	usual  time.Duration
-	// answered and early count requests since counting began: those with an answer, and
-	// those that an entry refused without asking a guard.
-	answered, early, refused int
-	counting                 bool
+	rng         *rand.Rand
+	attempts    int
+	requests    int
+	tables      []*Table
+	guards      map[string]*zoneGuard
+	serviceTime time.Duration
+	// answered, refusedAtEntry and refusedAtGuard count requests while counting is set: those with
+	// a response, those that an entry refused without contacting a guard, and those that guards
+	// refused.
+	answered, refusedAtEntry, refusedAtGuard int
+	counting                                 bool
 }
 
 type zoneGuard struct {
@@ -39,15 +40,15 @@
 type zoneCall struct {
 	guard  *zoneGuard
 	target *Target
-	sent   time.Time
+	sentAt time.Time
 	done   func(refused bool)
 }
 
-// hop is the time from an entry to a guard.
-const hop = 200 * time.Microsecond
+// networkDelay is the one-way latency between an entry and a guard.
+const networkDelay = 200 * time.Microsecond
 
-func newZoneModel(entries, guards, slots int, usual time.Duration) *zoneModel {
-	m := &zoneModel{Clock: testclock.New(origin), rng: rand.New(rand.NewPCG(5, 6)), guards: map[string]*zoneGuard{}, usual: usual}
+func newZoneModel(entries, guards, slots int, serviceTime time.Duration) *zoneModel {
+	m := &zoneModel{Clock: testclock.New(origin), rng: rand.New(rand.NewPCG(5, 6)), guards: map[string]*zoneGuard{}, serviceTime: serviceTime}
 	var eps []Endpoint
 	for i := range guards {
 		ep := upstream("saga", i, slots).ep
@@ -70,20 +71,20 @@
 	m.After(10*time.Millisecond, m.tick)
 }
 
-// load lets requests come at a rate, each to any entry.
-func (m *zoneModel) load(perSecond float64) {
+// generateLoad generates requests at a rate, each at a random entry.
+func (m *zoneModel) generateLoad(perSecond float64) {
 	m.request()
-	m.After(time.Duration(m.rng.ExpFloat64()/perSecond*float64(time.Second)), func() { m.load(perSecond) })
+	m.After(time.Duration(m.rng.ExpFloat64()/perSecond*float64(time.Second)), func() { m.generateLoad(perSecond) })
 }
 
 func (m *zoneModel) request() {
 	table := m.tables[m.rng.IntN(len(m.tables))]
-	m.asked++
-	hash := callctx.HashCaller("default", fmt.Sprintf("request%d", m.asked))
+	m.requests++
+	hash := callctx.HashCaller("default", fmt.Sprintf("request%d", m.requests))
 	m.attempt(table, hash, nil)
 }
 
-// attempt sends a request to a guard, and once more to another one after a refusal.
+// attempt sends a request to a guard. After a refusal it retries once at another guard.
 func (m *zoneModel) attempt(table *Table, hash uint32, avoid []string) {
 	rank := admission.Rank(callctx.LevelNormal, hash)
 	target, refusal := table.Pick(m.Now(), m.rng, PickInfo{Service: "archive", Rank: rank, Avoid: avoid})
@@ -93,9 +94,9 @@
 	}
 	node := target.Endpoint().Node
 	target.Start(m.Now())
-	m.sent++
-	id := strconv.Itoa(m.sent)
-	call := &zoneCall{guard: m.guards[node], target: target, sent: m.Now()}
+	m.attempts++
+	id := strconv.Itoa(m.attempts)
+	call := &zoneCall{guard: m.guards[node], target: target, sentAt: m.Now()}
 	call.done = func(refused bool) {
 		if refused && avoid == nil {
 			m.attempt(table, hash, []string{node})
@@ -103,16 +104,16 @@
 		}
 		m.count(false, refused)
 	}
-	m.After(hop, func() { m.arrive(call, id, hash) })
+	m.After(networkDelay, func() { m.arrive(call, id, hash) })
 }
 
-func (m *zoneModel) count(early, refused bool) {
+func (m *zoneModel) count(atEntry, refused bool) {
 	switch {
 	case !m.counting:
-	case early:
-		m.early++
+	case atEntry:
+		m.refusedAtEntry++
 	case refused:
-		m.refused++
+		m.refusedAtGuard++
 	default:
 		m.answered++
 	}
@@ -120,15 +121,15 @@
 
 func (m *zoneModel) arrive(c *zoneCall, id string, hash uint32) {
 	c.guard.calls[id] = c
-	d, others := c.guard.ctl.Offer(m.Now(), admission.Request{
+	decision, decisions := c.guard.ctl.Offer(m.Now(), admission.Request{
 		ID: id, Level: callctx.LevelNormal, CallerHash: hash, RootAdmitted: m.Now(), Deadline: m.Now().Add(time.Second),
 	})
-	m.apply(c.guard, others)
-	m.apply(c.guard, []admission.Decision{d})
+	m.apply(c.guard, decisions)
+	m.apply(c.guard, []admission.Decision{decision})
 }
 
-func (m *zoneModel) apply(g *zoneGuard, ds []admission.Decision) {
-	for _, d := range ds {
+func (m *zoneModel) apply(g *zoneGuard, decisions []admission.Decision) {
+	for _, d := range decisions {
 		c := g.calls[d.ID]
 		switch {
 		case c == nil || d.Verdict == admission.Wait:
@@ -142,7 +143,7 @@
 }
 
 func (m *zoneModel) serve(c *zoneCall, id string) {
-	took := time.Duration((0.8 + 0.4*m.rng.Float64()) * float64(m.usual))
+	took := time.Duration((0.8 + 0.4*m.rng.Float64()) * float64(m.serviceTime))
 	m.After(took, func() {
 		delete(c.guard.calls, id)
 		m.apply(c.guard, c.guard.ctl.Finish(m.Now(), id, admission.Answered, took))
@@ -150,29 +151,29 @@
 	})
 }
 
-// answer sends an answer back, with the guard's load as it is now.
+// answer sends a response with the guard's current load.
 func (m *zoneModel) answer(c *zoneCall, o Outcome) {
 	l := c.guard.ctl.Load()
 	report := &LoadReport{InFlight: l.InFlight, Queued: l.Queued, Limit: l.Limit, Threshold: l.Threshold, Overloaded: l.Overloaded, Incarnation: 1}
-	m.After(hop, func() {
-		c.target.Done(m.Now(), o, m.Now().Sub(c.sent), report)
+	m.After(networkDelay, func() {
+		c.target.Done(m.Now(), o, m.Now().Sub(c.sentAt), report)
 		c.done(o == Refused)
 	})
 }
 
-// Guards against slots that stay empty under mild overload because entries refuse by
-// outdated reports.
+// Guards against slots that stay idle under mild overload because entries refuse calls based on
+// outdated load reports.
 func TestEntriesKeepSmallGuardsBusyUnderMildOverload(t *testing.T) {
 	const entries, guards, slots, overload = 3, 2, 8, 1.2
-	const settled, end = 2 * time.Second, 22 * time.Second
-	usual := 20 * time.Millisecond
-	m := newZoneModel(entries, guards, slots, usual)
-	capacity := guards * slots / usual.Seconds()
-	m.load(overload * capacity)
-	m.Run(settled)
+	const warmup, end = 2 * time.Second, 22 * time.Second
+	serviceTime := 20 * time.Millisecond
+	m := newZoneModel(entries, guards, slots, serviceTime)
+	capacity := guards * slots / serviceTime.Seconds()
+	m.generateLoad(overload * capacity)
+	m.Run(warmup)
 	m.counting = true
 	m.Run(end)
-	room := capacity * (end - settled).Seconds()
-	t.Logf("answered %.3f of the room, refused %d at guards, %d at entries", float64(m.answered)/room, m.refused, m.early)
-	must.GreaterEq(t, 0.95*room, float64(m.answered))
+	capacityCalls := capacity * (end - warmup).Seconds()
+	t.Logf("answered %.3f of the capacity, refused %d at guards, %d at entries", float64(m.answered)/capacityCalls, m.refusedAtGuard, m.refusedAtEntry)
+	must.GreaterEq(t, 0.95*capacityCalls, float64(m.answered))
 }
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -9,115 +9,116 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// scanLimit bounds how many targets of a tier are looked at for one with room
-// once one is known that would at least queue the call.
+// scanLimit is the number of targets of a tier after which the scan for one with capacity stops, if
+// it has found a target that would at least queue the call.
 const scanLimit = 64
 
-// unknownService is the refusal for a service without any endpoint.
-var unknownService = result.Refuse(result.NoUpstream, "no upstream of the service is known")
+// unknownServiceRefusal is the refusal for a service without endpoints.
+var unknownServiceRefusal = result.Refuse(result.NoUpstream, "no upstream of the service is known")
 
-// verdict says what a target offers to one call, best first.
+// verdict is the evaluation of a target for one call, best first.
 type verdict int
 
 const (
-	// hasRoom would run the call at once.
-	hasRoom verdict = iota
-	// isBusy would queue it, or is cold and had its share of calls.
+	// hasCapacity means that the target would run the call at once.
+	hasCapacity verdict = iota
+	// isBusy means that the target would queue the call, or that it is in slow start and has
+	// received its share of calls.
 	isBusy
-	// isSpare is to be left alone while another one takes the call.
-	isSpare
-	// wouldShed would refuse it, as a fresh report says.
+	// isFallback means that the target is used only if no other target takes the call.
+	isFallback
+	// wouldShed means that the target would refuse the call, according to a fresh report.
 	wouldShed
-	// isOut is ejected or suspect.
-	isOut
-	// probeDue is ejected, and its time is up.
-	probeDue
-	// never is draining or was tried before.
-	never
+	// isUnavailable means that the target is ejected or suspect.
+	isUnavailable
+	// isProbeDue means that the target is ejected and may be probed.
+	isProbeDue
+	// isExcluded means that the target is draining or was already tried.
+	isExcluded
 )
 
-// choice is the state of one Pick. It lives on the stack.
-type choice struct {
-	at    int64
-	cfg   *Config
-	svc   *service
-	rng   *rand.Rand
-	rank  uint32
-	deep  bool
-	avoid []string
+// pickState is the state of one Pick. It is allocated on the stack.
+type pickState struct {
+	at           int64
+	cfg          *Config
+	svc          *service
+	rng          *rand.Rand
+	rank         uint32
+	hasPriorWork bool
+	avoid        []string
 
-	// The best of each verdict but hasRoom that was met.
-	busy      *Target
-	busyScore float64
-	spare     *Target
-	shedding  *Target
-	out       *Target
-	draining  bool
-	// validUntil is when the first report behind a wouldShed gets old.
-	validUntil int64
+	// Targets found so far, by verdict: the best busy one, and the first one of each other verdict
+	// except hasCapacity.
+	bestBusy      *Target
+	bestBusyScore float64
+	fallback      *Target
+	shedding      *Target
+	unavailable   *Target
+	foundDraining bool
+	// shedValidUntil is the time at which the oldest report behind a wouldShed verdict expires.
+	shedValidUntil int64
 }
 
-// Pick chooses the target of a call. rng is used by one goroutine at a time.
-// The refusal, when there is one, has the code NoUpstream, ShedEarly or
-// Draining and is shared: it must not be changed.
+// Pick chooses the target of a call. rng must not be used by several goroutines at once. A refusal
+// has the code NoUpstream, ShedEarly or Draining. It is shared and must not be modified.
 func (t *Table) Pick(now time.Time, rng *rand.Rand, info PickInfo) (*Target, *result.Refusal) {
 	v := t.views[info.Service]
 	if v == nil {
-		return nil, unknownService
-	}
-	c := choice{
-		at:         int64(now.Sub(t.epoch)),
-		cfg:        v.svc.cfg.Load(),
-		svc:        v.svc,
-		rng:        rng,
-		rank:       info.Rank,
-		deep:       info.HasPriorWork,
-		avoid:      info.Avoid,
-		validUntil: math.MaxInt64,
+		return nil, unknownServiceRefusal
+	}
+	c := pickState{
+		at:             int64(now.Sub(t.epoch)),
+		cfg:            v.svc.cfg.Load(),
+		svc:            v.svc,
+		rng:            rng,
+		rank:           info.Rank,
+		hasPriorWork:   info.HasPriorWork,
+		avoid:          info.Avoid,
+		shedValidUntil: math.MaxInt64,
 	}
 	if info.Node != "" {
 		return c.pickNode(t, v, info.Node)
 	}
 	probe := false
-	if !c.deep && v.svc.knownFull(c.at, c.rank) {
-		probe = c.rollProbe()
+	if !c.hasPriorWork && v.svc.shedMemoCovers(c.at, c.rank) {
+		probe = c.sampleProbe()
 		if !probe {
 			return nil, v.shedEarly
 		}
 	}
-	if g := c.pickWithRoom(v, info.SuspectedCrasher); g != nil {
+	if g := c.pickWithCapacity(v, info.SuspectedCrasher); g != nil {
 		return g, nil
 	}
-	return c.settle(v, probe)
+	return c.pickWithoutCapacity(v, probe)
 }
 
-// pickNode is for calls that only one node may run.
-func (c *choice) pickNode(t *Table, v *view, node string) (*Target, *result.Refusal) {
-	g := t.nodes[node]
+// pickNode handles calls that only one node may run.
+func (c *pickState) pickNode(t *Table, v *serviceView, node string) (*Target, *result.Refusal) {
+	g := t.targetsByNode[node]
 	if g == nil || g.svc != v.svc {
 		return nil, v.noUpstream
 	}
 	c.avoid = nil
-	switch c.judge(g) {
-	case never:
+	switch c.evaluate(g) {
+	case isExcluded:
 		return nil, v.draining
 	case wouldShed:
-		if !c.rollProbe() {
+		if !c.sampleProbe() {
 			return nil, v.shedEarly
 		}
 	}
 	return g, nil
 }
 
-// pickWithRoom returns a target with room, the nearest tier first. A tier is
-// left only when none of it has room, so neither is work sent away while the
-// own zone has room nor refused while another zone has some.
-func (c *choice) pickWithRoom(v *view, crasher bool) *Target {
-	if crasher {
-		return c.fewestBystanders(v)
-	}
-	if own := v.own; own != nil && c.cfg.OwnNodeLoad > 0 {
-		if c.judge(own) == hasRoom && own.score(c.at, c.cfg) <= c.cfg.OwnNodeLoad {
+// pickWithCapacity returns a target with capacity, from the nearest tier that has one. A tier is
+// left only if none of its targets has capacity. So no call leaves the own zone while the own zone
+// has capacity, and none is refused while another zone has capacity.
+func (c *pickState) pickWithCapacity(v *serviceView, suspectedCrasher bool) *Target {
+	if suspectedCrasher {
+		return c.fewestInFlight(v)
+	}
+	if own := v.ownTarget; own != nil && c.cfg.OwnNodeLoad > 0 {
+		if c.evaluate(own) == hasCapacity && own.score(c.at, c.cfg) <= c.cfg.OwnNodeLoad {
 			return own
 		}
 	}
@@ -136,9 +137,9 @@
 	return nil
 }
 
-// pickOfTwo compares two random targets of the tier's prefix; nil when neither
-// has room.
-func (c *choice) pickOfTwo(tr *tier) *Target {
+// pickOfTwo compares two random targets of the tier's prefix. It returns nil if neither has
+// capacity.
+func (c *pickState) pickOfTwo(tr *tier) *Target {
 	if tr.prefix == 1 {
 		return nil
 	}
@@ -148,67 +149,67 @@
 		j++
 	}
 	a, b := tr.targets[i], tr.targets[j]
-	va, vb := c.judge(a), c.judge(b)
+	va, vb := c.evaluate(a), c.evaluate(b)
 	switch {
-	case va == probeDue && a.ejection.takeProbe(c.at, c.cfg):
+	case va == isProbeDue && a.ejection.claimProbe(c.at, c.cfg):
 		return a
-	case vb == probeDue && b.ejection.takeProbe(c.at, c.cfg):
+	case vb == isProbeDue && b.ejection.claimProbe(c.at, c.cfg):
 		return b
 	}
-	c.remember(a, va)
-	c.remember(b, vb)
+	c.addCandidate(a, va)
+	c.addCandidate(b, vb)
 	switch {
-	case va == hasRoom && vb == hasRoom:
+	case va == hasCapacity && vb == hasCapacity:
 		if a.score(c.at, c.cfg) <= b.score(c.at, c.cfg) {
 			return a
 		}
 		return b
-	case va == hasRoom:
-		return c.orBusy(a)
-	case vb == hasRoom:
-		return c.orBusy(b)
+	case va == hasCapacity:
+		return c.orCheaperBusy(a)
+	case vb == hasCapacity:
+		return c.orCheaperBusy(b)
 	}
 	return nil
 }
 
-// orBusy returns g, which has room, or the best busy target when even with its
-// queue that one costs less. Room is what a report said some time ago; when
-// all others queue, every sender in turn would take the one upstream that was
-// slow or failing, hence left alone and not heard of, and bury it in calls.
-func (c *choice) orBusy(g *Target) *Target {
-	if c.busy != nil && c.busyScore < g.score(c.at, c.cfg) {
-		return c.busy
+// orCheaperBusy returns g, which has capacity, or the best busy target if that one has the lower
+// score in spite of its queue. The capacity of g comes from a report that may be outdated: a slow
+// or failing upstream receives few calls and therefore reports rarely. When all other targets queue
+// calls, every sender would choose that upstream and overload it.
+func (c *pickState) orCheaperBusy(g *Target) *Target {
+	if c.bestBusy != nil && c.bestBusyScore < g.score(c.at, c.cfg) {
+		return c.bestBusy
 	}
 	return g
 }
 
-// scan looks through the tier for a target with room: the prefix from a random
-// start, then the rest in order, which widens the subset by as little as the
-// saturation asks for.
-func (c *choice) scan(tr *tier) *Target {
+// scan searches the tier for a target with capacity. It searches the prefix from a random start and
+// then the remaining targets in order, which widens the subset by no more targets than the
+// saturation requires.
+func (c *pickState) scan(tr *tier) *Target {
 	start := c.rng.IntN(tr.prefix)
 	for k, g := range tr.targets {
 		if k < tr.prefix {
 			g = tr.targets[(start+k)%tr.prefix]
 		}
-		v := c.judge(g)
-		if v == hasRoom {
-			return c.orBusy(g)
+		v := c.evaluate(g)
+		if v == hasCapacity {
+			return c.orCheaperBusy(g)
 		}
-		if v == probeDue && g.ejection.takeProbe(c.at, c.cfg) {
+		if v == isProbeDue && g.ejection.claimProbe(c.at, c.cfg) {
 			return g
 		}
-		c.remember(g, v)
-		if k >= scanLimit && c.busy != nil {
+		c.addCandidate(g, v)
+		if k >= scanLimit && c.bestBusy != nil {
 			return nil
 		}
 	}
 	return nil
 }
 
-// fewestBystanders returns the target with room that runs the fewest calls, so
-// that a crash takes the fewest with it.
-func (c *choice) fewestBystanders(v *view) *Target {
+// fewestInFlight returns the target with capacity that runs the fewest calls, which limits the
+// calls lost in a crash.
+func (c *pickState) fewestInFlight(v *serviceView) *Target {
 	for d := range v.tiers {
 		tr := &v.tiers[d]
 		var best *Target
@@ -217,12 +218,12 @@
 			if k >= tr.prefix && best != nil {
 				break
 			}
-			verdict := c.judge(g)
-			if verdict != hasRoom {
-				c.remember(g, verdict)
+			verdict := c.evaluate(g)
+			if verdict != hasCapacity {
+				c.addCandidate(g, verdict)
 				continue
 			}
-			if n := float64(g.inFlight.Load()) + g.report.others(); n < fewest {
+			if n := float64(g.inFlight.Load()) + g.report.otherWork(); n < fewest {
 				best, fewest = g, n
 			}
 		}
@@ -233,98 +234,98 @@
 	return nil
 }
 
-// judge says what g offers to this call.
-func (c *choice) judge(g *Target) verdict {
+// evaluate returns the verdict on g for this call.
+func (c *pickState) evaluate(g *Target) verdict {
 	if g.isDraining(c.at, c.cfg) {
-		c.draining = true
-		return never
+		c.foundDraining = true
+		return isExcluded
 	}
 	if len(c.avoid) > 0 && slices.Contains(c.avoid, g.endpoint.Load().Node) {
-		return never
+		return isExcluded
 	}
-	if g.ejection.out() {
-		// A retry is no probe: it has met one failure already.
+	if g.ejection.active() {
+		// A retry is not used as a probe, because its call has already failed once.
 		if len(c.avoid) == 0 && g.ejection.probeDue(c.at) {
-			return probeDue
+			return isProbeDue
 		}
-		return isOut
+		return isUnavailable
 	}
 	if g.isSuspect(c.at, c.cfg) {
-		return isOut
+		return isUnavailable
 	}
 	if g.fallback.Load() {
-		return isSpare
+		return isFallback
 	}
 	fresh := g.report.fresh(c.at, c.cfg.LoadAge)
-	if fresh && g.report.sheds(c.rank) && !(c.deep && g.idle()) {
+	if fresh && g.report.sheds(c.rank) && !(c.hasPriorWork && g.hasIdleSlot()) {
 		return wouldShed
 	}
 	if fresh && g.report.saturated() || g.inFlight.Load() > g.capacity(fresh) {
 		return isBusy
 	}
-	if g.ramp.warm.Load() {
-		return hasRoom
+	if g.slowStart.warm.Load() {
+		return hasCapacity
 	}
-	if share := g.ramp.share(c.at, c.cfg); share < 1 && c.rng.Float64() >= share {
+	if share := g.slowStart.share(c.at, c.cfg); share < 1 && c.rng.Float64() >= share {
 		return isBusy
 	}
-	return hasRoom
+	return hasCapacity
 }
 
-// remember keeps the best target of each verdict in case none has room.
-func (c *choice) remember(g *Target, v verdict) {
+// addCandidate keeps a target of each verdict, for the case that none has capacity.
+func (c *pickState) addCandidate(g *Target, v verdict) {
 	switch v {
 	case isBusy:
-		// A cold target holds few calls; without its share it would take
-		// the overflow of all the others.
-		score := g.score(c.at, c.cfg) / g.ramp.share(c.at, c.cfg)
-		if c.busy == nil || score < c.busyScore {
-			c.busy, c.busyScore = g, score
+		// A target in slow start holds few calls. If its score were not divided by its share, it
+		// would receive all calls that exceed the capacity of the others.
+		score := g.score(c.at, c.cfg) / g.slowStart.share(c.at, c.cfg)
+		if c.bestBusy == nil || score < c.bestBusyScore {
+			c.bestBusy, c.bestBusyScore = g, score
 		}
-	case isSpare:
-		if c.spare == nil {
-			c.spare = g
+	case isFallback:
+		if c.fallback == nil {
+			c.fallback = g
 		}
 	case wouldShed:
 		if c.shedding == nil {
 			c.shedding = g
 		}
-		c.validUntil = min(c.validUntil, g.report.at.Load()+int64(c.cfg.LoadAge))
-	case isOut, probeDue:
-		if c.out == nil {
-			c.out = g
+		c.shedValidUntil = min(c.shedValidUntil, g.report.receivedAt.Load()+int64(c.cfg.LoadAge))
+	case isUnavailable, isProbeDue:
+		if c.unavailable == nil {
+			c.unavailable = g
 		}
 	}
 }
 
-// settle decides when no target has room.
-func (c *choice) settle(v *view, probe bool) (*Target, *result.Refusal) {
-	if c.busy != nil {
-		return c.busy, nil
+// pickWithoutCapacity chooses a target or a refusal when no target has capacity.
+func (c *pickState) pickWithoutCapacity(v *serviceView, probe bool) (*Target, *result.Refusal) {
+	if c.bestBusy != nil {
+		return c.bestBusy, nil
 	}
-	if c.spare != nil {
-		return c.spare, nil
+	if c.fallback != nil {
+		return c.fallback, nil
 	}
 	if c.shedding != nil {
-		if probe || c.rollProbe() {
+		if probe || c.sampleProbe() {
 			return c.shedding, nil
 		}
-		if len(c.avoid) == 0 && !c.deep {
-			v.svc.setFull(c.at, c.rank, c.validUntil)
+		if len(c.avoid) == 0 && !c.hasPriorWork {
+			v.svc.setShedMemo(c.at, c.rank, c.shedValidUntil)
 		}
 		return nil, v.shedEarly
 	}
-	if c.out != nil {
-		return c.out, nil
+	if c.unavailable != nil {
+		return c.unavailable, nil
 	}
-	if c.draining {
+	if c.foundDraining {
 		return nil, v.draining
 	}
 	return nil, v.noUpstream
 }
 
-// rollProbe lets a small share of calls through against the reports, so that a
-// wrong "full" cannot keep itself alive by never being tested.
-func (c *choice) rollProbe() bool {
+// sampleProbe selects a small share of calls that are sent in spite of the reports. Without them an
+// outdated report of shedding would never be replaced, because no call would bring a new one.
+func (c *pickState) sampleProbe() bool {
 	return c.rng.Float64() < c.cfg.ProbeShare
 }
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -1,20 +1,20 @@
 package routing
 
 const (
-	// Bounds of the latency factor. A latency below the mean attracts no
-	// more, so that one quick endpoint is not flooded.
+	// Bounds of the latency factor. A latency below the mean does not lower the score, so that one
+	// fast endpoint is not flooded.
 	minLatencyFactor = 1
 	maxLatencyFactor = 16
-	// minGoodShare bounds the penalty for refusals and failures at 400.
-	minGoodShare = 0.05
+	// minSuccessShare limits the factor for refusals and failures to 400.
+	minSuccessShare = 0.05
 )
 
-// maxLimitOverSlots bounds the reported limit by the announced slots: an
-// absurd limit would make the target look idle whatever it holds.
-const maxLimitOverSlots = 2
+// maxLimitPerSlot bounds the reported limit relative to the announced slots. With an implausibly
+// high limit a target would look idle under any load.
+const maxLimitPerSlot = 2
 
-// capacity is how many calls the target runs at once: the reported limit
-// while it is fresh, else the announced slots; at least 1.
+// capacity returns the number of calls that the target runs at once: the reported limit if the
+// report is fresh, otherwise the announced slots. It is at least 1.
 func (g *Target) capacity(fresh bool) int64 {
 	slots := g.slots.Load()
 	if !fresh {
@@ -25,33 +25,32 @@
 	case limit <= 0:
 		return max(1, slots)
 	case slots > 0:
-		return min(limit, maxLimitOverSlots*slots)
+		return min(limit, maxLimitPerSlot*slots)
 	}
 	return limit
 }
 
-// score is the cost of one more call; lower is better. It multiplies what the
-// target says (work of others over capacity) by what was seen here (own calls
-// in flight, latency, refusals), so a report of zero load does not outweigh
-// slow or refused answers.
+// score returns the cost of one more call; lower is better. It multiplies reported values (other
+// senders' work over capacity) by this node's own observations (calls in flight, latency,
+// refusals). So a report of zero load cannot outweigh slow or refused calls.
 func (g *Target) score(at int64, cfg *Config) float64 {
-	got := g.report.at.Load()
-	fresh := got != 0 && at-got <= int64(cfg.LoadAge)
+	receivedAt := g.report.receivedAt.Load()
+	fresh := receivedAt != 0 && at-receivedAt <= int64(cfg.LoadAge)
 	capacity := float64(g.capacity(fresh))
-	others := g.svc.load.load() * capacity
+	otherWork := g.svc.meanLoad.load() * capacity
 	if fresh {
-		// An ageing report fades into the mean of the service: neither
-		// "empty" nor "full" outlives the time it was true.
-		weight := 1 - float64(max(at-got, 0))/float64(cfg.LoadAge)
-		others = weight*g.report.others() + (1-weight)*others
+		// The weight of a report decreases with its age in favour of the mean of the service, so
+		// that a report of an empty or a full target loses its effect before it expires.
+		weight := 1 - float64(max(at-receivedAt, 0))/float64(cfg.LoadAge)
+		otherWork = weight*g.report.otherWork() + (1-weight)*otherWork
 	}
-	work := float64(g.inFlight.Load()) + others + 1
-	return work / capacity * g.latencyFactor(at, cfg) * g.badFactor(at, cfg)
+	work := float64(g.inFlight.Load()) + otherWork + 1
+	return work / capacity * g.latencyFactor(at, cfg) * g.failureFactor(at, cfg)
 }
 
 // latencyFactor compares the target's latency with the mean of its service.
 func (g *Target) latencyFactor(at int64, cfg *Config) float64 {
-	mean := g.svc.latency.load()
+	mean := g.svc.meanLatency.load()
 	if mean == 0 {
 		return 1
 	}
@@ -60,27 +59,26 @@
 		latency = mean
 	}
 	if latency > mean {
-		idle := at - g.learnedAt.Load()
-		latency = mean + forget(latency-mean, idle, int64(cfg.LatencyDecay))
+		idle := at - g.sampledAt.Load()
+		latency = mean + decay(latency-mean, idle, int64(cfg.LatencyDecay))
 	}
-	// A target that holds calls and gives no answer is at least as slow as
-	// its silence is long. Without this a silent upstream keeps the good
-	// estimate of its last answer until its first calls time out.
-	if since := g.silentSince.Load(); since != 0 && g.inFlight.Load() > 0 {
+	// A target with calls in flight is at least as slow as the time since unansweredSince. Without
+	// this an unresponsive upstream would keep the good estimate of its last response until its
+	// first calls time out.
+	if since := g.unansweredSince.Load(); since != 0 && g.inFlight.Load() > 0 {
 		latency = max(latency, float64(at-since))
 	}
 	return min(max(latency/mean, minLatencyFactor), maxLatencyFactor)
 }
 
-// badFactor grows with the share of refusals and failures. Refused calls
-// leave quickly, so that in-flight counts alone would favour a target that
-// refuses everything.
-func (g *Target) badFactor(at int64, cfg *Config) float64 {
-	bad := g.refused.load() + g.failed.load()
-	if bad == 0 {
+// failureFactor grows with the share of refusals and failures. Refused calls end quickly, so with
+// in-flight counts alone a target that refuses all calls would be preferred.
+func (g *Target) failureFactor(at int64, cfg *Config) float64 {
+	failureShare := g.refusedShare.load() + g.failedShare.load()
+	if failureShare == 0 {
 		return 1
 	}
-	bad = forget(bad, at-g.learnedAt.Load(), int64(cfg.LatencyDecay))
-	good := max(1-bad, minGoodShare)
-	return 1 / (good * good)
+	failureShare = decay(failureShare, at-g.sampledAt.Load(), int64(cfg.LatencyDecay))
+	successShare := max(1-failureShare, minSuccessShare)
+	return 1 / (successShare * successShare)
 }
--- a/internal/routing/shed.go
+++ b/internal/routing/shed.go
@@ -2,9 +2,8 @@
 
 import "time"
 
-// ShedsFrom returns the rank from which on every usable upstream of a service
-// says that it sheds calls; NoThreshold when one of them sheds none or has not
-// said anything lately.
+// ShedsFrom returns the rank from which every usable upstream of a service sheds calls, according
+// to the reports. It returns NoThreshold if one of them sheds no calls or has no fresh report.
 func (t *Table) ShedsFrom(now time.Time, name string) uint32 {
 	v := t.views[name]
 	if v == nil {
@@ -12,20 +11,20 @@
 	}
 	at := int64(now.Sub(t.epoch))
 	cfg := v.svc.cfg.Load()
-	most := uint32(0)
+	highest := uint32(0)
 	usable := false
-	for _, g := range v.all {
-		if g.isDraining(at, cfg) || g.ejection.out() || g.isSuspect(at, cfg) {
+	for _, g := range v.targets {
+		if g.isDraining(at, cfg) || g.ejection.active() || g.isSuspect(at, cfg) {
 			continue
 		}
 		if !g.report.fresh(at, cfg.LoadAge) {
 			return NoThreshold
 		}
 		usable = true
-		most = max(most, g.report.threshold())
+		highest = max(highest, g.report.threshold())
 	}
 	if !usable {
 		return NoThreshold
 	}
-	return most
+	return highest
 }
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -6,42 +6,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// distance of an endpoint from the choosing node.
+// distance is the distance of an endpoint from the sending node.
 type distance int
 
 const (
 	ownZone distance = iota
 	ownRegion
-	elsewhere
-	distances
+	otherRegion
+	distanceCount
 )
 
-// minSpill is the least part of each more distant tier in the subset, so that
-// a lost zone does not put all its load on one remote endpoint.
-const minSpill = 4
+// minTierPrefix is the minimum prefix of each more distant tier, so that the failure of a zone does
+// not move all of its load to one remote endpoint.
+const minTierPrefix = 4
 
 func (s Self) distanceTo(ep *Endpoint) distance {
 	switch {
 	case ep.Region != s.Region:
-		return elsewhere
+		return otherRegion
 	case ep.Zone != s.Zone:
 		return ownRegion
 	}
 	return ownZone
 }
 
-// tier is the targets of one service at one distance.
+// tier holds the targets of one service at one distance.
 type tier struct {
-	// targets are in this node's order of preference.
+	// targets is in this node's order of preference.
 	targets []*Target
-	// prefix is how many of them are normally used. The rest are reached
-	// only when none of the prefix has room, so connections stay bounded.
+	// prefix is the number of targets that are normally used. The remaining ones are used only if
+	// no target of the prefix has capacity, which bounds the number of connections.
 	prefix int
 }
 
-// subsetHash orders endpoints for a node by rendezvous hashing: a change of one
-// endpoint moves no other, and each node prefers another subset, so that the
-// subsets of many nodes cover all endpoints evenly.
+// subsetHash orders endpoints for a node by rendezvous hashing. Adding or removing an endpoint does
+// not reorder the others. Each node prefers a different subset, so the subsets of many nodes cover
+// all endpoints evenly.
 func subsetHash(self, node string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -51,31 +51,32 @@
 	return d.Sum64()
 }
 
+// ranked is a target with its sort keys.
 type ranked struct {
 	target *Target
 	hash   uint64
 	node   string
 }
 
-// buildTiers groups targets by distance, orders them and sizes the prefixes:
-// the own zone takes what it can of size, the next tiers the rest.
-func buildTiers(self Self, targets []*Target, size int) [distances]tier {
-	var groups [distances][]ranked
+// buildTiers groups targets by distance, orders them and sets the prefixes. The own zone takes as
+// many targets as it can of size, and the more distant tiers take the rest.
+func buildTiers(self Self, targets []*Target, size int) [distanceCount]tier {
+	var groups [distanceCount][]ranked
 	for _, g := range targets {
 		ep := g.endpoint.Load()
 		d := self.distanceTo(ep)
 		groups[d] = append(groups[d], ranked{g, subsetHash(self.Node, ep.Node), ep.Node})
 	}
-	var tiers [distances]tier
-	left := size
+	var tiers [distanceCount]tier
+	remaining := size
 	for d, group := range groups {
 		slices.SortFunc(group, compareRanked)
 		t := &tiers[d]
 		for _, r := range group {
 			t.targets = append(t.targets, r.target)
 		}
-		t.prefix = min(len(group), max(left, minSpill))
-		left -= t.prefix
+		t.prefix = min(len(group), max(remaining, minTierPrefix))
+		remaining -= t.prefix
 	}
 	return tiers
 }
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -27,8 +27,9 @@
 	return eps
 }
 
-// Guards against a refusal beside an upstream with room, or a call to one that must not get it.
-func TestPick_RefusesOnlyWhenItMust(t *testing.T) {
+// Guards against refusing a call while an upstream has capacity, and against choosing an upstream
+// that is draining or must be avoided.
+func TestPick_RefusesOnlyWithoutUsableUpstream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		cfg.SubsetSize = 2
@@ -41,7 +42,7 @@
 			isAvoided[node] = true
 		}
 		allowed, suspect := map[*Target]bool{}, map[*Target]bool{}
-		open, shedding, draining := 0, 0, 0
+		withCapacity, shedding, draining := 0, 0, 0
 		for _, g := range table.Targets("archive") {
 			ep := g.Endpoint()
 			age := time.Duration(rapid.IntRange(0, 1000).Draw(t, "report age")) * time.Millisecond
@@ -60,7 +61,7 @@
 			case fresh && threshold <= 100:
 				shedding++
 			default:
-				open++
+				withCapacity++
 			}
 			allowed[g] = true
 		}
@@ -71,9 +72,9 @@
 			switch {
 			case refusal == nil:
 				must.True(t, allowed[g])
-				must.False(t, suspect[g] && open+shedding > 0)
+				must.False(t, suspect[g] && withCapacity+shedding > 0)
 			case refusal.Code == result.ShedEarly:
-				must.True(t, open == 0 && shedding > 0 && refusal.AllFull)
+				must.True(t, withCapacity == 0 && shedding > 0 && refusal.AllFull)
 			case refusal.Code == result.Draining:
 				must.True(t, len(allowed) == 0 && draining > 0)
 			default:
@@ -84,9 +85,9 @@
 	})
 }
 
-// One answer shows room again, yet calls are refused on the finding that all
-// were full: it must fall with the first report against it.
-func TestPick_FullFindingEndsWithFirstContraryReport(t *testing.T) {
+// Guards against refusals that continue after one response shows capacity again. The memo that all
+// candidates shed must be cleared by the first report that contradicts it.
+func TestPick_ShedMemoIsClearedByContraryReport(t *testing.T) {
 	n := newFakeNode(t, DefaultConfig(), upstreams("saga", 300, 20)...)
 	for _, g := range n.table.Targets("archive") {
 		g.Start(n.now)
@@ -96,14 +97,15 @@
 	last := n.table.views["archive"].tiers[ownZone].targets[299]
 	last.Start(n.now)
 	last.Done(n.now, Answered, 1, &LoadReport{Threshold: NoThreshold, Limit: 20})
-	// A retry that must avoid it finds all others full, which says nothing
-	// to calls that may go there.
+	// A retry that avoids this node finds that all others shed. This must not set the memo, because
+	// other calls may go to this node.
 	node := last.Endpoint().Node
 	must.Eq(t, "", n.send(PickInfo{Rank: lowRank, Avoid: []string{node}}))
 	must.Eq(t, node, n.send(PickInfo{Rank: lowRank}))
 }
 
-func TestPick_OneProbeAndNoneByRetries(t *testing.T) {
+// Guards against several calls that probe an ejected upstream at once, and against retries as probes.
+func TestPick_OneProbeAndNoneFromRetries(t *testing.T) {
 	n := newFakeNode(t, DefaultConfig(), upstreams("saga", 3, 20)...)
 	g := n.table.ByNode("saga-0")
 	for range n.cfg.EjectFailures {
@@ -117,11 +119,12 @@
 	}
 	must.Eq(t, "saga-0", n.send(PickInfo{Node: "saga-0", Avoid: []string{"saga-0"}}))
 	at, cfg := g.svc.nanos(n.now), g.svc.cfg.Load()
-	must.True(t, g.ejection.takeProbe(at, cfg))
-	must.False(t, g.ejection.takeProbe(at, cfg))
+	must.True(t, g.ejection.claimProbe(at, cfg))
+	must.False(t, g.ejection.claimProbe(at, cfg))
 }
 
-func TestPick_SuspectedCrasherTakesFewestBystanders(t *testing.T) {
+// Guards against a crash that takes more calls with it than necessary.
+func TestPick_SuspectedCrasherUsesFewestCallsInFlight(t *testing.T) {
 	ups := upstreams("saga", 3, 20)
 	n := newFakeNode(t, DefaultConfig(), ups...)
 	for node, calls := range map[string]int{"saga-0": 5, "saga-1": 1, "saga-2": 3} {
@@ -132,7 +135,8 @@
 	must.Eq(t, "saga-1", n.send(PickInfo{SuspectedCrasher: true}))
 }
 
-func TestPick_OwnNodeWhileItHasRoom(t *testing.T) {
+// Guards against a network hop to another node while the own upstream has capacity.
+func TestPick_PrefersOwnNodeWithCapacity(t *testing.T) {
 	ups := append(upstreams("saga", 3, 10), upstream("saga", 3, 10))
 	ups[3].ep.Node = "self"
 	n := newFakeNode(t, DefaultConfig(), ups...)
@@ -142,9 +146,9 @@
 	must.NotEq(t, "self", n.send(PickInfo{}))
 }
 
-// spread returns the largest load of an endpoint over the mean, when each of
-// the senders loads its subset evenly.
-func spread(senders, endpoints, size int) float64 {
+// maxOverMeanLoad returns the load of the most loaded endpoint over the mean, if each sender loads
+// its subset evenly.
+func maxOverMeanLoad(senders, endpoints, size int) float64 {
 	var targets []*Target
 	for i := range endpoints {
 		targets = append(targets, newTarget(newServiceWith(DefaultConfig()), &Endpoint{Node: fmt.Sprint("up-", i)}, origin))
@@ -169,9 +173,9 @@
 	return s
 }
 
-// In a large service some upstreams hold twice the calls of others, whose
-// callers wait for no reason: the senders' subsets fall together on them.
-func TestSubset_Spread(t *testing.T) {
+// Guards against subsets that overlap unevenly. In a large service some upstreams would hold twice
+// the calls of others, and their callers would wait for no reason.
+func TestSubset_LoadIsEven(t *testing.T) {
 	tests := []struct {
 		senders, endpoints, size int
 		bound                    float64
@@ -183,13 +187,13 @@
 		{1000, 20, 24, 1.0},
 	}
 	for _, tc := range tests {
-		got := spread(tc.senders, tc.endpoints, tc.size)
+		got := maxOverMeanLoad(tc.senders, tc.endpoints, tc.size)
 		t.Logf("%d senders, %d endpoints, subset %d: most loaded over mean %.2f", tc.senders, tc.endpoints, tc.size, got)
 		must.LessEq(t, tc.bound, got)
 	}
 }
 
-// One VM is replaced and thousands of connections elsewhere are opened anew.
+// Guards against opening thousands of connections anew elsewhere because one VM is replaced.
 func TestSubset_ChangeMovesOneConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 60).Draw(t, "count")
@@ -220,27 +224,29 @@
 	})
 }
 
+// Guards against losing the observations of an upstream when membership changes, and against
+// applying them to the process that replaces it.
 func TestNewTable_CarriesOver(t *testing.T) {
 	ups := upstreams("saga", 2, 10)
 	n := newFakeNode(t, DefaultConfig(), ups...)
 	first, second := n.table.ByNode("saga-0"), n.table.ByNode("saga-1")
 	ups[0].ep.Slots, ups[1].ep.Incarnation = 99, 2
-	n.membership(ups[0], ups[1], ups[0])
+	n.setMembership(ups[0], ups[1], ups[0])
 	must.Eq(t, first, n.table.ByNode("saga-0"))
 	must.Eq(t, 99, first.Endpoint().Slots)
 	must.NotEq(t, second, n.table.ByNode("saga-1"))
 	must.Len(t, 2, n.table.Targets("archive"))
 }
 
-func TestRamp_ShareByTimeAndAnswers(t *testing.T) {
+func TestSlowStart_ShareByTimeAndAnswers(t *testing.T) {
 	cfg := DefaultConfig()
-	var r ramp
+	var r slowStart
 	r.start(0, -time.Minute, &cfg)
 	second := int64(time.Second)
 	for _, step := range []struct {
 		at, answers int64
 		want        float64
-	}{{0, 0, rampFloor}, {second, 50, 0.1}, {5 * second, 50, 0.5}, {5 * second, 10, 0.2}, {39 * second, 10, 0.2}, {40 * second, 10, 1}} {
+	}{{0, 0, minSlowStartShare}, {second, 50, 0.1}, {5 * second, 50, 0.5}, {5 * second, 10, 0.2}, {39 * second, 10, 0.2}, {40 * second, 10, 1}} {
 		r.answers.Store(step.answers)
 		must.Eq(t, step.want, r.share(step.at, &cfg))
 	}
@@ -255,6 +261,7 @@
 	must.True(t, errors.As(err, &field))
 }
 
+// Guards against wrong counts of calls in flight when tables are replaced while calls run.
 func TestTable_ConcurrentUse(t *testing.T) {
 	ups := upstreams("saga", 8, 4)
 	n := newFakeNode(t, DefaultConfig(), ups...)
@@ -276,7 +283,7 @@
 		})
 	}
 	for range 50 {
-		n.membership(ups...)
+		n.setMembership(ups...)
 		current.Store(n.table)
 	}
 	wg.Wait()
--- a/internal/routing/target.go
+++ b/internal/routing/target.go
@@ -5,54 +5,53 @@
 	"time"
 )
 
-// Gains of a target's averages. Latency rises faster than it falls: a target
-// that slows down is left within a few answers and is trusted again slowly.
+// Gains of a target's averages. Latency rises faster than it falls: a target that slows down loses
+// its calls within a few responses and regains them slowly.
 const (
 	latencyUpGain   = 1.0 / 4
 	latencyDownGain = 1.0 / 8
 	shareGain       = 1.0 / 16
 )
 
-// unreachableWeight is how many failures a failure to connect counts for: an
-// address that takes no connection fails every call, not just some.
+// unreachableWeight is the number of failures that a failure to connect counts for. An address that
+// accepts no connection fails every call, not only some.
 const unreachableWeight = 2
 
-// Target is one endpoint with what this node observed of it.
+// Target holds this node's observations of one endpoint.
 type Target struct {
 	svc      *service
 	endpoint atomic.Pointer[Endpoint]
-	// slots, draining and suspect repeat the endpoint's, so that Pick does
-	// not follow the pointer.
+	// slots, draining, suspect and fallback are copies of the endpoint's fields, so that Pick does
+	// not dereference the pointer.
 	slots    atomic.Int64
 	draining atomic.Bool
 	suspect  atomic.Bool
-	// fallback too.
 	fallback atomic.Bool
 	// incarnation is the last one seen, in a report or from membership.
 	incarnation atomic.Uint64
 
 	inFlight atomic.Int64
-	// silentSince is when the target was last heard of or, if later, sent
-	// the first call that it has not answered; 0 when it owes no answer.
-	silentSince atomic.Int64
-	// answeredAt is when it last gave any answer; 0 for never.
-	answeredAt atomic.Int64
+	// unansweredSince is the time of the target's last response or, if later, the time at which the
+	// first call without a response was sent; 0 if no response is outstanding.
+	unansweredSince atomic.Int64
+	// respondedAt is the time of the target's last response of any kind; 0 if there was none.
+	respondedAt atomic.Int64
 
-	// latency is in nanoseconds; 0 when not known. learnedAt is when
-	// latency, refused or failed last changed.
-	latency     average
-	refused     average
-	failed      average
-	learnedAt   atomic.Int64
-	consecutive atomic.Int64
-	samples     atomic.Int64
+	// latency is in nanoseconds; 0 if unknown. sampledAt is the time of the last change of latency,
+	// refusedShare or failedShare.
+	latency             average
+	refusedShare        average
+	failedShare         average
+	sampledAt           atomic.Int64
+	consecutiveFailures atomic.Int64
+	samples             atomic.Int64
 
-	report   reportCell
-	ramp     ramp
-	ejection ejection
+	report    reportCell
+	slowStart slowStart
+	ejection  ejection
 }
 
-// newTarget makes a target without history.
+// newTarget creates a target without observations.
 func newTarget(svc *service, ep *Endpoint, now time.Time) *Target {
 	g := &Target{svc: svc}
 	g.incarnation.Store(ep.Incarnation)
@@ -61,11 +60,11 @@
 	if !ep.Joined.IsZero() {
 		age = now.Sub(ep.Joined)
 	}
-	g.ramp.start(svc.nanos(now), age, svc.cfg.Load())
+	g.slowStart.start(svc.nanos(now), age, svc.cfg.Load())
 	return g
 }
 
-// update takes over what membership says.
+// update stores the endpoint received from membership.
 func (g *Target) update(ep *Endpoint) {
 	g.endpoint.Store(ep)
 	g.slots.Store(int64(ep.Slots))
@@ -74,88 +73,87 @@
 	g.fallback.Store(ep.Fallback)
 }
 
-// Endpoint returns what membership last said of the target.
+// Endpoint returns the endpoint last received from membership.
 func (g *Target) Endpoint() Endpoint { return *g.endpoint.Load() }
 
-// Start counts a call that is being sent to the target. Every Start is
-// followed by exactly one Done.
+// Start records a call that is being sent to the target. Each Start must be followed by exactly one
+// Done.
 func (g *Target) Start(now time.Time) {
 	g.inFlight.Add(1)
-	if g.silentSince.Load() == 0 {
-		g.silentSince.CompareAndSwap(0, g.svc.nanos(now))
+	if g.unansweredSince.Load() == 0 {
+		g.unansweredSince.CompareAndSwap(0, g.svc.nanos(now))
 	}
 }
 
-// Done counts the end of a call. latency is the time since Start. load is the
-// report on the answer, nil when there was none.
+// Done records the end of a call. latency is the time since Start. load is the report that came
+// with the response, or nil.
 func (g *Target) Done(now time.Time, o Outcome, latency time.Duration, load *LoadReport) {
 	at := g.svc.nanos(now)
 	cfg := g.svc.cfg.Load()
-	own := g.inFlight.Add(-1) + 1
+	ownInFlight := g.inFlight.Add(-1) + 1
 	if load != nil {
-		g.noteReport(at, load, own)
+		g.recordReport(at, load, ownInFlight)
 	}
-	g.noteSilence(at, o, latency, own-1)
-	g.noteLatency(o, float64(max(latency, 1)))
-	g.noteShares(o)
+	g.updateUnansweredSince(at, o, latency, ownInFlight-1)
+	g.recordLatency(o, float64(max(latency, 1)))
+	g.recordOutcome(o)
 	if o != Cancelled {
-		g.learnedAt.Store(at)
+		g.sampledAt.Store(at)
 	}
-	g.noteEjection(at, o, cfg)
+	g.updateEjection(at, o, cfg)
 }
 
-// noteSilence ends the silence with any answer. Calls that were given up do not
-// end it, even when none is left: a target that swallows calls whose callers
-// leave early would else look idle, and be sent the next. One that was not
-// given its usual time to answer owes nothing.
-func (g *Target) noteSilence(at int64, o Outcome, latency time.Duration, left int64) {
+// updateUnansweredSince restarts the unanswered time with any response. A cancelled call does not
+// clear it, even if no other call is in flight: otherwise a target that never responds would look
+// idle whenever its callers cancel early, and would receive the next call. The exception is a call
+// that was cancelled before the target's usual latency had passed.
+func (g *Target) updateUnansweredSince(at int64, o Outcome, latency time.Duration, ownInFlight int64) {
 	switch {
 	case o == Answered || o == Refused || o == Failed:
-		g.answeredAt.Store(at)
-		if left == 0 {
+		g.respondedAt.Store(at)
+		if ownInFlight == 0 {
 			at = 0
 		}
-		g.silentSince.Store(at)
-	case o == Cancelled && left == 0 && float64(latency) < g.latency.load():
-		g.silentSince.Store(0)
+		g.unansweredSince.Store(at)
+	case o == Cancelled && ownInFlight == 0 && float64(latency) < g.latency.load():
+		g.unansweredSince.Store(0)
 	}
 }
 
-// noteReport keeps the report. A report from another incarnation means that
-// the process behind the address was replaced before membership said so:
-// what was learned of the old one would make a cold process look warm, or a
-// sound one look ejected or draining, so it is dropped.
-func (g *Target) noteReport(at int64, r *LoadReport, own int64) {
-	seen := g.incarnation.Load()
-	if r.Incarnation != 0 && r.Incarnation != seen {
-		if g.incarnation.CompareAndSwap(seen, r.Incarnation) {
+// recordReport stores the report. A report from another incarnation means that the process behind
+// the address was replaced before membership showed it. The observations of the old process are
+// then discarded, because they could make a cold process look warm, or a healthy one look ejected
+// or draining.
+func (g *Target) recordReport(at int64, r *LoadReport, ownInFlight int64) {
+	known := g.incarnation.Load()
+	if r.Incarnation != 0 && r.Incarnation != known {
+		if g.incarnation.CompareAndSwap(known, r.Incarnation) {
 			g.reset(at)
 		}
 	}
-	g.report.store(r, own, at)
-	g.svc.learn(r, own)
+	g.report.store(r, ownInFlight, at)
+	g.svc.addReport(r, ownInFlight)
 }
 
 func (g *Target) reset(at int64) {
 	g.latency.store(0)
-	g.refused.store(0)
-	g.failed.store(0)
-	g.consecutive.Store(0)
+	g.refusedShare.store(0)
+	g.failedShare.store(0)
+	g.consecutiveFailures.Store(0)
 	g.samples.Store(0)
-	g.silentSince.Store(0)
+	g.unansweredSince.Store(0)
 	g.report.clear()
 	g.ejection.clear()
-	g.ramp.restart(at)
+	g.slowStart.restart(at)
 }
 
-// noteLatency learns from the time a call took. Only an answer may lower the
-// estimate: a quick refusal or failure would otherwise make a broken upstream
-// look like the fastest one and draw all calls to it.
-func (g *Target) noteLatency(o Outcome, sample float64) {
+// recordLatency updates the latency estimate. Only a response may lower it. If quick refusals or
+// failures did, a broken upstream would look like the fastest one and receive all calls.
+func (g *Target) recordLatency(o Outcome, sample float64) {
 	known := g.latency.load()
 	switch {
 	case o == Answered:
-		g.svc.latency.addOrSet(sample, serviceLatencyGain)
+		g.svc.meanLatency.addOrSet(sample, serviceLatencyGain)
 		gain := latencyDownGain
 		if sample > known {
 			gain = latencyUpGain
@@ -169,30 +167,29 @@
 	}
 }
 
-func (g *Target) noteShares(o Outcome) {
+func (g *Target) recordOutcome(o Outcome) {
 	switch {
 	case o == Cancelled:
 		return
 	case o == Answered:
-		g.ramp.answers.Add(1)
-		g.consecutive.Store(0)
-		g.refused.add(0, shareGain)
-		g.failed.add(0, shareGain)
+		g.slowStart.answers.Add(1)
+		g.consecutiveFailures.Store(0)
+		g.refusedShare.add(0, shareGain)
+		g.failedShare.add(0, shareGain)
 	case o == Refused:
-		g.refused.add(1, shareGain)
+		g.refusedShare.add(1, shareGain)
 	case o == Unreachable:
-		g.consecutive.Add(unreachableWeight)
-		g.failed.add(1, shareGain)
+		g.consecutiveFailures.Add(unreachableWeight)
+		g.failedShare.add(1, shareGain)
 	default:
-		g.consecutive.Add(1)
-		g.failed.add(1, shareGain)
+		g.consecutiveFailures.Add(1)
+		g.failedShare.add(1, shareGain)
 	}
 	g.samples.Add(1)
 }
 
-// isDraining reports whether new work must stay away. A report of draining is
-// believed for DrainHold only: a guard whose drain was called off gets no
-// calls, hence could never say so.
+// isDraining reports whether the target must get no new calls. A report of draining is used for
+// DrainHold only: a guard whose drain was cancelled gets no calls, so it could never report that.
 func (g *Target) isDraining(at int64, cfg *Config) bool {
 	if g.draining.Load() {
 		return true
@@ -200,59 +197,60 @@
 	return g.report.draining() && g.report.fresh(at, cfg.DrainHold)
 }
 
-// isSuspect reports membership's doubt, unless the target answered us within
-// LoadAge: what is seen outweighs what is said.
+// isSuspect reports whether membership suspects the target. A response within LoadAge overrides
+// this, because a direct observation is more reliable.
 func (g *Target) isSuspect(at int64, cfg *Config) bool {
 	if !g.suspect.Load() {
 		return false
 	}
-	answered := g.answeredAt.Load()
-	return answered == 0 || at-answered > int64(cfg.LoadAge)
+	respondedAt := g.respondedAt.Load()
+	return respondedAt == 0 || at-respondedAt > int64(cfg.LoadAge)
 }
 
-// TargetStats is a snapshot of a target for metrics and the administration
-// API. Its fields are read one after another, not at one instant.
+// TargetStats is a snapshot of a target for metrics and the administration API. Its fields are read
+// one after another, not atomically.
 type TargetStats struct {
-	// InFlight counts this node's own calls at the target.
+	// InFlight is the number of this node's own calls at the target.
 	InFlight int
-	// Latency is the moving estimate of the time to an answer.
+	// Latency is the moving average of the time to a response.
 	Latency time.Duration
-	// RefusedShare and FailedShare are moving shares in [0, 1].
+	// RefusedShare and FailedShare are moving averages in [0, 1].
 	RefusedShare float64
 	FailedShare  float64
-	// ConsecutiveFailures since the last answer; a failure to connect
-	// counts double.
+	// ConsecutiveFailures counts failures since the last response. A failure to connect counts
+	// double.
 	ConsecutiveFailures int
-	// Answers since the endpoint joined, re-entered or was replaced.
+	// Answers counts responses since the endpoint joined, was readmitted or was replaced.
 	Answers int
-	// Ejected says that the target is out, or out until its probe returns.
+	// Ejected means that the target is ejected. It stays so until a probe gets a response.
 	Ejected bool
-	// Draining says that membership or the last report says so.
+	// Draining means that membership or the last report says that the target is draining.
 	Draining bool
-	// Incarnation last seen in a report, or else the endpoint's.
+	// Incarnation is the last one seen in a report, or the endpoint's if there was no report.
 	Incarnation uint64
-	// Report is the last one received, and ReportAt when; zero for never.
+	// Report is the last load report and ReportAt the time of its arrival. Both are zero if there
+	// was none.
 	Report   LoadReport
 	ReportAt time.Time
 }
 
-// Ejected reports whether the target is out, or out until its probe returns.
-func (g *Target) Ejected() bool { return g.ejection.out() }
+// Ejected reports whether the target is ejected. It stays so until a probe gets a response.
+func (g *Target) Ejected() bool { return g.ejection.active() }
 
-// Stats returns a snapshot.
+// Stats returns a snapshot of the target.
 func (g *Target) Stats() TargetStats {
 	s := TargetStats{
 		InFlight:            int(g.inFlight.Load()),
 		Latency:             time.Duration(g.latency.load()),
-		RefusedShare:        g.refused.load(),
-		FailedShare:         g.failed.load(),
-		ConsecutiveFailures: int(g.consecutive.Load()),
-		Answers:             int(g.ramp.answers.Load()),
-		Ejected:             g.ejection.out(),
+		RefusedShare:        g.refusedShare.load(),
+		FailedShare:         g.failedShare.load(),
+		ConsecutiveFailures: int(g.consecutiveFailures.Load()),
+		Answers:             int(g.slowStart.answers.Load()),
+		Ejected:             g.ejection.active(),
 		Draining:            g.draining.Load(),
 		Incarnation:         g.incarnation.Load(),
 	}
-	if at := g.report.at.Load(); at != 0 {
+	if at := g.report.receivedAt.Load(); at != 0 {
 		s.Report = g.report.unpack()
 		s.Report.Incarnation = s.Incarnation
 		s.ReportAt = g.svc.epoch.Add(time.Duration(at))
@@ -261,11 +259,11 @@
 	return s
 }
 
-// idle reports whether the last report and the calls that are out from here
-// leave a slot free.
-func (g *Target) idle() bool {
-	if g.report.waiting() > 0 {
+// hasIdleSlot reports whether the last report and this node's own calls in flight leave a slot
+// free.
+func (g *Target) hasIdleSlot() bool {
+	if g.report.queued() > 0 {
 		return false
 	}
-	return g.report.others()+float64(g.inFlight.Load()) < float64(g.report.limit())
+	return g.report.otherWork()+float64(g.inFlight.Load()) < float64(g.report.limit())
 }
