--- a/internal/idempotency/claims.go
+++ b/internal/idempotency/claims.go
@@ -2,82 +2,86 @@
 
 import "time"
 
-// Claim is a record of the log: a guard incarnation says that it will run the
-// key. It may run only if its claim turns out to be the first in the log.
+// Claim is a record of the log by which a guard incarnation announces that it will run the call
+// with a key. The guard may run the call only if its claim is the first one for the key in the
+// log.
 type Claim struct {
 	KeyHash     uint64
 	Node        string
 	Incarnation uint64
-	// Seq tells the claims of one incarnation apart.
+	// Seq distinguishes the claims of one incarnation.
 	Seq uint64
-	// Addr is the claimant's inner address, to send resends to.
+	// Addr is the claimant's inner address, to which resends are forwarded.
 	Addr string
 }
 
-type claimed struct {
+// claimEntry is the winning claim of a key.
+type claimEntry struct {
 	claim Claim
-	at    time.Time
+	// recordedAt is the time of the record or, if the log has none, the time at which it was read.
+	recordedAt time.Time
 }
 
-// Claims folds claim records in log order; the first claim of a key wins until
-// the callers' resend horizon has passed. Not safe for concurrent use.
+// Claims folds claim records in log order. The first claim of a key wins until the callers' resend
+// horizon has passed. Not safe for concurrent use.
 //
-// The fold must have begun at a record at least a horizon old before its
-// answers are used: an earlier claim that it never saw would lose.
+// The fold must start at a record that is at least one horizon old before its results are used.
+// Otherwise an earlier claim outside the fold is missed, and a later claim wins as well.
 type Claims struct {
-	horizon time.Duration
-	max     int
-	byKey   map[uint64]claimed
-	order   []claimed // by offset
-	next    int64
-	// blindUntil is set when a claim found no room. That claim may have won
-	// elsewhere, so until it has aged no new key may be won here.
-	blindUntil time.Time
+	horizon    time.Duration
+	maxKeys    int
+	byKey      map[uint64]claimEntry
+	byOffset   []claimEntry // in log order
+	nextOffset int64
+	// rejectUntil is set when a claim found no free entry. Another fold with a higher limit may
+	// have accepted that claim, so this fold accepts no claim of a new key until the horizon of
+	// the last dropped claim has passed.
+	rejectUntil time.Time
 }
 
 // NewClaims returns an empty fold that holds at most maxClaims keys.
 func NewClaims(horizon time.Duration, maxClaims int) *Claims {
-	return &Claims{horizon: horizon, max: maxClaims, byKey: make(map[uint64]claimed)}
+	return &Claims{horizon: horizon, maxKeys: maxClaims, byKey: make(map[uint64]claimEntry)}
 }
 
-// Apply folds the claim at an offset. at is the record's time or, where the
-// log has none, when it was read. A record below the last offset is ignored:
-// a reader that starts again may deliver it twice.
+// Apply folds the claim at an offset. at is the time of the record or, if the log has none, the
+// time at which it was read. A record below the last folded offset is ignored, because a restarted
+// reader may deliver a record twice.
 func (c *Claims) Apply(offset int64, at time.Time, cl Claim) {
-	if offset < c.next {
+	if offset < c.nextOffset {
 		return
 	}
-	c.next = offset + 1
+	c.nextOffset = offset + 1
 	c.Expire(at)
 	if _, taken := c.byKey[cl.KeyHash]; taken {
 		return
 	}
-	if len(c.byKey) >= c.max || at.Before(c.blindUntil) {
-		c.blindUntil = at.Add(c.horizon)
+	if len(c.byKey) >= c.maxKeys || at.Before(c.rejectUntil) {
+		c.rejectUntil = at.Add(c.horizon)
 		return
 	}
-	e := claimed{claim: cl, at: at}
+	e := claimEntry{claim: cl, recordedAt: at}
 	c.byKey[cl.KeyHash] = e
-	c.order = append(c.order, e)
+	c.byOffset = append(c.byOffset, e)
 }
 
-// Holder returns the claim that won the key. False means that nobody is known
-// to hold it: no claim was made, or there was no room to fold it. A claimant
-// that reads false after its own claim must refuse with result.NoAuthority.
+// Holder returns the claim that won the key. It returns false if no winner is known: either there
+// was no claim, or the fold had no free entry for it. A claimant that gets false after its own
+// claim was folded must refuse the call with result.NoAuthority.
 func (c *Claims) Holder(keyHash uint64) (Claim, bool) {
 	e, ok := c.byKey[keyHash]
 	return e.claim, ok
 }
 
-// Expire forgets claims whose resend horizon has passed.
+// Expire removes claims whose resend horizon has passed.
 func (c *Claims) Expire(now time.Time) {
 	n := 0
-	for n < len(c.order) && now.Sub(c.order[n].at) >= c.horizon {
-		delete(c.byKey, c.order[n].claim.KeyHash)
+	for n < len(c.byOffset) && now.Sub(c.byOffset[n].recordedAt) >= c.horizon {
+		delete(c.byKey, c.byOffset[n].claim.KeyHash)
 		n++
 	}
-	c.order = c.order[n:]
+	c.byOffset = c.byOffset[n:]
 }
 
-// Len is the number of keys held.
+// Len returns the number of keys in the fold.
 func (c *Claims) Len() int { return len(c.byKey) }
--- a/internal/idempotency/config.go
+++ b/internal/idempotency/config.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Config bounds a Table.
+// Config holds the limits of a Table.
 type Config struct {
-	// MaxBytes bounds the kept answers: bodies, headers and answerOverhead.
+	// MaxBytes limits the total size of the stored responses: bodies, headers and responseOverhead
+	// for each one.
 	MaxBytes int64
-	// KeepAnswers is how long an answer is replayed, from when it was kept.
+	// KeepAnswers is how long a stored response is replayed, counted from when it was stored.
 	KeepAnswers time.Duration
-	// KeepKeys is how long a key is known after it was last seen. It must be
-	// at least the callers' resend horizon, or a late resend runs again.
+	// KeepKeys is how long a key is kept after its last use. It must be at least the callers'
+	// resend horizon; otherwise a late resend runs the call again.
 	KeepKeys time.Duration
-	// MaxKeys bounds the keys. A table that is full refuses new keys; it
-	// never forgets one that is younger than KeepKeys.
+	// MaxKeys limits the number of keys. A full table refuses new keys; it never removes a key
+	// that was used within KeepKeys.
 	MaxKeys int
 }
 
-// DefaultConfig fits a node of 64 MB: a full table holds some 22 MB of keys
-// (BenchmarkKeyBytes) and 16 MB of answers, and KeepKeys at 40 calls a second that are
-// not idempotent needs 36,000 keys.
+// DefaultConfig returns limits for a node with 64 MB of memory. A full table takes about 22 MB for
+// keys (BenchmarkKeyBytes) and 16 MB for responses. 40 non-idempotent calls per second with the
+// default KeepKeys need 36,000 keys.
 func DefaultConfig() Config {
 	return Config{
 		MaxBytes:    16 << 20,
@@ -31,7 +32,7 @@
 	}
 }
 
-// Validate names the first field out of bounds, its value and the bound.
+// Validate returns an error with the first field out of range, its value and the limit.
 func (c Config) Validate() error {
 	switch {
 	case c.MaxBytes < 0:
--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -1,8 +1,9 @@
-// Package idempotency remembers the keys of calls that must not run twice and
-// the answers that their resends get. Table is the memory of the guard that
-// owns a key; Claims is the baseline that needs no owner: a fold over claim
-// records of the log, in which the first claim of a key wins.
+// Package idempotency records the keys of calls that must not run twice, and stores the responses
+// that are replayed to resends of these calls.
 //
-// Everything here is a decision without I/O: time comes in as an argument,
-// and nothing is safe for concurrent use. The guard holds its own lock.
+// Table is the record of the guard that owns a key. Claims is the baseline for comparison, which
+// needs no owner: it folds claim records of the log, and the first claim of a key wins.
+//
+// The package does no I/O and reads no clock: the current time is an argument. No type is safe for
+// concurrent use; the guard serializes calls with its own lock.
 package idempotency
--- a/internal/idempotency/handover.go
+++ b/internal/idempotency/handover.go
@@ -6,29 +6,29 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// Entry is one key on its way to another guard. Times are ages, since the two
-// guards' clocks may differ.
+// Entry is one key in a hand-over to another guard. Times are sent as ages, because the clocks of
+// the two guards may differ.
 type Entry struct {
 	Key      Key
 	BodyHash uint64
 	CallID   string
-	// Code is zero when the outcome is unknown.
+	// Code is the result code of the call, zero if the outcome is unknown.
 	Code result.Code
-	// Response is nil when it was lost or evicted.
+	// Answer is the stored response, nil if there was none or if it was evicted.
 	Answer *Response
-	// Idle is the time since the key was last seen.
+	// Idle is the time since the key was last used.
 	Idle time.Duration
-	// AnswerAge is the time since the answer was kept.
+	// AnswerAge is the time since the response was stored.
 	AnswerAge time.Duration
 }
 
-// Export returns the matching keys, longest unseen first. A key that is still
-// running is exported as unknown: the receiver cannot learn how it ends. A
-// planned stop therefore exports after its last call has ended.
+// Export returns the keys for which match returns true, least recently used first. A key whose
+// call is still running is exported with an unknown outcome, because the receiver cannot learn the
+// result. A planned stop therefore exports only after its last call has ended.
 func (t *Table) Export(now time.Time, match func(Key) bool) []Entry {
 	t.Expire(now)
 	var out []Entry
-	for e := t.ages.Front(); e != nil; e = e.Next() {
+	for e := t.byLastSeen.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*record)
 		if !match(r.key) {
 			continue
@@ -44,31 +44,30 @@
 		BodyHash: r.bodyHash,
 		CallID:   r.callID,
 		Code:     r.code,
-		Idle:     max(0, now.Sub(r.seen)),
+		Idle:     max(0, now.Sub(r.lastSeen)),
 	}
-	if r.answer != nil {
-		e.Answer = r.answer
-		e.AnswerAge = max(0, now.Sub(r.kept))
+	if r.response != nil {
+		e.Answer = r.response
+		e.AnswerAge = max(0, now.Sub(r.storedAt))
 	}
 	return e
 }
 
-// Import takes over another guard's entries. It reports whether every entry
-// was taken. False means that MaxKeys was reached: the hand-over is
-// incomplete and its slots must be treated as after a crash of their owner,
-// or a key that was left out would run again.
+// Import adds the entries of another guard and reports whether all of them were added. It returns
+// false if the table reached MaxKeys. The hand-over is then incomplete, and the caller must treat
+// the slots as after a crash of their owner; otherwise the call of a missing key would run again.
 func (t *Table) Import(now time.Time, entries []Entry) bool {
 	t.Expire(now)
 	complete := true
 	for _, e := range entries {
-		if !t.take(now, e) {
+		if !t.importEntry(now, e) {
 			complete = false
 		}
 	}
 	return complete
 }
 
-func (t *Table) take(now time.Time, e Entry) bool {
+func (t *Table) importEntry(now time.Time, e Entry) bool {
 	r, known := t.records[e.Key]
 	if known {
 		t.merge(now, r, e)
@@ -77,28 +76,31 @@
 	if len(t.records) >= t.cfg.MaxKeys {
 		return false
 	}
-	// Seen counts from the import: keeping a key too long is harmless, and
-	// the order of ages stays that of arrival.
-	r = &record{key: e.Key, bodyHash: e.BodyHash, callID: e.CallID, seen: now, state: lost, code: e.Code}
+	// The time of last use is that of the import: keeping a key too long is harmless, and the list
+	// stays ordered by last use.
+	r = &record{key: e.Key, bodyHash: e.BodyHash, callID: e.CallID, lastSeen: now, state: outcomeUnknown, code: e.Code}
 	t.insert(r)
-	t.settle(now, r, e)
+	t.applyOutcome(now, r, e)
 	return true
 }
 
-// merge lets an answer win over the lack of one; else what is known stays.
+// merge updates a known key: the imported outcome replaces an unknown one, and any other state is
+// kept.
 func (t *Table) merge(now time.Time, r *record, e Entry) {
 	t.touch(now, r)
-	if r.state == lost && r.bodyHash == e.BodyHash {
+	if r.state == outcomeUnknown && r.bodyHash == e.BodyHash {
 		r.code = e.Code
-		t.settle(now, r, e)
+		t.applyOutcome(now, r, e)
 	}
 }
 
-func (t *Table) settle(now time.Time, r *record, e Entry) {
+// applyOutcome sets the state of a record from the outcome in an imported entry. An entry with a
+// result code but without a response that may still be replayed is marked as evicted.
+func (t *Table) applyOutcome(now time.Time, r *record, e Entry) {
 	switch {
 	case e.Answer != nil && e.AnswerAge < t.cfg.KeepAnswers:
-		t.keep(now, r, e.Answer)
+		t.storeResponse(now, r, e.Answer)
 	case e.Code != 0:
-		r.state = evicted
+		r.state = responseEvicted
 	}
 }
--- a/internal/idempotency/key.go
+++ b/internal/idempotency/key.go
@@ -8,15 +8,15 @@
 	"github.com/google/uuid"
 )
 
-// Key names one request of a caller that must run at most once.
+// Key identifies a request of a caller that must run at most once.
 type Key struct {
 	Workspace string
 	Service   string
-	// Key is the caller's Idempotency-Key.
+	// Key is the value of the caller's Idempotency-Key header.
 	Key string
 }
 
-// Hash spreads keys over slots. Parts are separated by a zero byte, so that
+// Hash returns the hash that assigns the key to a slot. A zero byte follows each part, so that
 // ("a", "bc") and ("ab", "c") differ.
 func (k Key) Hash() uint64 {
 	var d xxhash.Digest
@@ -30,18 +30,18 @@
 
 const (
 	ulidLen      = 26 // characters of a ULID
-	ulidTimeLen  = 10 // of them the time, most significant first
+	ulidTimeLen  = 10 // leading characters that hold the time, most significant first
 	ulidAlphabet = "0123456789ABCDEFGHJKMNPQRSTVWXYZ"
-	ulidMaxFirst = '7' // a larger first character overflows 48 bits
-	uuidText     = 36  // the canonical form; other spellings are not read
+	ulidMaxFirst = '7' // a larger first character overflows the 48-bit time
+	uuidLen      = 36  // the canonical form; other forms are not parsed
 )
 
-// IssuedAt returns when a key was made, read from a UUIDv7 or a ULID to the
-// millisecond; false when the key is neither. Both carry the maker's clock,
-// so a reader must add its bound on clock skew.
+// IssuedAt returns the time at which a key was created, with millisecond precision. It reads the
+// time from a UUIDv7 or a ULID and returns false if the key is neither. The time is from the clock
+// of the key's creator, so the caller must allow for the maximum clock skew.
 func IssuedAt(key string) (time.Time, bool) {
 	switch len(key) {
-	case uuidText:
+	case uuidLen:
 		return uuidTime(key)
 	case ulidLen:
 		return ulidTime(key)
--- a/internal/idempotency/stats.go
+++ b/internal/idempotency/stats.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// Stats is what operators see of a Table.
+// Stats holds the figures of a Table that are shown to operators.
 type Stats struct {
-	// Running is the number of keys whose call has not ended.
+	// Running is the number of keys whose call is still running.
 	Running int `json:"running"`
-	// Answered is the number of keys with a kept answer.
+	// Answered is the number of keys with a stored response.
 	Answered int `json:"answered"`
-	// Evicted is the number of keys that ran and whose answer is gone.
+	// Evicted is the number of keys whose call ended with a response that is no longer stored.
 	Evicted int `json:"evicted"`
-	// Lost is the number of keys whose outcome is unknown.
+	// Lost is the number of keys whose call has an unknown outcome.
 	Lost int `json:"lost"`
-	// Bytes is what the kept answers are charged with.
+	// Bytes is the size of the stored responses, including responseOverhead for each one.
 	Bytes int64 `json:"bytes"`
-	// Oldest is how long ago the least recent key was seen.
+	// Oldest is the time since the last use of the least recently used key.
 	Oldest time.Duration `json:"oldest"`
-	// Full says that new keys are refused.
+	// Full reports whether new keys are refused because the table holds MaxKeys keys.
 	Full bool `json:"full"`
 }
 
-// Stats counts the keys by what is known of them. It walks the whole table, so
-// it is for a metrics interval and not for the path of a call.
+// Stats counts the keys by state. It visits every key, so it is meant for periodic metrics and not
+// for the path of a call.
 func (t *Table) Stats(now time.Time) Stats {
-	s := Stats{Bytes: t.bytes, Full: len(t.records) >= t.cfg.MaxKeys}
+	s := Stats{Bytes: t.storedBytes, Full: len(t.records) >= t.cfg.MaxKeys}
 	for _, r := range t.records {
 		switch r.state {
 		case running:
 			s.Running++
-		case answered:
+		case responseStored:
 			s.Answered++
-		case evicted:
+		case responseEvicted:
 			s.Evicted++
 		default:
 			s.Lost++
 		}
 	}
-	if e := t.ages.Front(); e != nil {
-		s.Oldest = max(0, now.Sub(e.Value.(*record).seen))
+	if e := t.byLastSeen.Front(); e != nil {
+		s.Oldest = max(0, now.Sub(e.Value.(*record).lastSeen))
 	}
 	return s
 }
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -7,12 +7,12 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// answerOverhead is charged for each kept answer beside its bytes: the
-// structs, the header map and the list element.
-const answerOverhead = 512
+// responseOverhead is added to the size of each stored response for the structs, the header map
+// and the list element.
+const responseOverhead = 512
 
-// Response is what an upstream's answer to a call was. It is immutable once it
-// was given to a Table; the table copies nothing.
+// Response is the response of an upstream to a call. It must not be changed after it was passed to
+// a Table, because the table does not copy it.
 type Response struct {
 	Code   result.Code
 	Status int
@@ -21,7 +21,7 @@
 }
 
 func (a *Response) size() int64 {
-	n := int64(answerOverhead + len(a.Body))
+	n := int64(responseOverhead + len(a.Body))
 	for name, values := range a.Header {
 		n += int64(len(name))
 		for _, v := range values {
@@ -31,28 +31,28 @@
 	return n
 }
 
-// Kind is what to do with a call whose key was looked up.
+// Kind is the decision of Begin on a call.
 type Kind int
 
 const (
-	// Start: the key is new; run the call and report how it ended.
+	// Start means that the key is new: run the call and report how it ended.
 	Start Kind = iota
-	// Join: an attempt is running; wait for it and look the key up again.
+	// Join means that a call with the key is running: wait for it and look the key up again.
 	Join
-	// Replay: the kept answer is the answer.
+	// Replay means that the stored response is the response to the call.
 	Replay
-	// Conflict: the key came with another body; refuse with result.KeyReused.
+	// Conflict means that the key was used with another body: refuse with result.KeyReused.
 	Conflict
-	// Unknown: it may have run and there is no answer to give; refuse with
+	// Unknown means that the call may have run and no response is stored: refuse with
 	// result.OutcomeUnknown.
 	Unknown
-	// TableFull: no room to remember the key; refuse with result.NoAuthority.
+	// TableFull means that there is no space for a new key: refuse with result.NoAuthority.
 	TableFull
 )
 
 var kindNames = [...]string{"start", "join", "replay", "conflict", "unknown", "full"}
 
-// String returns the name used on the time line.
+// String returns the name that events of the timeline show.
 func (k Kind) String() string {
 	if k < 0 || int(k) >= len(kindNames) {
 		return "invalid"
@@ -60,77 +60,78 @@
 	return kindNames[k]
 }
 
-// Reconfigure puts cfg in force; an invalid one changes nothing. A shorter
-// KeepKeys forgets keys that a caller may still resend by the longer one.
+// Reconfigure replaces the limits; an invalid cfg changes nothing. A shorter KeepKeys also applies
+// to known keys: it removes keys that callers may still resend under the longer one.
 func (t *Table) Reconfigure(cfg Config) {
 	if cfg.Validate() == nil {
 		t.cfg = cfg
 	}
 }
 
-// BeginResult is the answer to a look-up.
+// BeginResult is the result of Begin.
 type BeginResult struct {
 	Kind Kind
-	// Response is set with Replay.
+	// Answer is the stored response; set with Replay.
 	Answer *Response
-	// RunningCallID is set with Join.
+	// RunningCallID is the ID of the running call; set with Join.
 	RunningCallID string
-	// Code is the code left behind by an evicted answer, with Unknown; zero
-	// when no whole answer was ever seen.
+	// Code is the result code of an evicted response; set with Unknown. It is zero if no complete
+	// response was received.
 	Code result.Code
 }
 
+// state is the state of the call of a key.
 type state uint8
 
 const (
 	running state = iota
-	answered
-	evicted // ran to an answer that is no longer held
-	lost    // may have run, no whole answer
+	responseStored
+	responseEvicted // the call ended with a response that is no longer stored
+	outcomeUnknown  // the call may have run, no complete response was received
 )
 
+// record is the state of one key.
 type record struct {
-	key      Key
-	bodyHash uint64
-	callID   string
-	state    state
-	code     result.Code
-	seen     time.Time
-	answer   *Response
-	kept     time.Time
-	size     int64
-	byAge    *list.Element // in Table.ages, by seen
-	byAnswer *list.Element // in Table.answers, by kept; nil unless answered
+	key             Key
+	bodyHash        uint64
+	callID          string
+	state           state
+	code            result.Code
+	lastSeen        time.Time
+	response        *Response
+	storedAt        time.Time
+	size            int64
+	ageElement      *list.Element // in Table.byLastSeen
+	responseElement *list.Element // in Table.byStoredAt; nil unless a response is stored
 }
 
-// Table is the memory of one guard incarnation: which keys it started and what
-// came of them. Not safe for concurrent use.
+// Table records which keys one guard incarnation has started and how their calls ended. Not safe
+// for concurrent use.
 //
-// It guards against a duplicate effect: a caller whose answer was lost sends
-// the same key again, and the letter would go out twice. Between two Starts of
-// a key there is always a NotRun, as long as its resends come less than
-// KeepKeys apart.
+// It prevents a duplicate effect: a caller that lost the response sends the same key again, and
+// without the table the call would run a second time. Between two Start decisions for one key
+// there is always a NotRun, provided that the key is resent at intervals shorter than KeepKeys.
 type Table struct {
-	cfg     Config
-	records map[Key]*record
-	ages    *list.List
-	answers *list.List
-	bytes   int64
+	cfg         Config
+	records     map[Key]*record
+	byLastSeen  *list.List
+	byStoredAt  *list.List
+	storedBytes int64
 }
 
 // NewTable returns an empty table; cfg must be valid.
 func NewTable(cfg Config) *Table {
 	return &Table{
-		cfg:     cfg,
-		records: make(map[Key]*record),
-		ages:    list.New(),
-		answers: list.New(),
+		cfg:        cfg,
+		records:    make(map[Key]*record),
+		byLastSeen: list.New(),
+		byStoredAt: list.New(),
 	}
 }
 
-// Begin looks a key up before its call is run. After Start the caller owes one
-// of Finish, NotRun or Lost with the same callID; until then the key is never
-// forgotten. bodyHash tells requests with the same key apart.
+// Begin looks up the key of a call before the call runs. After Start the caller must call one of
+// Finish, NotRun and Lost with the same callID; until then the key is never removed. bodyHash
+// distinguishes requests with the same key.
 func (t *Table) Begin(now time.Time, key Key, bodyHash uint64, callID string) BeginResult {
 	t.Expire(now)
 	r, ok := t.records[key]
@@ -144,8 +145,8 @@
 	switch r.state {
 	case running:
 		return BeginResult{Kind: Join, RunningCallID: r.callID}
-	case answered:
-		return BeginResult{Kind: Replay, Answer: r.answer}
+	case responseStored:
+		return BeginResult{Kind: Replay, Answer: r.response}
 	default:
 		return BeginResult{Kind: Unknown, Code: r.code}
 	}
@@ -155,46 +156,46 @@
 	if len(t.records) >= t.cfg.MaxKeys {
 		return BeginResult{Kind: TableFull}
 	}
-	t.insert(&record{key: key, bodyHash: bodyHash, callID: callID, state: running, seen: now})
+	t.insert(&record{key: key, bodyHash: bodyHash, callID: callID, state: running, lastSeen: now})
 	return BeginResult{Kind: Start}
 }
 
-// Finish keeps the answer that the call ran to. A late whole answer also
-// settles a call that was reported Lost.
+// Finish stores the response of a call. A complete response that arrives after Lost also replaces
+// the unknown outcome.
 func (t *Table) Finish(now time.Time, key Key, callID string, a Response) {
-	r := t.attempt(key, callID)
-	if r == nil || (r.state != running && r.state != lost) {
+	r := t.recordOf(key, callID)
+	if r == nil || (r.state != running && r.state != outcomeUnknown) {
 		return
 	}
 	t.touch(now, r)
 	r.code = a.Code
-	t.keep(now, r, &a)
+	t.storeResponse(now, r, &a)
 }
 
-// NotRun forgets a running key whose call provably took no effect, so that a
-// resend may run. It does nothing once the call was reported Lost: what may
-// have run stays that way.
+// NotRun removes a running key whose call provably had no effect, so that a resend may run. It
+// does nothing after Lost: a call that may have run keeps its unknown outcome.
 func (t *Table) NotRun(_ time.Time, key Key, callID string) {
-	r := t.attempt(key, callID)
+	r := t.recordOf(key, callID)
 	if r == nil || r.state != running {
 		return
 	}
 	t.remove(r)
 }
 
-// Lost marks a running key whose call may have run without a whole answer.
+// Lost marks a running key whose call may have run but returned no complete response. Its outcome
+// is unknown.
 func (t *Table) Lost(now time.Time, key Key, callID string) {
-	r := t.attempt(key, callID)
+	r := t.recordOf(key, callID)
 	if r == nil || r.state != running {
 		return
 	}
 	t.touch(now, r)
-	r.state = lost
+	r.state = outcomeUnknown
 }
 
-// attempt returns the record of the attempt callID. A report of an attempt
-// that is no longer the recorded one must not settle its successor.
-func (t *Table) attempt(key Key, callID string) *record {
+// recordOf returns the record of the key if it belongs to the call callID, otherwise nil. A late
+// report of an earlier call must not change the state of its successor.
+func (t *Table) recordOf(key Key, callID string) *record {
 	r, ok := t.records[key]
 	if !ok || r.callID != callID {
 		return nil
@@ -202,20 +203,20 @@
 	return r
 }
 
-// Expire drops answers older than KeepAnswers and keys not seen for KeepKeys.
-// A running key stays whatever its age. The work is proportional to what is
-// dropped.
+// Expire removes responses older than KeepAnswers and keys that were not used for KeepKeys. A key
+// whose call is running is kept regardless of its age. The cost is proportional to the number of
+// removed items.
 func (t *Table) Expire(now time.Time) {
-	for e := t.answers.Front(); e != nil; e = t.answers.Front() {
+	for e := t.byStoredAt.Front(); e != nil; e = t.byStoredAt.Front() {
 		r := e.Value.(*record)
-		if now.Sub(r.kept) < t.cfg.KeepAnswers {
+		if now.Sub(r.storedAt) < t.cfg.KeepAnswers {
 			break
 		}
 		t.evict(r)
 	}
-	for e := t.ages.Front(); e != nil; e = t.ages.Front() {
+	for e := t.byLastSeen.Front(); e != nil; e = t.byLastSeen.Front() {
 		r := e.Value.(*record)
-		if now.Sub(r.seen) < t.cfg.KeepKeys {
+		if now.Sub(r.lastSeen) < t.cfg.KeepKeys {
 			break
 		}
 		if r.state == running {
@@ -226,56 +227,56 @@
 	}
 }
 
-// Len is the number of keys held.
+// Len returns the number of keys in the table.
 func (t *Table) Len() int { return len(t.records) }
 
-// Bytes is what the kept answers are charged with.
-func (t *Table) Bytes() int64 { return t.bytes }
+// Bytes returns the size of the stored responses, including responseOverhead for each one.
+func (t *Table) Bytes() int64 { return t.storedBytes }
 
 func (t *Table) insert(r *record) {
 	t.records[r.key] = r
-	r.byAge = t.ages.PushBack(r)
+	r.ageElement = t.byLastSeen.PushBack(r)
 }
 
 func (t *Table) touch(now time.Time, r *record) {
-	if now.After(r.seen) {
-		r.seen = now
+	if now.After(r.lastSeen) {
+		r.lastSeen = now
 	}
-	t.ages.MoveToBack(r.byAge)
+	t.byLastSeen.MoveToBack(r.ageElement)
 }
 
-// keep holds the answer and evicts the oldest ones beyond MaxBytes. An answer
-// larger than MaxBytes is evicted at once and leaves its code.
-func (t *Table) keep(now time.Time, r *record, a *Response) {
-	r.state = answered
-	r.answer = a
-	r.kept = now
+// storeResponse stores a response and evicts the oldest ones until the total is within MaxBytes. A
+// response larger than MaxBytes is evicted at once; only its code is kept.
+func (t *Table) storeResponse(now time.Time, r *record, a *Response) {
+	r.state = responseStored
+	r.response = a
+	r.storedAt = now
 	r.size = a.size()
-	r.byAnswer = t.answers.PushBack(r)
-	t.bytes += r.size
-	for t.bytes > t.cfg.MaxBytes {
-		t.evict(t.answers.Front().Value.(*record))
+	r.responseElement = t.byStoredAt.PushBack(r)
+	t.storedBytes += r.size
+	for t.storedBytes > t.cfg.MaxBytes {
+		t.evict(t.byStoredAt.Front().Value.(*record))
 	}
 }
 
 func (t *Table) evict(r *record) {
-	t.dropAnswer(r)
-	r.state = evicted
+	t.dropResponse(r)
+	r.state = responseEvicted
 }
 
-func (t *Table) dropAnswer(r *record) {
-	if r.byAnswer == nil {
+func (t *Table) dropResponse(r *record) {
+	if r.responseElement == nil {
 		return
 	}
-	t.answers.Remove(r.byAnswer)
-	t.bytes -= r.size
-	r.byAnswer = nil
-	r.answer = nil
+	t.byStoredAt.Remove(r.responseElement)
+	t.storedBytes -= r.size
+	r.responseElement = nil
+	r.response = nil
 	r.size = 0
 }
 
 func (t *Table) remove(r *record) {
-	t.dropAnswer(r)
-	t.ages.Remove(r.byAge)
+	t.dropResponse(r)
+	t.byLastSeen.Remove(r.ageElement)
 	delete(t.records, r.key)
 }
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -14,7 +14,7 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// A fixed seed gives the same verdict each run; -rapid.seed overrides it.
+// A fixed seed makes each run draw the same cases; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "20260101") }
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -25,17 +25,17 @@
 
 func keyNamed(name string) Key { return Key{Workspace: "chikugo", Service: "letters", Key: name} }
 
-// modelKey is what is true of a key, whatever the table thinks.
+// modelKey is the true state of a key, independent of the table under test.
 type modelKey struct {
-	callID string
-	body   uint64
-	open   bool // started, not reported yet
-	mayRun bool // started and not proven not to have run
-	answer string
-	seen   time.Time
+	callID     string
+	body       uint64
+	running    bool // started, end not reported yet
+	mayHaveRun bool // started, and not reported as not run
+	response   string
+	lastSeen   time.Time
 }
 
-// tableMachine drives a table, and hands its memory on to fresh ones.
+// tableMachine drives a table with random operations, including hand-overs to a new table.
 type tableMachine struct {
 	now   time.Time
 	table *Table
@@ -56,65 +56,64 @@
 	callID := strconv.Itoa(m.calls)
 	b := m.table.Begin(m.now, keyNamed(name), body, callID)
 	k := m.keys[name]
-	unused := k == nil || !k.mayRun
-	// An aged key may start again, but need not: a hand-over begins its age
-	// anew.
-	aged := !unused && !k.open && m.now.Sub(k.seen) >= testConfig().KeepKeys
-	if unused || (aged && (b.Kind == Start || b.Kind == TableFull)) {
+	unused := k == nil || !k.mayHaveRun
+	// An expired key may start again, but need not: a hand-over resets its time of last use.
+	expired := !unused && !k.running && m.now.Sub(k.lastSeen) >= testConfig().KeepKeys
+	if unused || (expired && (b.Kind == Start || b.Kind == TableFull)) {
 		if b.Kind == TableFull {
 			must.Eq(t, testConfig().MaxKeys, m.table.Len())
 			return
 		}
 		must.Eq(t, Start, b.Kind)
-		m.keys[name] = &modelKey{callID: callID, body: body, open: true, mayRun: true, seen: m.now}
+		m.keys[name] = &modelKey{callID: callID, body: body, running: true, mayHaveRun: true, lastSeen: m.now}
 		return
 	}
-	k.seen = m.now
+	k.lastSeen = m.now
 	switch b.Kind {
 	case Conflict:
 		must.NotEq(t, k.body, body)
 	case Join:
-		must.True(t, k.open)
+		must.True(t, k.running)
 		must.Eq(t, k.callID, b.RunningCallID)
 	case Replay:
-		must.Eq(t, k.answer, string(b.Answer.Body))
+		must.Eq(t, k.response, string(b.Answer.Body))
 	case Unknown:
-		must.False(t, k.open)
-		must.Eq(t, k.answer == "", b.Code == 0)
+		must.False(t, k.running)
+		must.Eq(t, k.response == "", b.Code == 0)
 	default:
 		t.Fatalf("key %s may have run, and got %v", name, b.Kind)
 	}
 }
 
-func (m *tableMachine) report(t *rapid.T, f func(k *modelKey, key Key, callID string)) {
+func (m *tableMachine) report(t *rapid.T, reportEnd func(k *modelKey, key Key, callID string)) {
 	name := drawKey(t)
 	k := m.keys[name]
 	if k == nil {
 		t.Skip("never started")
 	}
 	if rapid.IntRange(0, 5).Draw(t, "stale") == 0 {
-		f(&modelKey{}, keyNamed(name), "another call")
+		reportEnd(&modelKey{}, keyNamed(name), "another call")
 		return
 	}
-	if !k.open {
+	if !k.running {
 		t.Skip("not running")
 	}
-	f(k, keyNamed(name), k.callID)
-	k.open = false
-	k.seen = m.now
+	reportEnd(k, keyNamed(name), k.callID)
+	k.running = false
+	k.lastSeen = m.now
 }
 
 func (m *tableMachine) Finish(t *rapid.T) {
 	size := rapid.IntRange(1, 3000).Draw(t, "size")
 	m.report(t, func(k *modelKey, key Key, callID string) {
-		k.answer = fmt.Sprintf("%0*s", size, callID)
-		m.table.Finish(m.now, key, callID, Response{Code: result.OK, Status: 200, Body: []byte(k.answer)})
+		k.response = fmt.Sprintf("%0*s", size, callID)
+		m.table.Finish(m.now, key, callID, Response{Code: result.OK, Status: 200, Body: []byte(k.response)})
 	})
 }
 
 func (m *tableMachine) NotRun(t *rapid.T) {
 	m.report(t, func(k *modelKey, key Key, callID string) {
-		k.mayRun = false
+		k.mayHaveRun = false
 		m.table.NotRun(m.now, key, callID)
 	})
 }
@@ -128,14 +127,14 @@
 }
 
 func (m *tableMachine) HandOver(t *rapid.T) {
-	next := NewTable(testConfig())
-	must.True(t, next.Import(m.now, m.table.Export(m.now, func(Key) bool { return true })))
-	must.Eq(t, m.table.Len(), next.Len())
-	m.table = next
+	receiver := NewTable(testConfig())
+	must.True(t, receiver.Import(m.now, m.table.Export(m.now, func(Key) bool { return true })))
+	must.Eq(t, m.table.Len(), receiver.Len())
+	m.table = receiver
 	for _, k := range m.keys {
-		if k.open {
-			k.open = false
-			k.seen = m.now
+		if k.running {
+			k.running = false
+			k.lastSeen = m.now
 		}
 	}
 }
@@ -146,7 +145,7 @@
 	must.GreaterEq(t, 0, m.table.Bytes())
 }
 
-// Guards against a second start of a key that has not been reported as not run.
+// Guards against a key that starts twice without a report that the first call did not run.
 func TestNeverTwoStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newTableMachine()
@@ -154,8 +153,8 @@
 	})
 }
 
-// Guards against a second run of a key whose answer was evicted for space.
-func TestEvictedAnswerLeavesCode(t *testing.T) {
+// Guards against a second run of a call whose response was evicted because MaxBytes was reached.
+func TestEvictedResponseKeepsCode(t *testing.T) {
 	tab := NewTable(Config{MaxBytes: 1000, KeepAnswers: time.Minute, KeepKeys: time.Minute, MaxKeys: 10})
 	for _, name := range []string{"a", "b"} {
 		must.Eq(t, Start, tab.Begin(epoch, keyNamed(name), 1, name).Kind)
@@ -166,9 +165,10 @@
 	must.Eq(t, Replay, tab.Begin(epoch, keyNamed("b"), 1, "again").Kind)
 }
 
-// A surge fills the table. Forgetting the oldest young key would let its
-// resend run again, so the newcomer is refused until one has aged.
-func TestFullRefusesNewcomers(t *testing.T) {
+// Guards against a full table that removes a recently used key to make space for a new one: a
+// resend of the removed key would run its call again. The new key must be refused until an old one
+// has expired.
+func TestFullTableRejectsNewKeys(t *testing.T) {
 	cfg := testConfig()
 	tab := NewTable(cfg)
 	for i := range cfg.MaxKeys {
@@ -182,6 +182,7 @@
 	must.Eq(t, Start, tab.Begin(epoch.Add(cfg.KeepKeys), keyNamed("new"), 1, "c").Kind)
 }
 
+// Guards against a configuration that keeps keys for a shorter time than their responses.
 func TestConfigValidate(t *testing.T) {
 	must.NoError(t, DefaultConfig().Validate())
 	c := DefaultConfig()
@@ -189,6 +190,8 @@
 	must.ErrorContains(t, c.Validate(), "KeepKeys = 4m59s, must be at least KeepAnswers = 5m0s")
 }
 
+// Guards against a wrong creation time, read from a valid key or from one that is neither a UUIDv7
+// nor a ULID.
 func TestIssuedAt(t *testing.T) {
 	cases := map[string]int64{
 		"01ARZ3NDEKTSV4RRFFQ69G5FAV":           1469922850259, // the ULID specification
@@ -206,20 +209,21 @@
 	}
 }
 
+// BenchmarkBeginFinish reports the cost of one key with its response.
 func BenchmarkBeginFinish(b *testing.B) {
 	tab := NewTable(DefaultConfig())
 	body := make([]byte, 1024)
 	now := epoch
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		now = now.Add(25 * time.Millisecond) // 40 keys a second
+		now = now.Add(25 * time.Millisecond) // 40 keys per second
 		k := keyNamed(strconv.Itoa(i))
 		tab.Begin(now, k, 1, "c")
 		tab.Finish(now, k, "c", Response{Code: result.OK, Body: body})
 	}
 }
 
-// BenchmarkKeyBytes reports the memory of one key without its answer.
+// BenchmarkKeyBytes reports the memory that one key takes without its response.
 func BenchmarkKeyBytes(b *testing.B) {
 	const n = 50_000
 	for b.Loop() {
