--- a/internal/lease/advance.go
+++ b/internal/lease/advance.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Advance says that every record below next was folded or concerns neither
-// members nor ownership. Without it a proof of the log's head would wait for
-// the next such record.
+// Advance records that every record below next was folded or concerns neither members nor
+// ownership. Without it, an observation of the log's head would not count until the next record of
+// members or ownership is folded.
 func (l *Lessor) Advance(next int64) {
-	l.next = max(l.next, next)
+	l.nextOffset = max(l.nextOffset, next)
 }
 
-// SetResendHorizon raises the time in which callers may resend a key, as the
-// template in force has it. It never falls: a key that was unknown when it was
-// longer stays so.
+// SetResendHorizon raises the time during which callers may resend a key to the value of the
+// configuration in force. It never lowers it: a key whose outcome was unknown under the longer
+// horizon keeps that state.
 func (l *Lessor) SetResendHorizon(d time.Duration) {
 	l.cfg.ResendHorizon = max(l.cfg.ResendHorizon, d)
 }
--- a/internal/lease/authority.go
+++ b/internal/lease/authority.go
@@ -6,65 +6,67 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// Authority is the decision on one call.
+// Authority is the decision on whether a call may start.
 type Authority struct {
+	// OK reports whether the call may start.
 	OK bool
-	// Deadline is the time, on the local clock, before which the call must be
-	// sent to the upstream; the sender looks at its clock right before.
+	// Deadline is the time on the local clock before which the call must be sent to the upstream.
+	// The sender reads its clock immediately before it sends.
 	Deadline time.Time
-	// Refusal says why not, when OK is false.
+	// Refusal is the reason for which the call may not start; nil if OK is true.
 	Refusal *result.Refusal
 }
 
-// ObserveHead takes the result of reading the log's head: at some time after t0 no
-// record at or beyond head existed. t0 is the local time before the read was
-// sent; through a relay, the own send time less the age that the relay
-// reported. Every record below head must have been folded before.
+// ObserveHead records the result of reading the log's head: at some time after readAt the log held
+// no record at or above head. readAt is the local time before the read was sent. For a head
+// received through a relay it is the local send time minus the age that the relay reported. An
+// observation counts only if every record below head was folded before.
 //
-// It rests on reads not being stale. For a log whose reads lag by a bound, the
-// caller subtracts that bound from t0. A head below an earlier one shows a
-// stale read and is dropped.
-func (l *Lessor) ObserveHead(t0 time.Time, head int64) {
-	if head > l.next {
-		// Takeovers not folded yet may hide below head.
+// It relies on reads that are not stale. For a log with a known maximum read lag, the caller
+// subtracts that lag from readAt. A head below an earlier one comes from a stale read and is
+// ignored.
+func (l *Lessor) ObserveHead(readAt time.Time, head int64) {
+	if head > l.nextOffset {
+		// There may be takeovers below head that are not folded yet.
 		return
 	}
-	if l.proven && head < l.proofHead {
+	if l.headObserved && head < l.observedHead {
 		return
 	}
-	if head > l.farHead || head == l.farHead && t0.After(l.farT0) {
-		// A read that was sent earlier and waited for a new record knows of
-		// that record; one sent later but answered sooner does not.
-		l.farHead = head
-		l.farT0 = t0
+	if head > l.maxHead || head == l.maxHead && readAt.After(l.maxHeadReadAt) {
+		// A read that was sent earlier and waited for a new record reflects that record. A read
+		// that was sent later but returned sooner may not, so the highest head is kept with its
+		// own time.
+		l.maxHead = head
+		l.maxHeadReadAt = readAt
 	}
-	if l.proven && !t0.After(l.proofT0) {
+	if l.headObserved && !readAt.After(l.headReadAt) {
 		return
 	}
-	l.proven = true
-	l.proofT0 = t0
-	l.proofHead = head
+	l.headObserved = true
+	l.headReadAt = readAt
+	l.observedHead = head
 }
 
-// Promise takes the promise of the process that answers at addr. t0 is the
-// question's At; it covers the slots owned by then. A newer incarnation that
-// holds the address of a dead guard stands in for it: the dead one takes
-// nothing.
-func (l *Lessor) Promise(t0 time.Time, from Identity, addr string) {
-	if p, ok := l.promises[addr]; ok && p.by == from && p.t0.After(t0) {
+// Promise records a promise of the process at addr. requestedAt is the At of the AskPromise
+// action; the promise covers the slots that self owned at that time. If the guard known at addr
+// has stopped and a newer incarnation has its address, the promise of the newer one counts for
+// both: the old process can no longer append a takeover.
+func (l *Lessor) Promise(requestedAt time.Time, from Identity, addr string) {
+	if p, ok := l.receivedPromises[addr]; ok && p.from == from && p.requestedAt.After(requestedAt) {
 		return
 	}
-	l.promises[addr] = promise{by: from, t0: t0}
+	l.receivedPromises[addr] = receivedPromise{from: from, requestedAt: requestedAt}
 }
 
-// MayStart decides whether a call with this key may start now. issued is when
-// the key was made, zero when unknown. The caller looks its own memory up
-// first: a key found there needs no authority to be answered.
+// MayStart decides whether a call with this key may start now. issued is the time at which the key
+// was created, zero if unknown. The caller must look the key up in its own table first: no
+// authority is needed to respond from a known key.
 //
-// A paused holder is the failure guarded against: it wakes up after another
-// guard took its slots and still believes that it owns them. Its proof has
-// aged on its own clock meanwhile, so the authority is found too old here, or
-// right before the call is sent, by Deadline.
+// It prevents calls started by an owner that was paused while another guard took over its slots.
+// After it resumes, its state still shows it as the owner of the slots. Its last head observation
+// has aged on its own clock in the meantime, so the authority is found expired either here or, at
+// Deadline, immediately before the call is sent.
 func (l *Lessor) MayStart(now time.Time, keyHash uint64, issued time.Time) Authority {
 	i := l.SlotOf(keyHash)
 	s := &l.slots[i]
@@ -74,76 +76,77 @@
 	case s.owner.IsZero():
 		return refuse(result.NoAuthority, "slot %d has no owner", i)
 	case s.owner != l.self:
-		return elsewhere(i, s.addr)
+		return refuseOwnedElsewhere(i, s.addr)
 	case s.released:
-		return elsewhere(i, s.releasedTo)
-	case now.Before(s.effective):
+		return refuseOwnedElsewhere(i, s.releasedTo)
+	case now.Before(s.effectiveAt):
 		a := refuse(result.NoAuthority, "takeover of slot %d is not in effect yet", i)
-		a.Refusal = a.Refusal.After(s.effective.Sub(now))
+		a.Refusal = a.Refusal.After(s.effectiveAt.Sub(now))
 		return a
 	}
-	until := l.until(now, s)
-	if !now.Before(until) {
-		return refuse(result.NoAuthority, "last proof is %v old", l.proofAge(now).Round(time.Millisecond))
+	deadline := l.authorityEnd(now, s)
+	if !now.Before(deadline) {
+		return refuse(result.NoAuthority, "last observation of the log's head is %v old", l.headAge(now).Round(time.Millisecond))
 	}
 	if l.mayHaveRun(now, s, issued) {
 		return refuse(result.OutcomeUnknown, "an earlier owner of slot %d may have run it", i)
 	}
-	return Authority{OK: true, Deadline: until}
+	return Authority{OK: true, Deadline: deadline}
 }
 
 func refuse(code result.Code, format string, args ...any) Authority {
 	return Authority{Refusal: result.Refuse(code, format, args...)}
 }
 
-func elsewhere(i int, addr string) Authority {
+func refuseOwnedElsewhere(i int, addr string) Authority {
 	a := refuse(result.OwnedElsewhere, "slot %d is owned by another guard", i)
 	a.Refusal.Owner = addr
 	return a
 }
 
-// until is the end of the authority over a slot that self owns, not after now
-// when there is none. Promises are looked at only once the proof is too old:
-// on a good day a call pays for one comparison.
-func (l *Lessor) until(now time.Time, s *slot) time.Time {
-	if !l.proven {
+// authorityEnd returns the end of the authority over a slot that self owns. It is not after now if
+// there is no authority. Promises are checked only if the head observations are too old, so with a
+// recent observation a call costs one comparison.
+func (l *Lessor) authorityEnd(now time.Time, s *slot) time.Time {
+	if !l.headObserved {
 		return time.Time{}
 	}
-	if end := l.proofT0.Add(l.cfg.Validity); l.proofHead > s.first && now.Before(end) {
+	if end := l.headReadAt.Add(l.cfg.Validity); l.observedHead > s.firstOffset && now.Before(end) {
 		return end
 	}
-	if end := l.farT0.Add(l.cfg.Validity); l.farHead > s.first && now.Before(end) {
+	if end := l.maxHeadReadAt.Add(l.cfg.Validity); l.maxHead > s.firstOffset && now.Before(end) {
 		return end
 	}
-	return l.promisedUntil(s)
+	return l.promisedAuthorityEnd(s)
 }
 
-// promisedUntil is the end of the authority that promises give. Every guard
-// that the last proof showed must have promised. One that joined since is
-// unknown here; it takes nothing over until PromiseLimit after its join, which
-// came after that proof, and this authority ends before.
-func (l *Lessor) promisedUntil(s *slot) time.Time {
-	end := l.proofT0.Add(l.cfg.PromiseLimit)
-	for _, g := range l.guards.takers(l.self) {
-		p, ok := l.promises[g.addr]
-		if !ok || !standsFor(p.by, g.id) || !p.t0.After(s.read) {
+// promisedAuthorityEnd returns the end of the authority that promises give. Every guard that is
+// known at the last head observation must have promised. A guard that has joined since is unknown
+// here. It takes over no slot until PromiseLimit after its join, and its join came after that
+// observation, so this authority ends first.
+func (l *Lessor) promisedAuthorityEnd(s *slot) time.Time {
+	end := l.headReadAt.Add(l.cfg.PromiseLimit)
+	for _, g := range l.guards.contenders(l.self) {
+		p, ok := l.receivedPromises[g.addr]
+		if !ok || !promiseBinds(p.from, g.id) || !p.requestedAt.After(s.readAt) {
 			return time.Time{}
 		}
-		if e := p.t0.Add(l.cfg.Validity); e.Before(end) {
+		if e := p.requestedAt.Add(l.cfg.Validity); e.Before(end) {
 			end = e
 		}
 	}
 	return end
 }
 
-// standsFor reports whether a promise made at a guard's address binds it.
-func standsFor(by, id Identity) bool { return by == id || by.Incarnation > id.Incarnation }
+// promiseBinds reports whether a promise of the process from, given at the address of the guard
+// id, binds that guard.
+func promiseBinds(from, id Identity) bool { return from == id || from.Incarnation > id.Incarnation }
 
-// mayHaveRun reports whether an earlier owner may have started a key with this
-// issue time. A time later than this clock's by more than the skew bound
-// breaks the assumption that it is judged by, so it shows nothing.
+// mayHaveRun reports whether an earlier owner may have started a call whose key was issued at this
+// time. An issue time that is ahead of the local clock by more than the skew bound violates the
+// assumption about clocks, so it does not prove that the key is new.
 func (l *Lessor) mayHaveRun(now time.Time, s *slot, issued time.Time) bool {
-	if s.unknownBefore.IsZero() || !now.Before(s.cleanAt) {
+	if s.unknownBefore.IsZero() || !now.Before(s.unknownUntil) {
 		return false
 	}
 	if issued.IsZero() || issued.After(now.Add(l.cfg.SkewBound)) {
@@ -152,10 +155,10 @@
 	return !issued.After(s.unknownBefore.Add(l.cfg.SkewBound))
 }
 
-// proofAge is how long ago the last proof counts from.
-func (l *Lessor) proofAge(now time.Time) time.Duration {
-	if !l.proven {
+// headAge returns the age of the last head observation, PromiseLimit if there is none.
+func (l *Lessor) headAge(now time.Time) time.Duration {
+	if !l.headObserved {
 		return l.cfg.PromiseLimit
 	}
-	return now.Sub(l.proofT0)
+	return now.Sub(l.headReadAt)
 }
--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -10,34 +10,34 @@
 	maxDrift = 0.1
 )
 
-// Config holds the bounds that ownership rests on. All guards of a service
+// Config holds the limits on which the correctness of ownership relies. All guards of a service
 // must use the same values.
 type Config struct {
-	// Slots is the number of parts that the keys of a service are cut into.
+	// Slots is the number of slots into which the keys of a service are divided.
 	Slots int
-	// Validity is how long a proof or a promise lets an owner start calls (L).
+	// Validity is how long a head observation or a promise lets an owner start calls (L).
 	Validity time.Duration
-	// Drift bounds how much faster one clock runs than another, as a part of
-	// one: 0.01 means that 1 s here is at most 1.01 s there.
+	// Drift is the maximum rate difference between two clocks as a fraction: with 0.01, 1 s on
+	// this clock is at most 1.01 s on another.
 	Drift float64
-	// SkewBound bounds the difference of any two wall clocks, callers' ones
-	// included; it decides which keys are known to be new.
+	// SkewBound is the maximum difference between any two wall clocks, including those of callers.
+	// It decides which keys are known to be new.
 	SkewBound time.Duration
-	// ResendHorizon is how long after its first use callers may resend a key.
+	// ResendHorizon is how long after its first use a key may be resent by callers.
 	ResendHorizon time.Duration
-	// PromiseLimit is how long after its last proof an owner may go on with
-	// promises alone, and how long a guard that the owner may not know of
-	// must wait before it takes slots over.
+	// PromiseLimit is how long an owner may continue on promises alone after its last head
+	// observation. It is also how long a guard that an owner may not know of must wait before it
+	// takes over slots.
 	PromiseLimit time.Duration
-	// Refresh is the age at which an owner writes its record again, well
-	// before the log drops it; 0 means never.
+	// Refresh is the age at which an owner appends its record again, well before the log drops it;
+	// 0 means never.
 	Refresh time.Duration
-	// RebalanceEvery is the least time between two moves of slots to a guard
-	// that owns fewer; 0 means never.
+	// RebalanceEvery is the minimum time between two moves of slots to a guard that owns fewer; 0
+	// means never.
 	RebalanceEvery time.Duration
 }
 
-// DefaultConfig returns values for a log that keeps records for a day or more.
+// DefaultConfig returns values for a log that retains records for at least a day.
 func DefaultConfig() Config {
 	return Config{
 		Slots:          64,
@@ -51,7 +51,7 @@
 	}
 }
 
-// Validate names the first field out of bounds, its value and the bound.
+// Validate returns an error with the first field out of range, its value and the limit.
 func (c Config) Validate() error {
 	switch {
 	case c.Slots < 1 || c.Slots > maxSlots:
@@ -74,11 +74,12 @@
 	return nil
 }
 
-// padded is a span that has passed on every other clock too once it has passed
-// on this one.
-func (c Config) padded(d time.Duration) time.Duration {
+// withDrift lengthens a duration by the maximum drift: once the result has passed on this clock,
+// at least d has passed on every other clock.
+func (c Config) withDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + c.Drift))
 }
 
-// takeoverWait is the time from reading back a takeover to its effect.
-func (c Config) takeoverWait() time.Duration { return c.padded(c.Validity) }
+// takeoverWait returns the time from reading back an own takeover record until the takeover takes
+// effect.
+func (c Config) takeoverWait() time.Duration { return c.withDrift(c.Validity) }
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,16 +1,15 @@
-// Package lease decides which guard may start calls with which idempotency
-// keys. The keys of a service are cut into slots; a takeover record in the log
-// gives slots to one guard incarnation, which then decides from memory, with
-// no append for a call.
+// Package lease decides which guard may start calls with which idempotency keys. The keys of a
+// service are divided into slots. A takeover record in the log assigns slots to one guard
+// incarnation. That guard then decides about each call from its own memory, without an append to
+// the log per call.
 //
-// Lessor is a pure state machine. It is fed what was read from the log, proofs
-// that the log holds no newer takeover, and promises of other guards; it says
-// whether a call may start now and which messages and records are due. It
-// reads no clock and is not safe for concurrent use.
+// Lessor is a pure state machine. Its inputs are the records read from the log, observations of
+// the log's head, which show that the log holds no newer takeover, and promises of other guards.
+// It decides whether a call may start now, and it returns the messages and records that are due.
+// It does not read a clock and is not safe for concurrent use.
 //
-// Times must come from a clock that does not stand still while the VM is
-// suspended, as Linux's monotonic clock does: a holder that wakes up must find
-// its authority too old.
+// Times must come from a clock that keeps running while the VM is suspended, as Linux's monotonic
+// clock does. Otherwise an owner that resumes would not find that its authority has expired.
 //
-// The argument for its soundness is in docs/design/ownership.md.
+// The correctness argument is in docs/design/ownership.md.
 package lease
--- a/internal/lease/guards.go
+++ b/internal/lease/guards.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// maxGone bounds how many ended incarnations are remembered. A service of ten
-// guards that are replaced daily fills it in three months.
-const maxGone = 1024
+// maxVoided limits the number of nodes whose ended incarnations are recorded. A service of ten
+// guards that are replaced daily reaches it in three months.
+const maxVoided = 1024
 
-// guard is a member of the service as the log has it.
+// guard is a member of the service according to the log.
 type guard struct {
 	id   Identity
 	addr string
-	// joined is the offset of its join record.
-	joined int64
-	// head is the newest log head that the guard said it has proof of.
-	head int64
-	// evictedAt is when its evict record was read; zero for a member. An
-	// evicted process may still run: only its later records are void.
+	// joinOffset is the offset of the join record.
+	joinOffset int64
+	// reportedHead is the newest log head that the guard reported to have observed.
+	reportedHead int64
+	// evictedAt is the time at which the evict record was read; zero if there is none. An evicted
+	// process may still run: only its later records are void.
 	evictedAt time.Time
 }
 
-// guards is the fold of membership records that ownership needs: who may take
-// slots over, and who is certainly not running any more.
+// guards is the fold of the membership records that ownership depends on: the guards that may take
+// over slots, and the incarnations that have certainly stopped or whose records are void.
 type guards struct {
-	byID  map[Identity]*guard
-	gone  map[string]uint64 // node to highest incarnation whose records are void
-	order []string          // nodes in gone, oldest first
+	byID             map[Identity]*guard
+	voidIncarnations map[string]uint64 // by node: the highest incarnation whose records are void
+	voidOrder        []string          // the nodes in voidIncarnations, oldest first
 }
 
 func newGuards() guards {
-	return guards{byID: make(map[Identity]*guard), gone: make(map[string]uint64)}
+	return guards{byID: make(map[Identity]*guard), voidIncarnations: make(map[string]uint64)}
 }
 
-// join adds a guard and drops those that it replaces: two processes cannot
-// hold one address, nor two lives of a node run at once.
+// join adds a guard and removes the guards that it replaces: two processes cannot have one
+// address, and two incarnations of a node cannot run at once.
 func (g *guards) join(offset int64, id Identity, addr string, serves bool) bool {
-	if g.isGone(id) {
+	if g.isVoid(id) {
 		return false
 	}
 	for _, old := range g.byID {
@@ -48,47 +48,47 @@
 	}
 	for _, old := range g.sorted() {
 		if old.id != id && (old.id.Node == id.Node || old.addr == addr) {
-			g.stop(old.id)
+			g.markStopped(old.id)
 		}
 	}
 	if _, known := g.byID[id]; !known && serves {
-		g.byID[id] = &guard{id: id, addr: addr, joined: offset}
+		g.byID[id] = &guard{id: id, addr: addr, joinOffset: offset}
 	}
 	return true
 }
 
-// stop forgets a guard that certainly no longer runs.
-func (g *guards) stop(id Identity) {
+// markStopped removes a guard that has certainly stopped and voids its later records.
+func (g *guards) markStopped(id Identity) {
 	delete(g.byID, id)
-	g.void(id)
+	g.voidRecords(id)
 }
 
-// evict voids later records of a guard that may still run.
+// evict voids the later records of a guard that may still run.
 func (g *guards) evict(now time.Time, id Identity) {
 	if m, ok := g.byID[id]; ok && m.evictedAt.IsZero() {
 		m.evictedAt = now
 	}
-	g.void(id)
+	g.voidRecords(id)
 }
 
-func (g *guards) void(id Identity) {
-	inc, ok := g.gone[id.Node]
+func (g *guards) voidRecords(id Identity) {
+	inc, ok := g.voidIncarnations[id.Node]
 	if !ok {
-		g.order = append(g.order, id.Node)
+		g.voidOrder = append(g.voidOrder, id.Node)
 	}
-	g.gone[id.Node] = max(inc, id.Incarnation)
-	if len(g.order) > maxGone {
-		delete(g.gone, g.order[0])
-		g.order = g.order[1:]
+	g.voidIncarnations[id.Node] = max(inc, id.Incarnation)
+	if len(g.voidOrder) > maxVoided {
+		delete(g.voidIncarnations, g.voidOrder[0])
+		g.voidOrder = g.voidOrder[1:]
 	}
 }
 
-func (g *guards) isGone(id Identity) bool {
-	inc, ok := g.gone[id.Node]
+func (g *guards) isVoid(id Identity) bool {
+	inc, ok := g.voidIncarnations[id.Node]
 	return ok && id.Incarnation <= inc
 }
 
-// prune forgets evicted guards whose promises cannot count any more.
+// prune removes evicted guards whose promises can no longer count.
 func (g *guards) prune(now time.Time, limit time.Duration) {
 	for id, m := range g.byID {
 		if !m.evictedAt.IsZero() && now.Sub(m.evictedAt) >= limit {
@@ -97,8 +97,8 @@
 	}
 }
 
-// takers returns the guards other than self whose takeover records count.
-func (g *guards) takers(self Identity) []*guard {
+// contenders returns the guards other than self whose takeover records are valid.
+func (g *guards) contenders(self Identity) []*guard {
 	return slices.DeleteFunc(g.sorted(), func(m *guard) bool {
 		return m.id == self || !m.evictedAt.IsZero()
 	})
@@ -110,7 +110,7 @@
 		out = append(out, m)
 	}
 	slices.SortFunc(out, func(a, b *guard) int {
-		return cmp.Or(cmp.Compare(a.joined, b.joined), a.id.Compare(b.id))
+		return cmp.Or(cmp.Compare(a.joinOffset, b.joinOffset), a.id.Compare(b.id))
 	})
 	return out
 }
--- a/internal/lease/handover.go
+++ b/internal/lease/handover.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// HandOver says that an owner has stopped starting calls in some slots and
-// that the receiver has its memory of them. It travels with the exported keys.
+// HandOver states that an owner has stopped starting calls in some slots, and that the receiver
+// gets the owner's records of the keys in these slots. It is sent together with the exported keys.
 type HandOver struct {
 	From  Identity     `json:"from"`
 	Slots []HandedSlot `json:"slots"`
 }
 
-// HandedSlot is one slot of a HandOver. Spans are relative to the sender's
-// clock at Release, so the time on the way only makes them longer.
+// HandedSlot is one slot of a HandOver. Durations count from Release on the sender's clock. The
+// transfer takes time, so they end later at the receiver, which is the safe direction.
 type HandedSlot struct {
 	Slot int `json:"slot"`
-	// Offset is the record that the sender owned the slot by.
+	// Offset is the offset of the record by which the sender owned the slot.
 	Offset int64 `json:"offset"`
-	// EffectiveIn is the rest of the sender's own takeover wait.
+	// EffectiveIn is the remaining time until the sender's own takeover takes effect.
 	EffectiveIn time.Duration `json:"effectiveIn,omitempty"`
-	// UnknownBefore and CleanIn are what was unknown to the sender; the first
-	// is zero when nothing was. It is a wall clock time, and is compared with
-	// wall clock times only.
+	// UnknownBefore is the wall clock time before which issued keys have an unknown outcome at the
+	// sender; zero if there are none. It is only compared with wall clock times. CleanIn is the
+	// remaining time during which they stay unknown.
 	UnknownBefore time.Time     `json:"unknownBefore,omitzero"`
 	CleanIn       time.Duration `json:"cleanIn,omitempty"`
 }
 
-// Release stops starting calls in the slots for good and returns what goes to
-// the receiver at addr. The caller then waits for the calls that run, exports
-// their keys and sends both. Should the receiver not take them, Reclaim.
+// Release stops starting calls in the slots, until self has taken them over again, and returns the
+// hand-over for the receiver at addr. The caller then waits for the running calls, exports their
+// keys and sends both. If the receiver does not accept the hand-over, the caller must call
+// Reclaim.
 func (l *Lessor) Release(now time.Time, addr string, slots []int) HandOver {
 	h := HandOver{From: l.self}
 	for _, i := range slots {
@@ -37,51 +38,50 @@
 			continue
 		}
 		s := &l.slots[i]
-		if s.owner != l.self || s.released || l.pending[i] {
+		if s.owner != l.self || s.released || l.pendingTakeovers[i] {
 			continue
 		}
 		s.released = true
 		s.releasedTo = addr
-		h.Slots = append(h.Slots, l.handed(now, i))
+		h.Slots = append(h.Slots, l.handedSlot(now, i))
 	}
 	return h
 }
 
-func (l *Lessor) handed(now time.Time, i int) HandedSlot {
+func (l *Lessor) handedSlot(now time.Time, i int) HandedSlot {
 	s := &l.slots[i]
-	out := HandedSlot{
+	handed := HandedSlot{
 		Slot:        i,
-		Offset:      s.offset,
-		EffectiveIn: l.cfg.padded(max(0, s.effective.Sub(now))),
+		Offset:      s.lastOffset,
+		EffectiveIn: l.cfg.withDrift(max(0, s.effectiveAt.Sub(now))),
 	}
-	if !s.unknownBefore.IsZero() && now.Before(s.cleanAt) {
-		out.UnknownBefore = s.unknownBefore.Round(0)
-		out.CleanIn = l.cfg.padded(s.cleanAt.Sub(now))
+	if !s.unknownBefore.IsZero() && now.Before(s.unknownUntil) {
+		handed.UnknownBefore = s.unknownBefore.Round(0)
+		handed.CleanIn = l.cfg.withDrift(s.unknownUntil.Sub(now))
 	}
-	return out
+	return handed
 }
 
-// Reclaim takes released slots again: the receiver refused or fell silent. The
-// record decides between the two: if the receiver's takeover is in the log
-// first, this one is void.
+// Reclaim takes back released slots after the receiver has refused or has not responded. The log
+// decides between the two guards: if the receiver's takeover comes first, this record is void.
 func (l *Lessor) Reclaim(now time.Time) (AppendTakeover, bool) {
 	var slots []int
 	for i := range l.slots {
 		s := &l.slots[i]
-		if s.owner == l.self && s.released && !l.pending[i] {
+		if s.owner == l.self && s.released && !l.pendingTakeovers[i] {
 			slots = append(slots, i)
 		}
 	}
 	if l.stopped || len(slots) == 0 {
 		return AppendTakeover{}, false
 	}
-	return l.append(now, slots), true
+	return l.newTakeover(now, slots), true
 }
 
-// ImportedHandOver notes that self holds the memory of the slots, all of it.
-// Plan then takes them, at once and with nothing unknown beyond what was
-// unknown to the sender. It reports whether self can take them; if not, the
-// sender must Reclaim.
+// ImportedHandOver records that self has the sender's complete records of the keys in the slots.
+// Plan then takes over these slots without a wait, and no keys are unknown except those that were
+// unknown to the sender. It returns false if self cannot take over the slots; the sender must then
+// call Reclaim.
 func (l *Lessor) ImportedHandOver(now time.Time, h HandOver) bool {
 	if !l.Eligible(now) {
 		return false
@@ -90,26 +90,26 @@
 		if hs.Slot < 0 || hs.Slot >= len(l.slots) {
 			continue
 		}
-		if l.slots[hs.Slot].offset > hs.Offset {
+		if l.slots[hs.Slot].lastOffset > hs.Offset {
 			continue
 		}
-		if l.held[hs.Slot].to == h.From {
-			// The promise protected the sender, which starts nothing more.
-			delete(l.held, hs.Slot)
+		if l.givenPromises[hs.Slot].to == h.From {
+			// The promise protected the sender, which starts no more calls in this slot.
+			delete(l.givenPromises, hs.Slot)
 		}
-		r := received{from: h.From, offset: hs.Offset, effective: now.Add(hs.EffectiveIn)}
+		r := importedSlot{from: h.From, offset: hs.Offset, effectiveAt: now.Add(hs.EffectiveIn)}
 		if !hs.UnknownBefore.IsZero() {
 			r.unknownBefore = hs.UnknownBefore
-			r.cleanAt = now.Add(hs.CleanIn)
+			r.unknownUntil = now.Add(hs.CleanIn)
 		}
-		l.received[hs.Slot] = r
+		l.importedSlots[hs.Slot] = r
 	}
 	return true
 }
 
-// StopPlan returns the moves of a planned stop: every owned slot goes to the
-// live guard that rendezvous hashing assigns it to. Without another guard
-// there are none; the keys are then unknown to the next owner.
+// StopPlan returns the moves of a planned stop: each owned slot goes to the live guard that
+// rendezvous hashing assigns it to. If there is no other live guard it returns no moves, and the
+// keys have an unknown outcome at the next owner.
 func (l *Lessor) StopPlan(live []Identity) []MoveSlots {
 	alive := make(map[Identity]bool, len(live))
 	for _, id := range live {
@@ -122,8 +122,8 @@
 	}
 	byTarget := make(map[Identity][]int)
 	for _, i := range l.Owned() {
-		to := rendezvous(i, alive)
-		byTarget[to] = append(byTarget[to], i)
+		target := rendezvous(i, alive)
+		byTarget[target] = append(byTarget[target], i)
 	}
 	var out []MoveSlots
 	for id, slots := range byTarget {
@@ -133,41 +133,41 @@
 	return out
 }
 
-// rebalance moves a few slots from self to the live guard with the fewest,
-// when self owns more than its share. Without it the first guard of a service
-// to start would own every slot for good.
+// rebalance moves a few slots from self to the live guard with the fewest slots, if self owns more
+// than its share. Without it, the first guard of a service to start would own every slot
+// permanently.
 func (l *Lessor) rebalance(now time.Time, live []Identity) (MoveSlots, bool) {
-	if l.cfg.RebalanceEvery == 0 || len(l.pending) > 0 || l.proofAge(now) >= l.cfg.Validity/staleShare {
+	if l.cfg.RebalanceEvery == 0 || len(l.pendingTakeovers) > 0 || l.headAge(now) >= l.cfg.Validity/headStaleDivisor {
 		return MoveSlots{}, false
 	}
-	if now.Sub(l.rebalanced) < l.cfg.RebalanceEvery {
+	if now.Sub(l.lastRebalance) < l.cfg.RebalanceEvery {
 		return MoveSlots{}, false
 	}
-	l.rebalanced = now
+	l.lastRebalance = now
 	count := make(map[Identity]int)
 	for i := range l.slots {
 		count[l.slots[i].owner]++
 	}
-	var to *guard
-	n := 1
+	var target *guard
+	liveGuards := 1
 	for _, id := range slices.SortedFunc(slices.Values(live), Identity.Compare) {
 		g, ok := l.guards.byID[id]
 		if !ok || id == l.self {
 			continue
 		}
-		n++
-		if to == nil || count[id] < count[to.id] {
-			to = g
+		liveGuards++
+		if target == nil || count[id] < count[target.id] {
+			target = g
 		}
 	}
-	if to == nil {
+	if target == nil {
 		return MoveSlots{}, false
 	}
-	share := (l.cfg.Slots + n - 1) / n
+	share := (l.cfg.Slots + liveGuards - 1) / liveGuards
 	owned := l.Owned()
-	k := min(len(owned)-share, share-count[to.id], max(1, l.cfg.Slots/moveShare))
-	if k <= 0 {
+	moves := min(len(owned)-share, share-count[target.id], max(1, l.cfg.Slots/maxMoveDivisor))
+	if moves <= 0 {
 		return MoveSlots{}, false
 	}
-	return MoveSlots{To: to.id, Addr: to.addr, Slots: owned[len(owned)-k:]}, true
+	return MoveSlots{To: target.id, Addr: target.addr, Slots: owned[len(owned)-moves:]}, true
 }
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -4,55 +4,58 @@
 	"time"
 )
 
-// noOffset stands for a slot without a record.
+// noOffset marks a slot without a record.
 const noOffset = -1
 
-// slot is the fold of one slot and, where self owns it, what self may do.
+// slot is the folded state of one slot and, if self owns it, the state that only the owner has.
 type slot struct {
 	owner Identity // zero: no owner
 	addr  string
-	// offset is the newest record of this ownership, first the oldest.
-	offset, first int64
-	// read is when first was read back.
-	read time.Time
-	// unseen means that an owner may be recorded in a part of the log that
-	// was no longer there to read.
-	unseen bool
+	// lastOffset is the offset of the newest record of the present ownership. firstOffset is that
+	// of the oldest one or, after a release, of the record that ended the release.
+	lastOffset, firstOffset int64
+	// readAt is the time at which the record at firstOffset was read.
+	readAt time.Time
+	// ownerMayBeTruncated reports that the slot may have an owner whose record is in a part of the
+	// log that was dropped before it was read.
+	ownerMayBeTruncated bool
 
-	// tenure is what only self knows of a slot that it owns; nil otherwise.
-	// A node keeps the slots of every service, and owns few.
-	*tenure
+	// ownerState is nil unless self owns the slot. It is a pointer because a node keeps the slots
+	// of every service and owns only a few of them.
+	*ownerState
 }
 
-// tenure is an owner's own part of a slot.
-type tenure struct {
-	// effective is when self may start calls.
-	effective time.Time
-	// Keys issued before unknownBefore may have run under an earlier owner,
-	// until cleanAt; both are zero when nothing is unknown.
-	unknownBefore, cleanAt time.Time
-	// releasedTo is the address that self handed the slot to; self starts
-	// nothing more until it has taken the slot again.
+// ownerState is the state of a slot that only its owner has.
+type ownerState struct {
+	// effectiveAt is the time from which self may start calls.
+	effectiveAt time.Time
+	// Calls with keys issued before unknownBefore may have run under an earlier owner. Their
+	// outcome is unknown until unknownUntil. Both are zero if no outcome is unknown.
+	unknownBefore, unknownUntil time.Time
+	// releasedTo is the address of the guard that self handed the slot to. While released is set,
+	// self starts no calls in the slot.
 	released   bool
 	releasedTo string
 }
 
-// received is a slot whose owner handed its memory to self.
-type received struct {
-	from                              Identity
-	offset                            int64
-	effective, unknownBefore, cleanAt time.Time
+// importedSlot is a slot whose keys were imported from its owner.
+type importedSlot struct {
+	from                                     Identity
+	offset                                   int64
+	effectiveAt, unknownBefore, unknownUntil time.Time
 }
 
-// hold is a promise that self gave: until then it takes no slot of owner's.
-type hold struct {
+// givenPromise is a promise of self to the guard to: self takes over no slot of that guard before
+// until.
+type givenPromise struct {
 	to    Identity
 	until time.Time
 }
 
-type promise struct {
-	by Identity
-	t0 time.Time
+// receivedPromise is a promise of another process not to take over slots of self.
+type receivedPromise struct {
+	from        Identity
+	requestedAt time.Time
 }
 
 // Lessor is the ownership state of one service at one guard.
@@ -60,35 +63,37 @@
 	cfg  Config
 	self Identity
 	addr string
-	// workspace and service go into the records.
+	// workspace and service are copied into the records.
 	workspace, service string
 
-	slots  []slot
-	guards guards
-	next   int64 // every record below it was folded
-	// joined is the offset of self's join record, noOffset before.
-	joined   int64
-	joinedAt time.Time
-	stopped  bool
+	slots      []slot
+	guards     guards
+	nextOffset int64 // every record below it was folded
+	// joinOffset is the offset of self's join record, noOffset until it was read.
+	joinOffset int64
+	joinedAt   time.Time
+	stopped    bool
 
-	proofT0   time.Time
-	proofHead int64
-	proven    bool
-	// farHead is the farthest head that any proof showed, from farT0 on.
-	farT0    time.Time
-	farHead  int64
-	promises map[string]promise   // by address of the process that promised
-	asked    map[string]time.Time // by address
-	// held is until when self promised not to take a slot.
-	held     map[int]hold
-	pending  map[int]bool // appended by self, not decided yet
-	received map[int]received
+	// headReadAt is the start time of the latest read of the log's head, observedHead its result.
+	headReadAt   time.Time
+	observedHead int64
+	headObserved bool // whether there was any observation
+	// maxHead is the highest head observed, maxHeadReadAt the start time of the latest read that
+	// returned it.
+	maxHeadReadAt      time.Time
+	maxHead            int64
+	receivedPromises   map[string]receivedPromise // by address of the promising process
+	lastPromiseRequest map[string]time.Time       // by address
+	// givenPromises are the promises of self not to take over slots, by slot.
+	givenPromises    map[int]givenPromise
+	pendingTakeovers map[int]bool         // slots in records that self appended and has not read back
+	importedSlots    map[int]importedSlot // by slot
 
-	refreshed  time.Time
-	rebalanced time.Time
+	lastRefresh   time.Time
+	lastRebalance time.Time
 }
 
-// Options say whose ownership a Lessor keeps.
+// Options identify the guard and the service of a Lessor.
 type Options struct {
 	Self      Identity
 	Addr      string // self's inner address
@@ -99,164 +104,164 @@
 // NewLessor returns the state before any record; cfg must be valid.
 func NewLessor(cfg Config, o Options) *Lessor {
 	l := &Lessor{
-		cfg:       cfg,
-		self:      o.Self,
-		addr:      o.Addr,
-		workspace: o.Workspace,
-		service:   o.Service,
-		slots:     make([]slot, cfg.Slots),
-		guards:    newGuards(),
-		joined:    noOffset,
-		promises:  make(map[string]promise),
-		asked:     make(map[string]time.Time),
-		held:      make(map[int]hold),
-		pending:   make(map[int]bool),
-		received:  make(map[int]received),
+		cfg:                cfg,
+		self:               o.Self,
+		addr:               o.Addr,
+		workspace:          o.Workspace,
+		service:            o.Service,
+		slots:              make([]slot, cfg.Slots),
+		guards:             newGuards(),
+		joinOffset:         noOffset,
+		receivedPromises:   make(map[string]receivedPromise),
+		lastPromiseRequest: make(map[string]time.Time),
+		givenPromises:      make(map[int]givenPromise),
+		pendingTakeovers:   make(map[int]bool),
+		importedSlots:      make(map[int]importedSlot),
 	}
 	for i := range l.slots {
-		l.slots[i].offset = noOffset
-		l.slots[i].first = noOffset
+		l.slots[i].lastOffset = noOffset
+		l.slots[i].firstOffset = noOffset
 	}
 	return l
 }
 
-// Truncated says that the log's oldest records were gone when the fold began.
-// Slots without an owner then may have one that was never read: they are taken
-// like slots of a dead owner, with the wait and with unknown keys.
+// Truncated records that the oldest records of the log had been dropped when the fold began. A
+// slot without an owner may then have an owner whose record was never read. Such slots are taken
+// over like slots of an unreachable owner: with the wait, and with unknown keys.
 func (l *Lessor) Truncated() {
 	for i := range l.slots {
 		if l.slots[i].owner.IsZero() {
-			l.slots[i].unseen = true
+			l.slots[i].ownerMayBeTruncated = true
 		}
 	}
 }
 
-// Joined folds a join record. serves says whether the member is a guard of
-// this service; other joins matter because they show that an address has a new
-// holder.
+// Joined folds a join record. serves reports whether the member is a guard of this service. Joins
+// of other members are folded as well, because they show that an address has a new process.
 func (l *Lessor) Joined(now time.Time, offset int64, id Identity, addr string, serves bool) {
-	if !l.advance(offset) {
+	if !l.acceptOffset(offset) {
 		return
 	}
 	if !l.guards.join(offset, id, addr, serves) {
 		return
 	}
 	switch {
-	case id == l.self && l.joined == noOffset:
-		l.joined = offset
+	case id == l.self && l.joinOffset == noOffset:
+		l.joinOffset = offset
 		l.joinedAt = now
 	case id.Node == l.self.Node && id.Incarnation > l.self.Incarnation:
 		l.stopped = true
 	}
 }
 
-// Left folds a leave record: the process ended what it ran and has stopped.
+// Left folds a leave record: the process has ended its calls and stopped.
 func (l *Lessor) Left(offset int64, id Identity) {
-	if !l.advance(offset) {
+	if !l.acceptOffset(offset) {
 		return
 	}
-	l.guards.stop(id)
+	l.guards.markStopped(id)
 	l.stopped = l.stopped || id == l.self
 }
 
-// Evicted folds an evict record: later takeovers of the incarnation are void.
-// It does not show that the process has stopped.
+// Evicted folds an evict record: later takeovers of the incarnation are void. The record does not
+// show that the process has stopped.
 func (l *Lessor) Evicted(now time.Time, offset int64, id Identity) {
-	if !l.advance(offset) {
+	if !l.acceptOffset(offset) {
 		return
 	}
 	l.guards.evict(now, id)
 	l.stopped = l.stopped || id == l.self
 }
 
-// Apply folds a takeover record; now is when it was read, on this clock.
+// Apply folds a takeover record; now is the local time at which it was read.
 func (l *Lessor) Apply(now time.Time, offset int64, t Takeover) {
-	if !l.advance(offset) {
+	if !l.acceptOffset(offset) {
 		return
 	}
-	void := l.guards.isGone(t.NewOwner)
+	void := l.guards.isVoid(t.NewOwner)
 	for _, i := range t.Slots {
 		if i < 0 || i >= len(l.slots) {
 			continue
 		}
 		if t.NewOwner == l.self {
-			delete(l.pending, i)
+			delete(l.pendingTakeovers, i)
 		}
-		if void || l.slots[i].offset >= t.Folded {
+		if void || l.slots[i].lastOffset >= t.Folded {
 			continue
 		}
-		l.take(now, offset, i, t)
+		l.foldSlot(now, offset, i, t)
 	}
 }
 
-// advance reports whether a record is new; a reader that starts again may
-// deliver some twice.
-func (l *Lessor) advance(offset int64) bool {
-	if offset < l.next {
+// acceptOffset moves nextOffset past a record. It returns false if the record was folded before: a
+// restarted reader may deliver records twice.
+func (l *Lessor) acceptOffset(offset int64) bool {
+	if offset < l.nextOffset {
 		return false
 	}
-	l.next = offset + 1
+	l.nextOffset = offset + 1
 	return true
 }
 
-func (l *Lessor) take(now time.Time, offset int64, i int, t Takeover) {
+// foldSlot folds a valid takeover record into one slot.
+func (l *Lessor) foldSlot(now time.Time, offset int64, i int, t Takeover) {
 	prev := l.slots[i]
 	if prev.owner == t.NewOwner {
 		l.renew(now, offset, i, t)
 		return
 	}
-	s := slot{owner: t.NewOwner, addr: t.Addr, offset: offset, first: offset, read: now}
+	s := slot{owner: t.NewOwner, addr: t.Addr, lastOffset: offset, firstOffset: offset, readAt: now}
 	if t.NewOwner == l.self {
-		l.begin(now, &s, prev, i)
+		l.startOwnership(now, &s, prev, i)
 	}
-	l.dropStale(i, offset)
+	l.dropStaleImport(i, offset)
 	l.slots[i] = s
 }
 
-// dropStale forgets a hand-over that a newer record of the slot has overtaken.
-// A hand-over may also arrive before the record that it refers to.
-func (l *Lessor) dropStale(i int, offset int64) {
-	if r, ok := l.received[i]; ok && r.offset < offset {
-		delete(l.received, i)
+// dropStaleImport removes imported keys of a slot if the record at offset is newer than the one
+// that the hand-over refers to. A hand-over may also arrive before its own record, and is then
+// kept.
+func (l *Lessor) dropStaleImport(i int, offset int64) {
+	if r, ok := l.importedSlots[i]; ok && r.offset < offset {
+		delete(l.importedSlots, i)
 	}
 }
 
-// renew folds a record of the present owner: it moves the offset, so that
-// folds which begin later agree, and ends a release.
+// renew folds a repeated record of the present owner. It updates lastOffset, so that folds that
+// begin at a later record agree, and it ends a release.
 func (l *Lessor) renew(now time.Time, offset int64, i int, t Takeover) {
 	s := &l.slots[i]
-	s.offset = offset
+	s.lastOffset = offset
 	s.addr = t.Addr
-	l.dropStale(i, offset)
-	if s.tenure != nil && s.released {
+	l.dropStaleImport(i, offset)
+	if s.ownerState != nil && s.released {
 		s.released = false
-		s.first = offset
-		s.read = now
+		s.firstOffset = offset
+		s.readAt = now
 	}
 }
 
-// begin sets from when self may start calls in a slot, and which keys are
-// unknown.
+// startOwnership sets the time from which self may start calls in a slot, and the keys whose
+// outcome is unknown.
 //
-// It guards against two owners at once: a paused or cut-off owner goes on
-// until its last proof is Validity old. That proof was read before this
-// takeover was appended, so it is worthless takeoverWait after the read-back.
-// And it guards against a second run: whatever the earlier owner started until
-// then is not in this memory.
-func (l *Lessor) begin(now time.Time, s *slot, prev slot, i int) {
-	s.tenure = &tenure{effective: now}
-	if prev.owner.IsZero() && !prev.unseen {
+// The wait prevents two owners at once. A paused or disconnected owner continues until its last
+// head observation is Validity old. That observation was made before this takeover was appended,
+// so it has expired takeoverWait after the takeover was read back. The unknown keys prevent a
+// second run: the calls that the earlier owner started until then are not in the table of self.
+func (l *Lessor) startOwnership(now time.Time, s *slot, prev slot, i int) {
+	s.ownerState = &ownerState{effectiveAt: now}
+	if prev.owner.IsZero() && !prev.ownerMayBeTruncated {
 		return
 	}
-	if r, ok := l.received[i]; ok && r.from == prev.owner && r.offset == prev.offset {
-		s.effective = later(now, r.effective)
+	if r, ok := l.importedSlots[i]; ok && r.from == prev.owner && r.offset == prev.lastOffset {
+		s.effectiveAt = later(now, r.effectiveAt)
 		s.unknownBefore = r.unknownBefore
-		s.cleanAt = r.cleanAt
+		s.unknownUntil = r.unknownUntil
 		return
 	}
-	s.effective = now.Add(l.cfg.takeoverWait())
-	s.unknownBefore = s.effective
-	s.cleanAt = s.effective.Add(l.cfg.padded(l.cfg.ResendHorizon))
+	s.effectiveAt = now.Add(l.cfg.takeoverWait())
+	s.unknownBefore = s.effectiveAt
+	s.unknownUntil = s.effectiveAt.Add(l.cfg.withDrift(l.cfg.ResendHorizon))
 }
 
 func later(a, b time.Time) time.Time {
@@ -266,11 +271,10 @@
 	return a
 }
 
-// Next is the offset after the last record folded.
-func (l *Lessor) Next() int64 { return l.next }
+// Next returns the offset after the last folded record.
+func (l *Lessor) Next() int64 { return l.nextOffset }
 
-// Owned returns the slots that the log gives to self and that self did not
-// hand over, in order.
+// Owned returns in order the slots that self owns according to the log and has not released.
 func (l *Lessor) Owned() []int {
 	var out []int
 	for i := range l.slots {
@@ -281,7 +285,7 @@
 	return out
 }
 
-// Owner returns who owns the slot of a key and its inner address.
+// Owner returns the owner of a key's slot and its inner address; false if the slot has no owner.
 func (l *Lessor) Owner(keyHash uint64) (Identity, string, bool) {
 	s := &l.slots[l.SlotOf(keyHash)]
 	return s.owner, s.addr, !s.owner.IsZero()
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -7,29 +7,31 @@
 )
 
 const (
-	// staleShare of Validity: promises are asked for once the last proof is
-	// older. Proofs come several times within Validity, so on a good day
-	// nobody asks.
-	staleShare = 2
-	// askShare of Validity is the least time between questions to one guard.
-	askShare = 4
-	// moveShare of the slots is the most that one rebalancing moves.
-	moveShare = 8
+	// headStaleDivisor sets when promises are requested: once the last head observation is older
+	// than Validity divided by it. Observations come several times within Validity, so normally
+	// there are no requests.
+	headStaleDivisor = 2
+	// requestIntervalDivisor sets the minimum time between two promise requests to one guard:
+	// Validity divided by it.
+	requestIntervalDivisor = 4
+	// maxMoveDivisor sets the maximum number of slots that one rebalancing moves: Slots divided by
+	// it.
+	maxMoveDivisor = 8
 )
 
-// Plan returns what is due now. live are the guards of the service that are
-// believed alive; a wrong belief costs time, never soundness.
+// Plan returns the actions that are due now. live are the guards of the service that the failure
+// detector reports as live; a wrong report delays calls but never violates exclusive ownership.
 func (l *Lessor) Plan(now time.Time, live []Identity) []Action {
-	l.tidy(now)
+	l.expire(now)
 	if l.stopped {
 		return nil
 	}
-	actions := l.asks(now)
-	if slots := l.wanted(now, live); len(slots) > 0 {
-		actions = append(actions, l.append(now, slots))
+	actions := l.promiseRequests(now)
+	if slots := l.slotsToTake(now, live); len(slots) > 0 {
+		actions = append(actions, l.newTakeover(now, slots))
 	}
-	if slots := l.refreshable(now); len(slots) > 0 {
-		actions = append(actions, l.append(now, slots))
+	if slots := l.slotsToRefresh(now); len(slots) > 0 {
+		actions = append(actions, l.newTakeover(now, slots))
 	}
 	if move, ok := l.rebalance(now, live); ok {
 		actions = append(actions, move)
@@ -37,27 +39,30 @@
 	return actions
 }
 
-func (l *Lessor) tidy(now time.Time) {
-	l.guards.prune(now, l.cfg.padded(l.cfg.PromiseLimit))
-	for i, h := range l.held {
-		if !now.Before(h.until) {
-			delete(l.held, i)
+// expire removes expired promises, promise requests and evicted guards.
+func (l *Lessor) expire(now time.Time) {
+	l.guards.prune(now, l.cfg.withDrift(l.cfg.PromiseLimit))
+	for i, p := range l.givenPromises {
+		if !now.Before(p.until) {
+			delete(l.givenPromises, i)
 		}
 	}
-	for addr, p := range l.promises {
-		if now.Sub(p.t0) >= l.cfg.Validity {
-			delete(l.promises, addr)
+	for addr, p := range l.receivedPromises {
+		if now.Sub(p.requestedAt) >= l.cfg.Validity {
+			delete(l.receivedPromises, addr)
 		}
 	}
-	for addr, at := range l.asked {
+	for addr, at := range l.lastPromiseRequest {
 		if now.Sub(at) >= l.cfg.Validity {
-			delete(l.asked, addr)
+			delete(l.lastPromiseRequest, addr)
 		}
 	}
 }
 
-func (l *Lessor) asks(now time.Time) []Action {
-	if !l.proven || l.proofAge(now) < l.cfg.Validity/staleShare || l.proofAge(now) >= l.cfg.PromiseLimit {
+// promiseRequests returns the promise requests that are due. There are none while the last head
+// observation is recent, or once it is older than PromiseLimit.
+func (l *Lessor) promiseRequests(now time.Time) []Action {
+	if !l.headObserved || l.headAge(now) < l.cfg.Validity/headStaleDivisor || l.headAge(now) >= l.cfg.PromiseLimit {
 		return nil
 	}
 	owned := l.Owned()
@@ -65,19 +70,20 @@
 		return nil
 	}
 	var out []Action
-	for _, g := range l.guards.takers(l.self) {
-		if at, ok := l.asked[g.addr]; ok && now.Sub(at) < l.cfg.Validity/askShare {
+	for _, g := range l.guards.contenders(l.self) {
+		if at, ok := l.lastPromiseRequest[g.addr]; ok && now.Sub(at) < l.cfg.Validity/requestIntervalDivisor {
 			continue
 		}
-		l.asked[g.addr] = now
+		l.lastPromiseRequest[g.addr] = now
 		out = append(out, AskPromise{At: now, To: g.id, Addr: g.addr, Slots: owned})
 	}
 	return out
 }
 
-func (l *Lessor) append(now time.Time, slots []int) AppendTakeover {
+// newTakeover returns a takeover record for the slots and marks them as pending.
+func (l *Lessor) newTakeover(now time.Time, slots []int) AppendTakeover {
 	for _, i := range slots {
-		l.pending[i] = true
+		l.pendingTakeovers[i] = true
 	}
 	return AppendTakeover{Record: Takeover{
 		Workspace: l.workspace,
@@ -85,22 +91,22 @@
 		Slots:     slots,
 		NewOwner:  l.self,
 		Addr:      l.addr,
-		Folded:    l.next,
+		Folded:    l.nextOffset,
 		At:        now,
 	}}
 }
 
-// NotAppended says that a record provably never reaches the log; its slots may
-// be planned and promised again.
+// NotAppended reports that a record will provably never reach the log. Its slots may be planned
+// and promised again.
 func (l *Lessor) NotAppended(t Takeover) {
 	for _, i := range t.Slots {
-		delete(l.pending, i)
+		delete(l.pendingTakeovers, i)
 	}
 }
 
-// wanted returns the slots to take now.
-func (l *Lessor) wanted(now time.Time, live []Identity) []int {
-	if l.joined == noOffset {
+// slotsToTake returns the slots that self should take over now.
+func (l *Lessor) slotsToTake(now time.Time, live []Identity) []int {
+	if l.joinOffset == noOffset {
 		return nil
 	}
 	alive := make(map[Identity]bool, len(live)+1)
@@ -111,41 +117,43 @@
 	eligible := l.Eligible(now)
 	var out []int
 	for i := range l.slots {
-		if l.pending[i] || now.Before(l.held[i].until) {
+		if l.pendingTakeovers[i] || now.Before(l.givenPromises[i].until) {
 			continue
 		}
-		if l.wants(now, i, alive, eligible) {
+		if l.shouldTake(now, i, alive, eligible) {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-func (l *Lessor) wants(now time.Time, i int, alive map[Identity]bool, eligible bool) bool {
+// shouldTake reports whether self should take over the slot, apart from pending takeovers and
+// given promises.
+func (l *Lessor) shouldTake(now time.Time, i int, alive map[Identity]bool, eligible bool) bool {
 	s := &l.slots[i]
 	if s.owner.IsZero() {
-		return (eligible || !s.unseen) && l.assigned(i, alive)
+		return (eligible || !s.ownerMayBeTruncated) && l.assignedToSelf(i, alive)
 	}
 	if !eligible || s.owner == l.self {
 		return false
 	}
-	if r, ok := l.received[i]; ok && r.from == s.owner && r.offset == s.offset {
+	if r, ok := l.importedSlots[i]; ok && r.from == s.owner && r.offset == s.lastOffset {
 		return true
 	}
 	if alive[s.owner] {
 		return false
 	}
-	// A slot that has just changed hands stays for a while, however dead its
-	// owner looks from here.
-	if !l.guards.isGone(s.owner) && now.Sub(s.read) < l.cfg.takeoverWait() {
+	// A slot that was taken over less than takeoverWait ago is left to its owner, even if the
+	// owner seems unreachable, unless its records are void.
+	if !l.guards.isVoid(s.owner) && now.Sub(s.readAt) < l.cfg.takeoverWait() {
 		return false
 	}
-	return l.assigned(i, alive)
+	return l.assignedToSelf(i, alive)
 }
 
-// assigned reports whether self is the one of the live guards that takes the
-// slot: rendezvous hashing, so that takers who agree on who lives never race.
-func (l *Lessor) assigned(i int, alive map[Identity]bool) bool {
+// assignedToSelf reports whether rendezvous hashing over the live guards assigns the slot to self.
+// Guards with the same view of the live guards therefore never compete for a slot.
+func (l *Lessor) assignedToSelf(i int, alive map[Identity]bool) bool {
 	return rendezvous(i, alive) == l.self
 }
 
@@ -168,22 +176,22 @@
 	return d.Sum64()
 }
 
-// refreshable returns self's slots once their record must be written again,
-// lest the log drops it and a later fold sees no owner.
-func (l *Lessor) refreshable(now time.Time) []int {
+// slotsToRefresh returns the slots of self whose record must be appended again. Otherwise the log
+// would drop it, and a later fold would find no owner.
+func (l *Lessor) slotsToRefresh(now time.Time) []int {
 	if l.cfg.Refresh == 0 {
 		return nil
 	}
-	if l.refreshed.IsZero() {
-		l.refreshed = now
+	if l.lastRefresh.IsZero() {
+		l.lastRefresh = now
 	}
-	if now.Sub(l.refreshed) < l.cfg.Refresh {
+	if now.Sub(l.lastRefresh) < l.cfg.Refresh {
 		return nil
 	}
-	l.refreshed = now
+	l.lastRefresh = now
 	var out []int
 	for _, i := range l.Owned() {
-		if !l.pending[i] {
+		if !l.pendingTakeovers[i] {
 			out = append(out, i)
 		}
 	}
--- a/internal/lease/promise.go
+++ b/internal/lease/promise.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// OnPromiseRequest answers a guard that cannot read the log: true promises
-// that self appends no takeover of the slots until takeoverWait from now.
+// OnPromiseRequest handles the request of a guard that cannot read the log. By returning true,
+// self promises to append no takeover of the slots until takeoverWait from now.
 //
-// It is refused when it may come too late: self has appended a takeover that
-// is not decided, holds the memory of a slot, or has read that the slot is not
-// the asker's. A process that has not joined yet promises freely: what it
-// joins after, the asker's proof does not show, so it must wait for long.
+// It returns false if the promise may be too late: self has a pending takeover of a slot, has
+// imported the keys of a slot, or has read that the slot does not belong to the requester. A
+// process that has not joined yet always promises. Its join will come after the requester's last
+// head observation, so the requester does not know of it, and Eligible makes it wait before it
+// takes over slots.
 func (l *Lessor) OnPromiseRequest(now time.Time, from Identity, slots []int) bool {
 	for _, i := range slots {
 		if i < 0 || i >= len(l.slots) || !l.mayPromise(from, i) {
@@ -17,57 +18,58 @@
 	}
 	until := now.Add(l.cfg.takeoverWait())
 	for _, i := range slots {
-		l.held[i] = l.held[i].extended(now, from, until)
+		l.givenPromises[i] = l.givenPromises[i].extended(now, from, until)
 	}
 	return true
 }
 
-// extended is the hold after another promise. While promises to two askers are
-// out, neither of them can end both: the hold then lasts.
-func (h hold) extended(now time.Time, to Identity, until time.Time) hold {
-	if now.Before(h.until) && h.to != to {
+// extended returns the promise for a slot after another request. If promises to two requesters are
+// in force, a hand-over from one of them must not end the promise to the other. The field to is
+// then empty, and the promise ends only at until.
+func (p givenPromise) extended(now time.Time, to Identity, until time.Time) givenPromise {
+	if now.Before(p.until) && p.to != to {
 		to = Identity{}
 	}
-	return hold{to: to, until: later(until, h.until)}
+	return givenPromise{to: to, until: later(until, p.until)}
 }
 
 func (l *Lessor) mayPromise(from Identity, i int) bool {
-	if l.pending[i] {
+	if l.pendingTakeovers[i] {
 		return false
 	}
-	if _, ok := l.received[i]; ok {
+	if _, ok := l.importedSlots[i]; ok {
 		return false
 	}
-	return l.joined == noOffset || l.slots[i].owner == from
+	return l.joinOffset == noOffset || l.slots[i].owner == from
 }
 
-// ObservePeerHead takes a guard's own word on the newest log head that it has proof
-// of. It shows which guards that one knows of.
+// ObservePeerHead records the newest log head that a guard reports to have observed. It shows
+// which guards that guard knows of.
 func (l *Lessor) ObservePeerHead(from Identity, head int64) {
 	if g, ok := l.guards.byID[from]; ok {
-		g.head = max(g.head, head)
+		g.reportedHead = max(g.reportedHead, head)
 	}
 }
 
-// Head is the newest log head that self has proof of, to be told to the other
-// guards; false before the first proof.
-func (l *Lessor) Head() (int64, bool) { return l.proofHead, l.proven }
+// Head returns the newest log head that self has observed, which is sent to the other guards;
+// false before the first observation.
+func (l *Lessor) Head() (int64, bool) { return l.observedHead, l.headObserved }
 
-// Eligible reports whether self may take slots that have had an owner.
+// Eligible reports whether self may take over slots that have had an owner.
 //
-// It guards against an owner that lives on promises and does not know that
-// self exists: it never asks self for one. So every guard that joined earlier
-// must have said that its proof covers self's join, or have certainly stopped,
-// or PromiseLimit must have passed since the join was read.
+// It protects an owner that continues on promises and does not know that self exists: that owner
+// never requests a promise from self. Therefore one of the following must hold for every guard
+// that joined earlier: it has reported a head observation that covers the join of self, it has
+// certainly stopped, or PromiseLimit has passed since the join of self was read.
 func (l *Lessor) Eligible(now time.Time) bool {
-	if l.joined == noOffset || l.stopped {
+	if l.joinOffset == noOffset || l.stopped {
 		return false
 	}
-	if now.Sub(l.joinedAt) >= l.cfg.padded(l.cfg.PromiseLimit) {
+	if now.Sub(l.joinedAt) >= l.cfg.withDrift(l.cfg.PromiseLimit) {
 		return true
 	}
 	for _, g := range l.guards.byID {
-		if g.joined < l.joined && g.head <= l.joined {
+		if g.joinOffset < l.joinOffset && g.reportedHead <= l.joinOffset {
 			return false
 		}
 	}
--- a/internal/lease/promise_test.go
+++ b/internal/lease/promise_test.go
@@ -7,7 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against slots that stand without an owner for seconds after a planned hand-over.
+// Guards against slots that stay without an owner for seconds after a planned hand-over, because
+// the receiver's earlier promise to the sender blocks its takeover.
 func TestHandOverEndsThePromiseGivenToItsSender(t *testing.T) {
 	now := time.Unix(1000, 0)
 	owner, taker := Identity{Node: "a", Incarnation: 1}, Identity{Node: "b", Incarnation: 1}
@@ -27,14 +28,14 @@
 	must.Eq(t, []int{7}, actions[0].(AppendTakeover).Record.Slots)
 }
 
-// While two askers hold promises, the hand-over of one must not end the
-// other's: the slot would be taken from under it.
-func TestHoldForTwoAskersLasts(t *testing.T) {
+// Guards against a hand-over from one of two requesters that ends the promise to the other, whose
+// slot could then be taken over while it starts calls.
+func TestPromiseToTwoRequestersLasts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a, b := Identity{Node: "a", Incarnation: 1}, Identity{Node: "b", Incarnation: 1}
-	h := hold{}.extended(now, a, now.Add(time.Second))
-	must.Eq(t, a, h.to)
-	h = h.extended(now, b, now.Add(2*time.Second))
-	must.Eq(t, Identity{}, h.to)
-	must.Eq(t, now.Add(2*time.Second), h.until)
+	p := givenPromise{}.extended(now, a, now.Add(time.Second))
+	must.Eq(t, a, p.to)
+	p = p.extended(now, b, now.Add(2*time.Second))
+	must.Eq(t, Identity{}, p.to)
+	must.Eq(t, now.Add(2*time.Second), p.until)
 }
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -6,47 +6,47 @@
 	"github.com/galenagrade/galenagrade/internal/membership"
 )
 
-// Identity names one life of a guard.
+// Identity identifies one incarnation of a guard.
 type Identity = membership.Identity
 
-// Takeover is a record of the log: a guard takes slots. The first one in the
-// log of those that replace the same ownership wins.
+// Takeover is a record of the log by which a guard takes over slots. Of several records that
+// replace the same ownership, the first one in the log wins.
 type Takeover struct {
 	Workspace string `json:"workspace"`
 	Service   string `json:"service"`
 	Slots     []int  `json:"slots"`
-	// NewOwner is the new owner.
+	// NewOwner is the guard that takes over the slots.
 	NewOwner Identity `json:"by"`
 	// Addr is the new owner's inner address.
 	Addr string `json:"addr"`
-	// Folded is the offset up to which the taker had folded the log. A slot
-	// that changed at or after it is not taken: the taker did not know.
+	// Folded is the offset up to which the new owner had folded the log. A slot that changed at or
+	// after it is not taken over, because the new owner did not know of the change.
 	Folded int64 `json:"folded"`
-	// At is the taker's clock, for the time line only.
+	// At is the wall clock time of the new owner, used only for events of the timeline.
 	At time.Time `json:"at"`
 }
 
-// Action is something that Plan wants done: AskPromise, AppendTakeover or
-// MoveSlots.
+// Action is an action that Plan requests: AskPromise, AppendTakeover or MoveSlots.
 type Action interface{ leaseAction() }
 
-// AskPromise asks the process at an address, whichever it is now, to promise
-// not to take the slots. A true answer goes to Promise with At.
+// AskPromise requests that the process at an address, whichever it is now, promises not to take
+// over the slots. If the response is true, the caller passes it to Promise together with At.
 type AskPromise struct {
-	// At is when it was planned, so not after it was sent.
+	// At is the time at which the request was planned, which is not after the time at which it was
+	// sent.
 	At    time.Time
 	To    Identity
 	Addr  string
 	Slots []int
 }
 
-// AppendTakeover appends a record. It is due once; the caller repeats it with
-// the same append ID until it was read back, or reports NotAppended.
+// AppendTakeover requests the append of a record. Plan returns it once. The caller repeats the
+// append with the same append ID until the record was read back, or calls NotAppended.
 type AppendTakeover struct{ Record Takeover }
 
-// MoveSlots hands slots to another guard: ask that it is Eligible, Release,
-// wait for the calls that run, export the keys, send both. A call counts as
-// running from the moment its key was looked up, not from its dispatch.
+// MoveSlots requests a hand-over of slots to another guard: check that the guard is Eligible, call
+// Release, wait for the running calls, export their keys and send both. A call counts as running
+// from the moment its key was looked up, not from its dispatch.
 type MoveSlots struct {
 	To    Identity
 	Addr  string
--- a/internal/lease/sim_calls_test.go
+++ b/internal/lease/sim_calls_test.go
@@ -8,44 +8,45 @@
 )
 
 // call sends a new key, or one that its caller may still resend, to a guard.
-func (w *world) call(p *proc) {
-	k := len(w.keys) - 1 - w.ch.intn(6, "key")
-	if k < 0 || w.ch.intn(3, "new key") == 0 {
+func (w *world) call(p *process) {
+	k := len(w.keys) - 1 - w.choose.intn(6, "key")
+	if k < 0 || w.choose.intn(3, "new key") == 0 {
 		k = len(w.keys)
-		key := &simKey{first: w.now}
-		if w.ch.intn(2, "has time") == 0 {
-			key.issued = epoch.Add(w.now + w.skew())
+		key := &simKey{firstSentAt: w.now}
+		if w.choose.intn(2, "has time") == 0 {
+			key.issuedAt = epoch.Add(w.now + w.skew())
 		}
 		w.keys = append(w.keys, key)
 	}
-	if w.now-w.keys[k].first >= w.cfg.ResendHorizon {
+	if w.now-w.keys[k].firstSentAt >= w.cfg.ResendHorizon {
 		return
 	}
-	if owner := w.try(p, k); owner != "" && w.at(owner) != nil {
-		w.try(w.at(owner), k)
+	if owner := w.tryStart(p, k); owner != "" && w.processAt(owner) != nil {
+		w.tryStart(w.processAt(owner), k)
 	}
 }
 
-// try starts a key at a guard if it may, and returns the owner it names else.
-func (w *world) try(p *proc, k int) string {
+// tryStart starts a call at a guard if the guard allows it. Otherwise it returns the address of
+// the owner that the refusal contains, if any.
+func (w *world) tryStart(p *process, k int) string {
 	if p.memory[k] {
 		return ""
 	}
-	a := p.l.MayStart(w.local(p), uint64(k), w.keys[k].issued)
+	a := p.l.MayStart(w.local(p), uint64(k), w.keys[k].issuedAt)
 	if !a.OK {
-		w.seen["unknown"] += map[result.Code]int{result.OutcomeUnknown: 1}[a.Refusal.Code]
+		w.coverage["unknown"] += map[result.Code]int{result.OutcomeUnknown: 1}[a.Refusal.Code]
 		return a.Refusal.Owner
 	}
 	p.memory[k] = true
-	p.allowed = append(p.allowed, call{k, a.Deadline})
-	if w.ch.intn(2, "at once") == 0 {
+	p.allowed = append(p.allowed, allowedCall{k, a.Deadline})
+	if w.choose.intn(2, "at once") == 0 {
 		w.dispatch(p)
 	}
 	return ""
 }
 
-// dispatch sends an allowed call if its authority still holds right now.
-func (w *world) dispatch(p *proc) {
+// dispatch sends an allowed call if its deadline has not passed yet.
+func (w *world) dispatch(p *process) {
 	if len(p.allowed) == 0 {
 		return
 	}
@@ -55,13 +56,13 @@
 		return
 	}
 	key := w.keys[c.key]
-	key.runs = append(key.runs, p.id.String())
-	w.seen["starts"]++
-	if p.l.proofAge(w.local(p)) >= w.cfg.Validity {
-		w.seen["starts on promises"]++
+	key.startedBy = append(key.startedBy, p.id.String())
+	w.coverage["starts"]++
+	if p.l.headAge(w.local(p)) >= w.cfg.Validity {
+		w.coverage["starts on promises"]++
 	}
-	others := slices.DeleteFunc(w.starters(p.l.SlotOf(uint64(c.key))), func(id Identity) bool { return id == p.id })
-	if len(key.runs) > 1 || len(others) > 0 {
-		w.err = fmt.Errorf("at %v key %d ran at %v, and %v may start its slot", w.now, c.key, key.runs, others)
+	otherStarters := slices.DeleteFunc(w.startersOf(p.l.SlotOf(uint64(c.key))), func(id Identity) bool { return id == p.id })
+	if len(key.startedBy) > 1 || len(otherStarters) > 0 {
+		w.err = fmt.Errorf("at %v key %d ran at %v, and %v may start calls in its slot", w.now, c.key, key.startedBy, otherStarters)
 	}
 }
--- a/internal/lease/status.go
+++ b/internal/lease/status.go
@@ -2,50 +2,51 @@
 
 import "time"
 
-// Status is what operators see of one service's ownership at one guard.
+// Status is a summary of one service's ownership at one guard for operators.
 type Status struct {
-	// Owned is the number of slots that the log gives to self.
+	// Owned is the number of slots that self owns according to the log.
 	Owned int `json:"owned"`
-	// Ready is how many of them may start calls now.
+	// Ready is the number of owned slots in which calls may start now.
 	Ready int `json:"ready"`
-	// Waiting is how many are owned and not in effect yet.
+	// Waiting is the number of owned slots whose takeover is not in effect yet.
 	Waiting int `json:"waiting"`
-	// Unknown is how many answer old keys with an unknown outcome.
+	// Unknown is the number of owned slots in which old keys have an unknown outcome.
 	Unknown int `json:"unknown"`
-	// Released is how many were handed over and wait for their receiver.
+	// Released is the number of owned slots that were handed over and not taken over yet by the
+	// receiver.
 	Released int `json:"released"`
-	// Unowned is the number of slots that have no owner at all.
+	// Unowned is the number of slots without an owner.
 	Unowned int `json:"unowned"`
-	// Pending is how many takeovers were appended and not read back.
+	// Pending is the number of slots in takeovers that were appended and not read back yet.
 	Pending int `json:"pending"`
-	// HeadAge is the age of the last proof; ok on a good day while it stays
-	// below half of Validity.
+	// HeadAge is the age of the last head observation. In normal operation it stays below half of
+	// Validity.
 	HeadAge time.Duration `json:"proofAge"`
-	// Promises is how many guards' promises count now, of Takers.
+	// Promises is the number of guards, out of Contenders, whose promises are valid now.
 	Promises int `json:"promises"`
-	// Contenders is how many other guards could take slots over.
+	// Contenders is the number of other guards that could take over slots.
 	Contenders int `json:"takers"`
-	// Eligible says whether self may take slots that have had an owner.
+	// Eligible reports whether self may take over slots that have had an owner.
 	Eligible bool `json:"eligible"`
-	// Stopped says that self is no longer a member and starts nothing.
+	// Stopped reports that self is no longer a member and starts no calls.
 	Stopped bool `json:"stopped"`
 }
 
-// Status returns the present figures.
+// Status returns the current state.
 func (l *Lessor) Status(now time.Time) Status {
 	st := Status{
-		Pending:  len(l.pending),
-		HeadAge:  l.proofAge(now),
+		Pending:  len(l.pendingTakeovers),
+		HeadAge:  l.headAge(now),
 		Eligible: l.Eligible(now),
 		Stopped:  l.stopped,
 	}
 	for i := range l.slots {
 		l.countSlot(now, &l.slots[i], &st)
 	}
-	for _, g := range l.guards.takers(l.self) {
+	for _, g := range l.guards.contenders(l.self) {
 		st.Contenders++
-		p, ok := l.promises[g.addr]
-		if ok && standsFor(p.by, g.id) && now.Sub(p.t0) < l.cfg.Validity {
+		p, ok := l.receivedPromises[g.addr]
+		if ok && promiseBinds(p.from, g.id) && now.Sub(p.requestedAt) < l.cfg.Validity {
 			st.Promises++
 		}
 	}
@@ -64,12 +65,12 @@
 	switch {
 	case s.released:
 		st.Released++
-	case now.Before(s.effective):
+	case now.Before(s.effectiveAt):
 		st.Waiting++
-	case !l.stopped && now.Before(l.until(now, s)):
+	case !l.stopped && now.Before(l.authorityEnd(now, s)):
 		st.Ready++
 	}
-	if !s.unknownBefore.IsZero() && now.Before(s.cleanAt) {
+	if !s.unknownBefore.IsZero() && now.Before(s.unknownUntil) {
 		st.Unknown++
 	}
 }
--- a/internal/lease/unit_test.go
+++ b/internal/lease/unit_test.go
@@ -11,25 +11,26 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-func evict(p *proc) membership.Evict { return membership.Evict{ID: p.id} }
+func evict(p *process) membership.Evict { return membership.Evict{ID: p.id} }
 
+// Guards against a valid configuration that is rejected, or an invalid one that is accepted.
 func TestConfigValidate(t *testing.T) {
 	must.NoError(t, DefaultConfig().Validate())
 	must.NoError(t, simConfig().Validate())
 	must.ErrorContains(t, Config{}.Validate(), "Slots = 0, must be from 1 to 4096")
 }
 
-// A promise must not be given by a guard that may already have taken the slot,
-// or that has the memory to take it at once.
+// Guards against a promise of a guard that may already have taken over the slot, or that has
+// imported its keys and can take it over at once.
 func TestPromiseRefused(t *testing.T) {
-	w := calm()
-	a := w.starter()
-	b := w.others(a)[0]
+	w := newStableWorld()
+	a := w.slot0Owner()
+	b := w.otherProcesses(a)[0]
 	now := w.local(b)
 	must.True(t, b.l.OnPromiseRequest(now, a.id, []int{0}))
 	must.False(t, b.l.OnPromiseRequest(now, a.id, []int{-1}))
 	must.False(t, b.l.OnPromiseRequest(now, b.id, []int{0}))
-	r := b.l.append(now, []int{0})
+	r := b.l.newTakeover(now, []int{0})
 	must.False(t, b.l.OnPromiseRequest(now, a.id, []int{0}))
 	b.l.NotAppended(r.Record)
 	must.True(t, b.l.OnPromiseRequest(now, a.id, []int{0}))
@@ -37,40 +38,42 @@
 	must.False(t, b.l.OnPromiseRequest(now, a.id, []int{0}))
 }
 
-// A guard that promised plans no takeover of the slot until the promise ends.
-func TestPromiseHoldsPlanBack(t *testing.T) {
-	w := calm()
-	a := w.starter()
-	b := w.others(a)[0]
+// Guards against a guard that plans a takeover of a slot before its promise for that slot has
+// expired.
+func TestPromiseDelaysTakeover(t *testing.T) {
+	w := newStableWorld()
+	a := w.slot0Owner()
+	b := w.otherProcesses(a)[0]
 	now := w.local(b)
 	must.True(t, b.l.OnPromiseRequest(now, a.id, []int{0}))
 	alone := map[Identity]bool{b.id: true}
-	must.True(t, b.l.wants(now, 0, alone, true))
-	must.SliceNotContains(t, b.l.wanted(now, []Identity{b.id}), 0)
-	must.SliceContains(t, b.l.wanted(now.Add(simConfig().takeoverWait()), []Identity{b.id}), 0)
+	must.True(t, b.l.shouldTake(now, 0, alone, true))
+	must.SliceNotContains(t, b.l.slotsToTake(now, []Identity{b.id}), 0)
+	must.SliceContains(t, b.l.slotsToTake(now.Add(simConfig().takeoverWait()), []Identity{b.id}), 0)
 }
 
-// A proof of a head beyond what was folded may hide a takeover.
-func TestProofNeedsTheFold(t *testing.T) {
-	w := calm()
-	a := w.starter()
+// Guards against authority from an observed head above the last folded record: a takeover may be
+// in between.
+func TestHeadObservationNeedsFoldedRecords(t *testing.T) {
+	w := newStableWorld()
+	a := w.slot0Owner()
 	end := w.local(a).Add(simConfig().Validity)
 	a.l.ObserveHead(w.local(a).Add(time.Millisecond), a.l.Next()+1)
 	must.False(t, a.l.MayStart(end, 0, time.Time{}).OK)
 }
 
-// Guards against a newcomer that takes slots from an owner which does not know it yet.
-func TestNewcomerWaitsForOwnersThatMayNotKnowIt(t *testing.T) {
-	w := calm()
-	a := w.starter()
-	a.logOut = true
-	b := w.others(a)[0]
+// Guards against a new guard that takes over slots of an owner that does not know of it yet.
+func TestNewGuardWaitsForOwnersThatMayNotKnowIt(t *testing.T) {
+	w := newStableWorld()
+	a := w.slot0Owner()
+	a.logUnreachable = true
+	b := w.otherProcesses(a)[0]
 	w.restart(b)
-	b = w.others(a)[0]
-	w.flush()
-	w.read(b)
-	w.flush()
-	b.l.ObservePeerHead(w.others(a)[1].id, b.l.Next())
+	b = w.otherProcesses(a)[0]
+	w.deliverAll()
+	w.readLog(b)
+	w.deliverAll()
+	b.l.ObservePeerHead(w.otherProcesses(a)[1].id, b.l.Next())
 	must.False(t, b.l.Eligible(w.local(b)))
 	b.l.Evicted(w.local(b), b.l.Next(), a.id)
 	must.False(t, b.l.Eligible(w.local(b)))
@@ -81,65 +84,69 @@
 	must.True(t, b.l.Eligible(w.local(b)))
 }
 
-// A key made after the taker read its record back, but before its effect, may
-// have run at the old owner, whose proof was still young.
-func TestKeyMadeDuringTheWaitIsUnknown(t *testing.T) {
-	w := calm()
-	a := w.starter()
-	b := w.others(a)[0]
+// Guards against a second run of a key that was issued after the takeover was read back but before
+// it takes effect. The earlier owner may have run it, since its last head observation was still
+// valid.
+func TestKeyIssuedDuringTheWaitIsUnknown(t *testing.T) {
+	w := newStableWorld()
+	a := w.slot0Owner()
+	b := w.otherProcesses(a)[0]
 	a.paused = true
-	w.append(b.l.append(w.local(b), []int{0}).Record)
-	w.read(b)
-	w.flush()
+	w.append(b.l.newTakeover(w.local(b), []int{0}).Record)
+	w.readLog(b)
+	w.deliverAll()
 	wait := simConfig().takeoverWait()
-	made := w.local(b).Add(wait - time.Millisecond)
-	w.settle(wait)
+	issuedAt := w.local(b).Add(wait - time.Millisecond)
+	w.runFor(wait)
 	b.l.ObserveHead(w.local(b), b.l.Next())
-	must.True(t, b.l.mayHaveRun(w.local(b), &b.l.slots[0], made.Add(simConfig().SkewBound)))
-	must.False(t, b.l.mayHaveRun(w.local(b), &b.l.slots[0], made.Add(simConfig().SkewBound+2*time.Millisecond)))
+	must.True(t, b.l.mayHaveRun(w.local(b), &b.l.slots[0], issuedAt.Add(simConfig().SkewBound)))
+	must.False(t, b.l.mayHaveRun(w.local(b), &b.l.slots[0], issuedAt.Add(simConfig().SkewBound+2*time.Millisecond)))
 }
 
-// A promise covers what the asker owned when it asked, from whoever answered;
-// the promise of a life that has ended binds its successor to nothing.
-func TestPromiseCoversWhatWasAsked(t *testing.T) {
-	w := calm()
-	a := w.starter()
-	w.down = true
-	w.settle(1200 * time.Millisecond)
-	must.Eq(t, result.OK, w.code(a, time.Time{}))
-	b := w.others(a)[0]
-	kept := a.l.promises[b.addr]
-	a.l.promises[b.addr] = promise{by: Identity{Node: b.id.Node, Incarnation: 0}, t0: kept.t0}
-	must.Eq(t, result.NoAuthority, w.code(a, time.Time{}))
-	a.l.promises[b.addr] = kept
-	a.l.slots[0].read = w.local(a)
-	must.Eq(t, result.NoAuthority, w.code(a, time.Time{}))
+// Guards against authority from a promise that does not cover the slot. A promise covers the slots
+// that the requester owned when it sent the request. A promise of an earlier incarnation does not
+// bind its successor.
+func TestPromiseCoversOnlyRequestedSlots(t *testing.T) {
+	w := newStableWorld()
+	a := w.slot0Owner()
+	w.logDown = true
+	w.runFor(1200 * time.Millisecond)
+	must.Eq(t, result.OK, w.startCode(a, time.Time{}))
+	b := w.otherProcesses(a)[0]
+	valid := a.l.receivedPromises[b.addr]
+	a.l.receivedPromises[b.addr] = receivedPromise{from: Identity{Node: b.id.Node, Incarnation: 0}, requestedAt: valid.requestedAt}
+	must.Eq(t, result.NoAuthority, w.startCode(a, time.Time{}))
+	a.l.receivedPromises[b.addr] = valid
+	a.l.slots[0].readAt = w.local(a)
+	must.Eq(t, result.NoAuthority, w.startCode(a, time.Time{}))
 }
 
-// Guards against a takeover by an evicted guard, or by one that knew an outdated owner, taking effect.
-func TestRecordsThatDoNotCount(t *testing.T) {
-	w := calm()
-	a := w.starter()
-	b, l := w.others(a)[0], w.others(a)[1].l
+// Guards against a takeover that takes effect although its guard was evicted or did not know the
+// present owner.
+func TestInvalidTakeoversAreIgnored(t *testing.T) {
+	w := newStableWorld()
+	a := w.slot0Owner()
+	b, l := w.otherProcesses(a)[0], w.otherProcesses(a)[1].l
 	now := epoch.Add(time.Hour)
-	by := func(id Identity, folded int64) Takeover {
+	takeover := func(id Identity, folded int64) Takeover {
 		return Takeover{Slots: []int{0}, NewOwner: id, Folded: folded}
 	}
 	stale := l.Next()
-	l.Apply(now, stale, by(a.id, stale)) // the owner writes its record again
-	l.Apply(now, l.Next(), by(b.id, stale))
+	l.Apply(now, stale, takeover(a.id, stale)) // the owner repeats its record
+	l.Apply(now, l.Next(), takeover(b.id, stale))
 	must.Eq(t, a.id, l.slots[0].owner)
-	l.received[0] = received{from: a.id, offset: stale - 1}
-	l.Apply(now, l.Next(), by(l.self, l.Next()))
-	must.Eq(t, now.Add(simConfig().takeoverWait()), l.slots[0].effective)
+	l.importedSlots[0] = importedSlot{from: a.id, offset: stale - 1}
+	l.Apply(now, l.Next(), takeover(l.self, l.Next()))
+	must.Eq(t, now.Add(simConfig().takeoverWait()), l.slots[0].effectiveAt)
 	l.Evicted(now, l.Next(), b.id)
-	l.Apply(now, l.Next(), by(b.id, l.Next()))
+	l.Apply(now, l.Next(), takeover(b.id, l.Next()))
 	must.Eq(t, l.self, l.slots[0].owner)
 }
 
+// Guards against a fold that changes when it is stored and restored.
 func TestStateRestores(t *testing.T) {
-	w := calm()
-	a := w.starter()
+	w := newStableWorld()
+	a := w.slot0Owner()
 	b, err := json.Marshal(a.l.State())
 	must.NoError(t, err)
 	var st State
@@ -152,8 +159,9 @@
 	must.Eq(t, a.addr, addr)
 }
 
-// The log's oldest records are gone and with them the owner's. Its slot looks
-// free, but is taken like a dead owner's: with the wait, and keys unknown.
+// Guards against a slot that is taken over as free although its owner's record was dropped from
+// the log. The takeover must wait, and the outcome of old keys must be unknown, as after a crash
+// of an owner.
 func TestTruncatedLogHidesAnOwner(t *testing.T) {
 	l := NewLessor(simConfig(), Options{Self: Identity{Node: "a", Incarnation: 1}, Addr: "a"})
 	l.Truncated()
@@ -164,9 +172,10 @@
 	must.False(t, l.slots[0].unknownBefore.IsZero())
 }
 
+// BenchmarkMayStart reports the cost of a decision with a recent head observation.
 func BenchmarkMayStart(b *testing.B) {
-	w := calm()
-	a := w.starter()
+	w := newStableWorld()
+	a := w.slot0Owner()
 	now := w.local(a)
 	b.ReportAllocs()
 	for b.Loop() {
