--- a/internal/membership/codec.go
+++ b/internal/membership/codec.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// snapshot is the form of a View in a log record or an answer to a peer.
+// snapshot is the encoding of a View in a log record or in a response to a peer.
 type snapshot struct {
 	Version int64                `json:"v"`
 	Members []Member             `json:"m"`
@@ -16,26 +16,26 @@
 
 // Marshal returns the view as JSON; equal views give equal bytes.
 func (v *View) Marshal() ([]byte, error) {
-	return json.Marshal(snapshot{Version: v.version, Members: v.Members(), Gone: v.gone})
+	return json.Marshal(snapshot{Version: v.version, Members: v.Members(), Gone: v.tombstones})
 }
 
-// Unmarshal reads what Marshal wrote.
+// Unmarshal decodes the output of Marshal.
 func Unmarshal(b []byte) (*View, error) {
 	var s snapshot
 	if err := json.Unmarshal(b, &s); err != nil {
-		return nil, fmt.Errorf("membership: snapshot: %w", err)
+		return nil, fmt.Errorf("membership: decode snapshot: %w", err)
 	}
-	v := &View{gone: s.Gone, version: s.Version}
+	v := &View{tombstones: s.Gone, version: s.Version}
 	v.init()
 	for _, m := range s.Members {
 		v.members[m.Node] = m
-		v.byAddr[m.InnerAddr] = m.Node
+		v.nodeByAddr[m.InnerAddr] = m.Node
 	}
 	return v, nil
 }
 
-// Digest tells views apart cheaply: equal members give equal digests, whatever
-// the version. It is the exclusive or of one hash a member.
+// Digest returns a hash for a cheap comparison of views: equal members give equal digests,
+// regardless of the version. It is the exclusive or of one hash per member.
 func (v *View) Digest() uint64 {
 	var d uint64
 	for _, m := range v.members {
@@ -45,8 +45,7 @@
 }
 
 func (m Member) hash() uint64 {
-	// A Member holds only strings, numbers, a bool and a UTC time: it always
-	// marshals.
+	// The error is always nil: a Member holds only strings, numbers, a bool and a UTC time.
 	b, _ := json.Marshal(m)
 	return xxhash.Sum64(b)
 }
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// DetectorConfig holds the times of a Detector.
+// DetectorConfig holds the limits and durations of a Detector.
 type DetectorConfig struct {
-	// Interval is the time between probes of one node.
+	// Interval is the time between two probes of one node.
 	Interval time.Duration
-	// Targets bounds the peers that one node probes in turn, so that it keeps
-	// few connections; 0 means all.
+	// Targets limits the number of peers that one node probes in turn, and with it the number of
+	// its connections; 0 means all peers.
 	Targets int
-	// ProbeTimeout is the wait for an answer, direct or through a helper.
+	// ProbeTimeout is how long to wait for the response to a direct or an indirect probe.
 	ProbeTimeout time.Duration
-	// Helpers is how many peers try a target that did not answer.
+	// Helpers is the number of peers that probe a target indirectly after it did not respond.
 	Helpers int
-	// MinObservers is how many nodes must have found a target silent.
+	// MinObservers is the number of nodes that must have found a target unresponsive before its
+	// status is Dead.
 	MinObservers int
 	// FindingMaxAge is how long a finding counts.
 	FindingMaxAge time.Duration
-	// EvictEvery is the least time between two evict records for one target.
+	// EvictEvery is the minimum time between two evict records for one target.
 	EvictEvery time.Duration
 }
 
-// DefaultDetectorConfig finds a dead node at the zone's reader within about
-// 7 s, with one probe a second from each node.
+// DefaultDetectorConfig returns values with which the zone's reader detects a dead node within
+// about 7 s, at one probe per second from each node.
 func DefaultDetectorConfig() DetectorConfig {
 	return DetectorConfig{
 		Interval:      time.Second,
@@ -38,7 +39,7 @@
 	}
 }
 
-// Validate names the first field out of bounds, its value and the bound.
+// Validate returns an error with the first field out of range, its value and the limit.
 func (c DetectorConfig) Validate() error {
 	switch {
 	case c.Interval <= 0:
@@ -50,45 +51,46 @@
 	case c.Helpers < 0:
 		return fmt.Errorf("membership: Helpers = %d, must be at least 0", c.Helpers)
 	case c.MinObservers < 1:
-		return fmt.Errorf("membership: Confirm = %d, must be at least 1", c.MinObservers)
+		return fmt.Errorf("membership: MinObservers = %d, must be at least 1", c.MinObservers)
 	case c.FindingMaxAge < 4*c.Interval:
-		return fmt.Errorf("membership: AccusationAge = %v, must be at least four times Interval = %v", c.FindingMaxAge, c.Interval)
+		return fmt.Errorf("membership: FindingMaxAge = %v, must be at least four times Interval = %v", c.FindingMaxAge, c.Interval)
 	case c.EvictEvery < c.Interval:
 		return fmt.Errorf("membership: EvictEvery = %v, must be at least Interval = %v", c.EvictEvery, c.Interval)
 	}
 	return nil
 }
 
-// Status is what a Detector thinks of a peer.
+// Status is the liveness of a peer according to a Detector.
 type Status int
 
 const (
-	// Alive is the status of everyone who is not accused.
+	// Alive is the status of a peer without valid findings against it.
 	Alive Status = iota
-	// Suspect was found silent by fewer nodes than Confirm.
+	// Suspect is the status of a peer that fewer nodes than MinObservers found unresponsive.
 	Suspect
-	// Dead was found silent by enough nodes, or answers as a newer life.
+	// Dead is the status of a peer that enough nodes found unresponsive, or whose node responds
+	// with a newer incarnation.
 	Dead
 )
 
-// Action is something that a Detector wants done: Probe, ProbeVia, Exchange or
-// EvictDue.
+// Action is an action that a Detector requests: Probe, ProbeVia, Exchange or EvictDue.
 type Action interface{ detectorAction() }
 
-// Probe asks a peer whether it lives; OnProbeReply or OnProbeTimeout follows.
+// Probe requests a direct probe of a peer. The caller reports the result to OnProbeReply or
+// OnProbeTimeout.
 type Probe struct{ To Identity }
 
-// ProbeVia asks a helper to probe a target; OnIndirect follows.
+// ProbeVia requests that a helper probes a target. The caller reports the result to OnIndirect.
 type ProbeVia struct{ Helper, Target Identity }
 
-// Exchange sends findings to the parent in the zone's tree, whose own come
-// back. Both sides give what they get to OnGossip.
+// Exchange requests that findings are sent to the parent in the zone's tree, which returns its
+// own. Both sides pass the received findings to OnGossip.
 type Exchange struct {
 	With     Identity
 	Findings []Finding
 }
 
-// EvictDue says that self, as the zone's reader, should append an Evict.
+// EvictDue requests that self, as the zone's reader, appends an Evict record.
 type EvictDue struct{ ID Identity }
 
 func (Probe) detectorAction()    {}
@@ -96,41 +98,42 @@
 func (Exchange) detectorAction() {}
 func (EvictDue) detectorAction() {}
 
-// isolatedAfter silent targets in a row, with no answer between, a node takes
-// itself for the one that is cut off.
-const isolatedAfter = 3
+// isolationThreshold is the number of unresponsive targets, with no response in between, from
+// which a node regards itself as disconnected from the zone.
+const isolationThreshold = 3
 
+// peerState is what a Detector has recorded about one peer.
 type peerState struct {
-	heard    time.Time              // newest answer, anyone's
-	accusers map[Identity]time.Time // who found it silent, and when
-	cleared  time.Time              // newest answer that spoke against an accuser
-	trying   int                    // helpers that have not reported
-	replaced bool                   // answers as a newer incarnation
-	evicted  time.Time              // when EvictDue was last given
+	lastResponse   time.Time              // time of the newest response, to any node
+	observers      map[Identity]time.Time // nodes that found the peer unresponsive, and when
+	refutedAt      time.Time              // time of the newest response that refuted a finding
+	pendingHelpers int                    // helpers that have not reported yet
+	replaced       bool                   // a newer incarnation responded
+	lastEvictDue   time.Time              // when EvictDue was last returned
 }
 
-// Detector finds dead peers of a zone. It is one node's share: each node sends
-// one probe in an Interval, whatever the size of the zone, and the rounds are
-// laid out so that each peer is probed about once in an Interval by someone.
+// Detector detects dead peers of a zone. Each node sends one probe per Interval, regardless of the
+// size of the zone. The rounds are arranged so that some node probes each peer about once per
+// Interval.
 //
-// The failure it guards against is a VM that ends without a word: calls sent to
-// it wait for their timeouts. Its opposite is a healthy VM declared dead by a
-// node with a bad link, hence helpers and a second accuser.
+// It detects a VM that stops without notice; calls sent to such a VM wait for their timeouts.
+// Indirect probes and a second observer keep a node with a faulty link from declaring a healthy VM
+// dead.
 type Detector struct {
-	cfg    DetectorConfig
-	self   Identity
-	leader Identity
-	peers  []Identity // sorted, self included
-	states map[Identity]*peerState
-	silent map[Identity]bool // targets found silent since the last answer
+	cfg          DetectorConfig
+	self         Identity
+	leader       Identity
+	peers        []Identity // sorted, self included
+	states       map[Identity]*peerState
+	unresponsive map[Identity]bool // targets that have not responded since the last response of any target
 }
 
 // NewDetector returns a detector without peers; cfg must be valid.
 func NewDetector(cfg DetectorConfig, self Identity) *Detector {
-	return &Detector{cfg: cfg, self: self, states: make(map[Identity]*peerState), silent: make(map[Identity]bool)}
+	return &Detector{cfg: cfg, self: self, states: make(map[Identity]*peerState), unresponsive: make(map[Identity]bool)}
 }
 
-// SetPeers gives the members of the zone and its present reader.
+// SetPeers replaces the members of the zone and its present reader.
 func (d *Detector) SetPeers(members []Identity, leader Identity) {
 	d.leader = leader
 	d.peers = append(slices.Clone(members), d.self)
@@ -141,34 +144,34 @@
 		if s, ok := d.states[id]; ok {
 			states[id] = s
 		} else {
-			states[id] = &peerState{accusers: make(map[Identity]time.Time)}
+			states[id] = &peerState{observers: make(map[Identity]time.Time)}
 		}
 	}
 	d.states = states
-	for id := range d.silent {
+	for id := range d.unresponsive {
 		if _, ok := states[id]; !ok {
-			delete(d.silent, id)
+			delete(d.unresponsive, id)
 		}
 	}
 }
 
-// Tick is called once in an Interval.
+// Tick returns the actions that are due. It must be called once per Interval.
 func (d *Detector) Tick(now time.Time) []Action {
-	d.expire(now)
+	d.expireFindings(now)
 	var out []Action
-	if to, ok := d.target(now); ok {
+	if to, ok := d.nextTarget(now); ok {
 		out = append(out, Probe{To: to})
 	}
-	if with, ok := Parent(d.self, d.leader, d.Live(now)); ok {
-		out = append(out, Exchange{With: with, Findings: d.Findings(now)})
+	if parent, ok := Parent(d.self, d.leader, d.Live(now)); ok {
+		out = append(out, Exchange{With: parent, Findings: d.Findings(now)})
 	}
-	return append(out, d.evictions(now)...)
+	return append(out, d.dueEvictions(now)...)
 }
 
-// target lays the rounds out by the clock: in one round every node takes the
-// same step along the ring of peers, so each peer has one prober. Clock skew
-// only shifts who that is.
-func (d *Detector) target(now time.Time) (Identity, bool) {
+// nextTarget returns the peer to probe in the present round, which follows from the clock. In one
+// round all nodes take the same step along the ring of peers, so each peer is probed by one node.
+// Clock skew only changes which node that is.
+func (d *Detector) nextTarget(now time.Time) (Identity, bool) {
 	n := len(d.peers)
 	if n < 2 {
 		return Identity{}, false
@@ -182,16 +185,16 @@
 	return d.peers[(i+1+stride(round, steps, n))%n], true
 }
 
-// stride spreads the targets of one node over the ring. Names that follow each
-// other often share a rack; its end would otherwise silence all targets of a
-// node, which would take itself for the one that is cut off.
+// stride distributes the targets of one node over the ring. Nodes with consecutive names often
+// share a rack. If the rack fails and all targets of a node are in it, the node would wrongly
+// regard itself as disconnected.
 func stride(round, steps, n int) int { return round * (n - 1) / steps }
 
-// OnProbeReply takes an answer to a probe; from is the process that answered,
-// which may be a newer life of the one asked.
+// OnProbeReply records a response to a probe. from is the process that responded, which may be a
+// newer incarnation of the probed one.
 func (d *Detector) OnProbeReply(now time.Time, from Identity) {
-	clear(d.silent)
-	d.alive(now, from)
+	clear(d.unresponsive)
+	d.recordResponse(now, from)
 	for id, s := range d.states {
 		if id.Node == from.Node && id.Incarnation < from.Incarnation {
 			s.replaced = true
@@ -199,32 +202,33 @@
 	}
 }
 
-func (d *Detector) alive(at time.Time, id Identity) {
+// recordResponse records that a peer responded to some node at a time. It removes the findings
+// that are not newer.
+func (d *Detector) recordResponse(at time.Time, id Identity) {
 	s, ok := d.states[id]
-	if !ok || !at.After(s.heard) {
+	if !ok || !at.After(s.lastResponse) {
 		return
 	}
-	s.heard = at
-	for who, accused := range s.accusers {
-		if !accused.After(at) {
-			delete(s.accusers, who)
-			s.cleared = at
+	s.lastResponse = at
+	for observer, observedAt := range s.observers {
+		if !observedAt.After(at) {
+			delete(s.observers, observer)
+			s.refutedAt = at
 		}
 	}
 }
 
-// OnProbeTimeout takes the silence of a direct probe and returns the helpers
-// to ask.
+// OnProbeTimeout records that a direct probe timed out. It returns the indirect probes to send.
 func (d *Detector) OnProbeTimeout(now time.Time, target Identity) []Action {
 	s, ok := d.states[target]
 	if !ok {
 		return nil
 	}
-	d.silent[target] = true
+	d.unresponsive[target] = true
 	helpers := d.helpers(now, target)
-	s.trying = len(helpers)
-	if s.trying == 0 {
-		d.accuse(now, target)
+	s.pendingHelpers = len(helpers)
+	if s.pendingHelpers == 0 {
+		d.recordUnresponsive(now, target)
 	}
 	out := make([]Action, 0, len(helpers))
 	for _, h := range helpers {
@@ -233,7 +237,7 @@
 	return out
 }
 
-// helpers takes the live peers that follow the target on the ring.
+// helpers returns the live peers that follow the target on the ring, at most cfg.Helpers.
 func (d *Detector) helpers(now time.Time, target Identity) []Identity {
 	var out []Identity
 	i, _ := slices.BinarySearchFunc(d.peers, target, Identity.Compare)
@@ -246,7 +250,8 @@
 	return out
 }
 
-// OnIndirect takes a helper's report, or its silence, about a target.
+// OnIndirect records the result of an indirect probe; answered is false if the target or the
+// helper did not respond.
 func (d *Detector) OnIndirect(now time.Time, target Identity, answered bool) {
 	s, ok := d.states[target]
 	if !ok {
@@ -254,29 +259,31 @@
 	}
 	if answered {
 		d.OnProbeReply(now, target)
-		s.trying = 0
+		s.pendingHelpers = 0
 		return
 	}
-	if s.trying == 0 {
+	if s.pendingHelpers == 0 {
 		return
 	}
-	s.trying--
-	if s.trying == 0 {
-		d.accuse(now, target)
+	s.pendingHelpers--
+	if s.pendingHelpers == 0 {
+		d.recordUnresponsive(now, target)
 	}
 }
 
-func (d *Detector) accuse(now time.Time, target Identity) {
+// recordUnresponsive records self's finding that a target is unresponsive, unless self seems to be
+// disconnected.
+func (d *Detector) recordUnresponsive(now time.Time, target Identity) {
 	if !d.Isolated() {
-		d.states[target].accusers[d.self] = now
+		d.states[target].observers[d.self] = now
 	}
 }
 
-// Isolated reports whether self seems to be the one that is cut off. It then
-// accuses nobody.
-func (d *Detector) Isolated() bool { return len(d.silent) >= isolatedAfter }
+// Isolated reports whether self seems to be disconnected from the zone. While it is, it records no
+// findings against peers.
+func (d *Detector) Isolated() bool { return len(d.unresponsive) >= isolationThreshold }
 
-// Status returns what is thought of a peer; one that is not a member is Dead.
+// Status returns the liveness of a peer. A process that is not a member is Dead.
 func (d *Detector) Status(now time.Time, id Identity) Status {
 	if id == d.self {
 		return Alive
@@ -285,11 +292,11 @@
 	if !ok || s.replaced {
 		return Dead
 	}
-	if len(s.accusers) == 0 {
+	if len(s.observers) == 0 {
 		return Alive
 	}
 	n := 0
-	for _, at := range s.accusers {
+	for _, at := range s.observers {
 		if now.Sub(at) < d.cfg.FindingMaxAge {
 			n++
 		}
@@ -304,7 +311,7 @@
 	}
 }
 
-// Live returns the members that are not dead, sorted, self included.
+// Live returns the members that are not dead in sorted order, including self.
 func (d *Detector) Live(now time.Time) []Identity {
 	out := make([]Identity, 0, len(d.peers))
 	for _, id := range d.peers {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,7 +1,7 @@
-// Package membership knows which nodes exist, which of them live and which of
-// them reads the log for its zone. View is an immutable fold over join, leave
-// and evict records; Detector finds dead peers with one probe a second;
-// Elector chooses the reader of a zone and Tree spreads what it read.
+// Package membership determines which nodes are members, which of them are live, and which of them
+// reads the log for its zone. View is an immutable fold of join, leave and evict records. Detector
+// detects dead peers with one probe per second. Elector elects the reader of a zone, and Parent
+// defines the tree over which the zone distributes what the reader has read.
 //
-// Everything here is a decision without I/O: time comes in as an argument.
+// The package does no I/O and reads no clock: the current time is an argument.
 package membership
--- a/internal/membership/elector.go
+++ b/internal/membership/elector.go
@@ -6,39 +6,41 @@
 	"time"
 )
 
-// Elector chooses the process that reads the log for its zone. Two readers at
-// once are harmless; none for long leaves the zone without fresh proofs.
+// Elector elects the process that reads the log for its zone, called the leader here. Two leaders
+// at once are harmless. A long time without a leader leaves the zone without recent observations
+// of the log's head.
 type Elector interface {
-	// Tick is called a few times in an Interval. It returns the heartbeat to
-	// send to every peer, when self leads and one is due.
+	// Tick must be called a few times per Interval. If self is the leader and a heartbeat is due,
+	// it returns the heartbeat to send to every peer.
 	Tick(now time.Time) (Heartbeat, bool)
-	// OnHeartbeat takes a peer's heartbeat.
+	// OnHeartbeat handles a heartbeat of a peer.
 	OnHeartbeat(now time.Time, hb Heartbeat)
-	// Leader is who leads as far as self knows; false right after a start.
+	// Leader returns the leader known to self; false until the first one is known after a start.
 	Leader() (Identity, bool)
 }
 
-// Heartbeat says that its sender leads.
+// Heartbeat announces that its sender is the leader.
 type Heartbeat struct {
 	From Identity `json:"f"`
-	// Rank is what the strategy orders leaders by, in Unix nanoseconds of the
-	// sender's clock; clock skew can only change who wins, not whether.
+	// Rank is the value by which the strategy orders leaders: Unix nanoseconds of the sender's
+	// clock, or 0. Clock skew may change which process is preferred, but the zone still settles on
+	// one.
 	Rank int64 `json:"r"`
 }
 
-// Strategy is the order among would-be leaders.
+// Strategy defines the order in which processes are preferred as leader.
 type Strategy int
 
 const (
-	// Incumbent lets the one that has led longest go on; a restart never
-	// takes the lead away from a live process. The youngest settled process
+	// Incumbent keeps the process that has been leader for the longest time; a restarted process
+	// never replaces a live leader. If the leader stops, the settled process that started last
 	// succeeds it.
 	Incumbent Strategy = iota
-	// Oldest lets the process lead that has been up longest, after Martín
-	// and Larrea, "A simple and communication-efficient Omega algorithm in
-	// the crash-recovery model", Information Processing Letters 110 (2010).
+	// Oldest prefers the process with the longest uptime, after Martín and Larrea, "A simple and
+	// communication-efficient Omega algorithm in the crash-recovery model", Information Processing
+	// Letters 110 (2010).
 	Oldest
-	// LowestID lets the lowest identifier lead.
+	// LowestID prefers the process with the lowest identity.
 	LowestID
 )
 
@@ -52,24 +54,25 @@
 	return strategyNames[s]
 }
 
-// ElectorConfig holds the times of an election.
+// ElectorConfig holds the strategy and the durations of an election.
 type ElectorConfig struct {
 	Strategy Strategy
-	// Interval is the time between heartbeats of a leader.
+	// Interval is the time between two heartbeats of a leader.
 	Interval time.Duration
-	// Timeout is the silence after which a leader is given up. It grows by
-	// Interval each time, so that slow links end up with one leader.
+	// Timeout is the time without a heartbeat after which a leader is replaced. It grows by
+	// Interval each time that self replaces a leader, so that a zone with slow links settles on
+	// one leader.
 	Timeout time.Duration
-	// MaxTimeout bounds that growth.
+	// MaxTimeout limits the growth of Timeout.
 	MaxTimeout time.Duration
-	// Stagger is the wait between two candidates, so that after a leader's
-	// end one process claims the lead and not all of them at once.
+	// Stagger is the delay between two successive candidates, so that after the end of a leader
+	// one process becomes leader and not all of them at once.
 	Stagger time.Duration
-	// Settled is the uptime from which Incumbent prefers a candidate.
+	// Settled is the uptime from which Incumbent prefers a process as candidate.
 	Settled time.Duration
 }
 
-// DefaultElectorConfig gives a zone a new reader within about 4 s.
+// DefaultElectorConfig returns values with which a zone has a new reader within about 4 s.
 func DefaultElectorConfig() ElectorConfig {
 	return ElectorConfig{
 		Strategy:   Incumbent,
@@ -81,7 +84,7 @@
 	}
 }
 
-// Validate names the first field out of bounds, its value and the bound.
+// Validate returns an error with the first field out of range, its value and the limit.
 func (c ElectorConfig) Validate() error {
 	switch {
 	case c.Strategy < Incumbent || c.Strategy > LowestID:
@@ -100,64 +103,64 @@
 	return nil
 }
 
-// Peer is a process of the zone that may lead.
+// Peer is a process of the zone that may become leader.
 type Peer struct {
 	ID      Identity
 	Started time.Time
 }
 
-// Election is an Elector over heartbeats. Only the leader sends.
+// Election is an Elector based on heartbeats. Only the leader sends them.
 type Election struct {
-	cfg     ElectorConfig
-	self    Peer
-	peers   []Peer
-	led     bool // whether leader is set
-	leader  Heartbeat
-	timeout time.Duration
-	heard   time.Time // of the leader, or when waiting began
-	sent    time.Time
+	cfg           ElectorConfig
+	self          Peer
+	peers         []Peer
+	hasLeader     bool // whether leader is set
+	leader        Heartbeat
+	timeout       time.Duration
+	lastHeartbeat time.Time // of the leader; before the first one, the start of self
+	lastSent      time.Time // own heartbeat; zero if one is due at once
 }
 
 // NewElection returns the election of a process that starts at now.
 func NewElection(cfg ElectorConfig, self Peer, now time.Time) *Election {
-	return &Election{cfg: cfg, self: self, timeout: cfg.Timeout, heard: now}
+	return &Election{cfg: cfg, self: self, timeout: cfg.Timeout, lastHeartbeat: now}
 }
 
-// SetPeers says who else may lead, self left out or not. It decides only who
-// claims the lead first; a wrong list costs time.
+// SetPeers replaces the processes that may become leader; the list may include self. It only
+// decides which process becomes leader first, so a wrong list only delays the election.
 func (e *Election) SetPeers(peers []Peer) { e.peers = peers }
 
 // Leader implements Elector.
-func (e *Election) Leader() (Identity, bool) { return e.leader.From, e.led }
+func (e *Election) Leader() (Identity, bool) { return e.leader.From, e.hasLeader }
 
 // Tick implements Elector.
 func (e *Election) Tick(now time.Time) (Heartbeat, bool) {
-	if !e.leads() {
-		if !e.silent(now) || now.Sub(e.heard) < e.timeout+e.delay(now) {
+	if !e.isLeader() {
+		if !e.leaderTimedOut(now) || now.Sub(e.lastHeartbeat) < e.timeout+e.claimDelay(now) {
 			return Heartbeat{}, false
 		}
-		e.claim(now)
+		e.becomeLeader(now)
 	}
-	if !e.sent.IsZero() && now.Sub(e.sent) < e.cfg.Interval {
+	if !e.lastSent.IsZero() && now.Sub(e.lastSent) < e.cfg.Interval {
 		return Heartbeat{}, false
 	}
-	e.sent = now
+	e.lastSent = now
 	return e.leader, true
 }
 
-func (e *Election) leads() bool { return e.led && e.leader.From == e.self.ID }
+func (e *Election) isLeader() bool { return e.hasLeader && e.leader.From == e.self.ID }
 
-// claim makes self the leader after the silence of the last one.
-func (e *Election) claim(now time.Time) {
-	if e.led {
+// becomeLeader makes self the leader after the heartbeats of the last leader have timed out.
+func (e *Election) becomeLeader(now time.Time) {
+	if e.hasLeader {
 		e.timeout = min(e.timeout+e.cfg.Interval, e.cfg.MaxTimeout)
 	}
-	e.led = true
+	e.hasLeader = true
 	e.leader = Heartbeat{From: e.self.ID, Rank: e.rank(now)}
-	e.sent = time.Time{}
+	e.lastSent = time.Time{}
 }
 
-// rank is what self claims the lead with; a lower one wins.
+// rank returns the rank with which self becomes leader; a lower rank is preferred.
 func (e *Election) rank(now time.Time) int64 {
 	switch e.cfg.Strategy {
 	case Oldest:
@@ -169,30 +172,31 @@
 	}
 }
 
-// OnHeartbeat implements Elector: the better of two leaders stays.
+// OnHeartbeat implements Elector. Of two leaders, it keeps the preferred one.
 func (e *Election) OnHeartbeat(now time.Time, hb Heartbeat) {
 	if hb.From == e.self.ID {
 		return
 	}
-	if e.led && !e.silent(now) && hb.From != e.leader.From && !e.better(hb, e.leader) {
+	if e.hasLeader && !e.leaderTimedOut(now) && hb.From != e.leader.From && !e.better(hb, e.leader) {
 		return
 	}
-	if !e.led && e.outranks(hb) {
+	if !e.hasLeader && e.outranks(hb) {
 		return
 	}
-	e.led = true
+	e.hasLeader = true
 	e.leader = hb
-	e.heard = now
+	e.lastHeartbeat = now
 }
 
-// silent reports whether the leader was not heard for too long; the next one
-// to claim the lead is then followed, however late its rank.
-func (e *Election) silent(now time.Time) bool {
-	return !e.leads() && now.Sub(e.heard) >= e.timeout
+// leaderTimedOut reports whether the leader's heartbeats have timed out. The next heartbeat of any
+// process is then accepted, regardless of its rank.
+func (e *Election) leaderTimedOut(now time.Time) bool {
+	return !e.isLeader() && now.Sub(e.lastHeartbeat) >= e.timeout
 }
 
-// outranks reports whether a starting process waits to claim the lead itself
-// rather than follow. It keeps a lower identifier from following for a moment.
+// outranks reports whether a process that has just started waits to become leader itself instead
+// of following the sender of hb. Without this check, the process with the lowest identity would
+// briefly follow another leader.
 func (e *Election) outranks(hb Heartbeat) bool {
 	mine := Heartbeat{From: e.self.ID, Rank: 0}
 	return e.cfg.Strategy == LowestID && e.better(mine, hb)
@@ -202,19 +206,19 @@
 	return cmp.Or(cmp.Compare(a.Rank, b.Rank), a.From.Compare(b.From)) < 0
 }
 
-// delay is how long self lets better candidates claim the lead first.
-func (e *Election) delay(now time.Time) time.Duration {
+// claimDelay returns how long self waits for preferred candidates to become leader first.
+func (e *Election) claimDelay(now time.Time) time.Duration {
 	n := 0
 	for _, p := range e.peers {
-		if p.ID != e.self.ID && p.ID != e.leader.From && e.before(now, p, e.self) {
+		if p.ID != e.self.ID && p.ID != e.leader.From && e.claimsBefore(now, p, e.self) {
 			n++
 		}
 	}
 	return time.Duration(n) * e.cfg.Stagger
 }
 
-// before reports whether a should claim the lead before b.
-func (e *Election) before(now time.Time, a, b Peer) bool {
+// claimsBefore reports whether a is preferred to b as the next leader.
+func (e *Election) claimsBefore(now time.Time, a, b Peer) bool {
 	byID := a.ID.Compare(b.ID) < 0
 	switch e.cfg.Strategy {
 	case LowestID:
@@ -222,10 +226,10 @@
 	case Oldest:
 		return a.Started.Before(b.Started) || (a.Started.Equal(b.Started) && byID)
 	}
-	as := now.Sub(a.Started) >= e.cfg.Settled
-	bs := now.Sub(b.Started) >= e.cfg.Settled
-	if as != bs {
-		return as
+	aSettled := now.Sub(a.Started) >= e.cfg.Settled
+	bSettled := now.Sub(b.Started) >= e.cfg.Settled
+	if aSettled != bSettled {
+		return aSettled
 	}
 	return a.Started.After(b.Started) || (a.Started.Equal(b.Started) && byID)
 }
--- a/internal/membership/elector_test.go
+++ b/internal/membership/elector_test.go
@@ -15,78 +15,78 @@
 const (
 	modelStep = 100 * time.Millisecond
 	downtime  = 10 * time.Second
-	// gossipLag is how long a dead process stays in the others' lists.
-	gossipLag = 7 * time.Second
+	// deadPeerLag is how long a stopped process stays in the other processes' lists of peers.
+	deadPeerLag = 7 * time.Second
 	// bootGrace is the uptime from which a process must know the leader.
 	bootGrace = 4 * time.Second
 )
 
-type modelProc struct {
-	peer Peer
-	e    *Election
-	died time.Time // zero while up
-	back time.Time
+type simProcess struct {
+	peer      Peer
+	e         *Election
+	stoppedAt time.Time // zero while running
+	restartAt time.Time
 }
 
-// churn is a zone whose processes restart; every heartbeat arrives.
-type churn struct {
-	cfg      ElectorConfig
-	rng      *rand.Rand
-	now      time.Time
-	procs    []*modelProc
-	agreed   Identity
-	changes  int
-	without  time.Duration
-	messages int
-	inc      uint64
+// churnSim simulates a zone whose processes restart; every heartbeat arrives.
+type churnSim struct {
+	cfg             ElectorConfig
+	rng             *rand.Rand
+	now             time.Time
+	processes       []*simProcess
+	lastAgreed      Identity
+	changes         int
+	leaderless      time.Duration
+	messages        int
+	lastIncarnation uint64
 }
 
-func newChurn(s Strategy, n int) *churn {
+func newChurn(s Strategy, n int) *churnSim {
 	cfg := DefaultElectorConfig()
 	cfg.Strategy = s
-	c := &churn{cfg: cfg, rng: rand.New(rand.NewPCG(7, 7)), now: epoch}
+	c := &churnSim{cfg: cfg, rng: rand.New(rand.NewPCG(7, 7)), now: epoch}
 	for i := range n {
-		c.procs = append(c.procs, &modelProc{})
-		c.boot(c.procs[i], fmt.Sprintf("n%04d", i))
+		c.processes = append(c.processes, &simProcess{})
+		c.boot(c.processes[i], fmt.Sprintf("n%04d", i))
 	}
 	c.run(30 * time.Second)
-	c.changes, c.without, c.messages = 0, 0, 0
+	c.changes, c.leaderless, c.messages = 0, 0, 0
 	return c
 }
 
-func (c *churn) boot(p *modelProc, node string) {
-	c.inc++
-	p.peer = Peer{ID: Identity{node, c.inc}, Started: c.now}
+func (c *churnSim) boot(p *simProcess, node string) {
+	c.lastIncarnation++
+	p.peer = Peer{ID: Identity{node, c.lastIncarnation}, Started: c.now}
 	p.e = NewElection(c.cfg, p.peer, c.now)
-	p.died = time.Time{}
+	p.stoppedAt = time.Time{}
 }
 
-func (c *churn) kill(p *modelProc, down time.Duration) {
-	if p.died.IsZero() {
-		p.died = c.now
-		p.back = c.now.Add(down)
+func (c *churnSim) stop(p *simProcess, down time.Duration) {
+	if p.stoppedAt.IsZero() {
+		p.stoppedAt = c.now
+		p.restartAt = c.now.Add(down)
 	}
 }
 
-func (c *churn) run(d time.Duration) {
+func (c *churnSim) run(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); c.now = c.now.Add(modelStep) {
 		if c.now.UnixMilli()%1000 == 0 {
-			c.views()
+			c.updatePeers()
 		}
-		for _, p := range c.procs {
+		for _, p := range c.processes {
 			c.tick(p)
 		}
 		c.observe()
 	}
 }
 
-func (c *churn) tick(p *modelProc) {
-	if !p.died.IsZero() {
-		if c.now.Before(p.back) {
+func (c *churnSim) tick(p *simProcess) {
+	if !p.stoppedAt.IsZero() {
+		if c.now.Before(p.restartAt) {
 			return
 		}
 		node := p.peer.ID.Node
-		if c.rng.IntN(2) == 0 { // replaced by a VM of another name
+		if c.rng.IntN(2) == 0 { // replaced by a VM with another name
 			node = fmt.Sprintf("n%04d", c.rng.IntN(10_000))
 		}
 		c.boot(p, node)
@@ -95,43 +95,44 @@
 	if !ok {
 		return
 	}
-	for _, q := range c.procs {
-		if q != p && q.died.IsZero() {
+	for _, q := range c.processes {
+		if q != p && q.stoppedAt.IsZero() {
 			c.messages++
 			q.e.OnHeartbeat(c.now, hb)
 		}
 	}
 }
 
-func (c *churn) views() {
+func (c *churnSim) updatePeers() {
 	var peers []Peer
-	for _, p := range c.procs {
-		if p.died.IsZero() || c.now.Sub(p.died) < gossipLag {
+	for _, p := range c.processes {
+		if p.stoppedAt.IsZero() || c.now.Sub(p.stoppedAt) < deadPeerLag {
 			peers = append(peers, p.peer)
 		}
 	}
-	for _, p := range c.procs {
+	for _, p := range c.processes {
 		p.e.SetPeers(peers)
 	}
 }
 
-func (c *churn) observe() {
-	id, ok := c.common()
+func (c *churnSim) observe() {
+	id, ok := c.agreedLeader()
 	if !ok {
-		c.without += modelStep
+		c.leaderless += modelStep
 		return
 	}
-	if id != c.agreed {
+	if id != c.lastAgreed {
 		c.changes++
-		c.agreed = id
+		c.lastAgreed = id
 	}
 }
 
-// common is the live leader that every process past its boot names.
-func (c *churn) common() (Identity, bool) {
+// agreedLeader returns the leader on which all processes past bootGrace agree; false if they do
+// not agree or the leader has stopped.
+func (c *churnSim) agreedLeader() (Identity, bool) {
 	var id Identity
-	for _, p := range c.procs {
-		if !p.died.IsZero() || c.now.Sub(p.peer.Started) < bootGrace {
+	for _, p := range c.processes {
+		if !p.stoppedAt.IsZero() || c.now.Sub(p.peer.Started) < bootGrace {
 			continue
 		}
 		l, ok := p.e.Leader()
@@ -140,22 +141,22 @@
 		}
 		id = l
 	}
-	for _, p := range c.procs {
+	for _, p := range c.processes {
 		if p.peer.ID == id {
-			return id, p.died.IsZero()
+			return id, p.stoppedAt.IsZero()
 		}
 	}
 	return id, false
 }
 
-func (c *churn) report(t *testing.T, name string, restarts int, start time.Time) {
+func (c *churnSim) report(t *testing.T, name string, restarts int, start time.Time) {
 	seconds := c.now.Sub(start).Seconds()
-	extra := float64(c.messages)/seconds/float64(len(c.procs)-1) - 1
+	extra := float64(c.messages)/seconds/float64(len(c.processes)-1) - 1
 	t.Logf("%-9v %-14s zone %d, %d restarts: %d changes, %v without an agreed leader, %+.4f of the steady messages",
-		c.cfg.Strategy, name, len(c.procs), restarts, c.changes, c.without, extra)
+		c.cfg.Strategy, name, len(c.processes), restarts, c.changes, c.leaderless, extra)
 }
 
-// Guards against zones that are without a reader for long while processes restart.
+// Guards against zones that are without a reader for a long time while processes restart.
 func TestElectorsUnderChurn(t *testing.T) {
 	changes := map[string]map[Strategy]int{"random": {}, "rolling": {}, "rolling again": {}, "rack": {}}
 	for _, s := range []Strategy{Incumbent, Oldest, LowestID} {
@@ -163,24 +164,24 @@
 		c := newChurn(s, n)
 		measure := func(name string, restarts int, f func()) {
 			start := c.now
-			c.changes, c.without, c.messages = 0, 0, 0
+			c.changes, c.leaderless, c.messages = 0, 0, 0
 			f()
-			_, ok := c.common()
+			_, ok := c.agreedLeader()
 			must.True(t, ok, must.Sprintf("%v: no leader after %s", s, name))
-			must.LessEq(t, time.Duration(c.changes+1)*10*time.Second, c.without)
+			must.LessEq(t, time.Duration(c.changes+1)*10*time.Second, c.leaderless)
 			changes[name][s] = c.changes
 			c.report(t, name, restarts, start)
 		}
 		measure("random", 5*n, func() {
 			for range 5 * n {
-				c.kill(c.procs[c.rng.IntN(n)], downtime)
+				c.stop(c.processes[c.rng.IntN(n)], downtime)
 				c.run(time.Duration(c.rng.IntN(300)) * modelStep)
 			}
 			c.run(time.Minute)
 		})
 		rolling := func() {
-			for _, p := range c.procs {
-				c.kill(p, downtime)
+			for _, p := range c.processes {
+				c.stop(p, downtime)
 				c.run(15 * time.Second)
 			}
 			c.run(time.Minute)
@@ -189,29 +190,29 @@
 		measure("rolling again", n, rolling)
 		measure("rack", 10*(n/8), func() {
 			for range 10 {
-				leader, _ := c.common()
-				for i, p := range c.procs {
+				leader, _ := c.agreedLeader()
+				for i, p := range c.processes {
 					if p.peer.ID == leader || i%8 == 3 {
-						c.kill(p, time.Minute)
+						c.stop(p, time.Minute)
 					}
 				}
 				c.run(3 * time.Minute)
 			}
 		})
 	}
-	for name, by := range changes {
-		must.LessEq(t, by[Oldest], by[Incumbent], must.Sprintf("%s: %v", name, by))
-		must.LessEq(t, by[LowestID], by[Incumbent], must.Sprintf("%s: %v", name, by))
+	for name, byStrategy := range changes {
+		must.LessEq(t, byStrategy[Oldest], byStrategy[Incumbent], must.Sprintf("%s: %v", name, byStrategy))
+		must.LessEq(t, byStrategy[LowestID], byStrategy[Incumbent], must.Sprintf("%s: %v", name, byStrategy))
 	}
 }
 
-// A node that its peers evicted in error must come back under a new
-// incarnation; its next join would else be ignored for good.
+// Guards against a node that stays excluded after its peers evicted it by mistake. It must join
+// with a new incarnation, because a join of the evicted one is ignored permanently.
 func TestEvictedNodeNeedsNewIncarnation(t *testing.T) {
 	self := Member{Identity: Identity{"a", 3}, Zone: "saga", InnerAddr: "1"}
 	z := NewZone(DefaultZoneConfig(), self, epoch)
-	due, again := z.NeedsJoin()
-	must.True(t, due && !again)
+	due, newIncarnation := z.NeedsJoin()
+	must.True(t, due && !newIncarnation)
 	z.Apply(epoch, []Entry{{0, Join{self}}, {1, Join{Member{Identity: Identity{"b", 1}, Zone: "saga", InnerAddr: "2"}}}})
 	due, _ = z.NeedsJoin()
 	must.False(t, due)
@@ -219,6 +220,6 @@
 	z.OnHeartbeat(epoch, Heartbeat{From: Identity{"b", 1}, Rank: 1})
 	must.False(t, z.IsLeader())
 	z.Apply(epoch, []Entry{{2, Evict{ID: self.Identity}}})
-	due, again = z.NeedsJoin()
-	must.True(t, due && again)
+	due, newIncarnation = z.NeedsJoin()
+	must.True(t, due && newIncarnation)
 }
--- a/internal/membership/findings.go
+++ b/internal/membership/findings.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// maxFindings bounds one Exchange; about 40 B each.
+// maxFindings limits the findings in one Exchange; each one takes about 40 B.
 const maxFindings = 16
 
-// Finding is what one node knows first hand about a target. Age is the time
-// since, so that clocks need not agree.
+// Finding is an observation of a target by one node.
 type Finding struct {
-	Target   Identity      `json:"t"`
-	Observer Identity      `json:"a"`
-	Age      time.Duration `json:"g"`
-	// Alive says that there was an answer; else there was none.
+	Target Identity `json:"t"`
+	// Observer is the node that made the observation.
+	Observer Identity `json:"a"`
+	// Age is the time since the observation. An age is sent because clocks may differ.
+	Age time.Duration `json:"g"`
+	// Alive reports whether the target responded; if false, it was unresponsive.
 	Alive bool `json:"l,omitempty"`
 }
 
-// Findings returns what to tell in an Exchange: accusations that count and
-// answers that speak against one, the newest first.
+// Findings returns the findings to send in an Exchange, newest first: the valid ones that a peer
+// is unresponsive, and the responses that refute such a finding.
 func (d *Detector) Findings(now time.Time) []Finding {
 	var out []Finding
 	for _, id := range d.peers {
-		out = d.states[id].findings(now, id, d.self, d.cfg.FindingMaxAge, out)
+		out = d.states[id].appendFindings(now, id, d.self, d.cfg.FindingMaxAge, out)
 	}
 	slices.SortStableFunc(out, func(a, b Finding) int { return int(a.Age - b.Age) })
 	return out[:min(len(out), maxFindings)]
 }
 
-func (s *peerState) findings(now time.Time, id, self Identity, maxAge time.Duration, out []Finding) []Finding {
-	if len(s.accusers) == 0 && s.cleared.IsZero() {
+func (s *peerState) appendFindings(now time.Time, id, self Identity, maxAge time.Duration, out []Finding) []Finding {
+	if len(s.observers) == 0 && s.refutedAt.IsZero() {
 		return out
 	}
-	for _, who := range slices.SortedFunc(maps.Keys(s.accusers), Identity.Compare) {
-		out = append(out, Finding{Target: id, Observer: who, Age: now.Sub(s.accusers[who])})
+	for _, observer := range slices.SortedFunc(maps.Keys(s.observers), Identity.Compare) {
+		out = append(out, Finding{Target: id, Observer: observer, Age: now.Sub(s.observers[observer])})
 	}
-	if !s.cleared.IsZero() && now.Sub(s.cleared) < maxAge {
-		out = append(out, Finding{Target: id, Observer: self, Age: now.Sub(s.heard), Alive: true})
+	if !s.refutedAt.IsZero() && now.Sub(s.refutedAt) < maxAge {
+		out = append(out, Finding{Target: id, Observer: self, Age: now.Sub(s.lastResponse), Alive: true})
 	}
 	return out
 }
 
-// OnGossip takes the findings of another node.
+// OnGossip merges the findings of another node.
 func (d *Detector) OnGossip(now time.Time, findings []Finding) {
 	for _, f := range findings {
 		s, ok := d.states[f.Target]
@@ -52,44 +53,45 @@
 		}
 		at := now.Add(-f.Age)
 		if f.Alive {
-			d.alive(at, f.Target)
+			d.recordResponse(at, f.Target)
 			continue
 		}
-		if at.After(s.heard) && at.After(s.accusers[f.Observer]) && d.member(f.Observer) {
-			s.accusers[f.Observer] = at
+		if at.After(s.lastResponse) && at.After(s.observers[f.Observer]) && d.isMember(f.Observer) {
+			s.observers[f.Observer] = at
 		}
 	}
 }
 
-func (d *Detector) member(id Identity) bool {
+func (d *Detector) isMember(id Identity) bool {
 	_, ok := d.states[id]
 	return ok
 }
 
-func (d *Detector) expire(now time.Time) {
+// expireFindings removes findings older than FindingMaxAge.
+func (d *Detector) expireFindings(now time.Time) {
 	for _, s := range d.states {
-		if len(s.accusers) == 0 {
+		if len(s.observers) == 0 {
 			continue
 		}
-		maps.DeleteFunc(s.accusers, func(_ Identity, at time.Time) bool {
+		maps.DeleteFunc(s.observers, func(_ Identity, at time.Time) bool {
 			return now.Sub(at) >= d.cfg.FindingMaxAge
 		})
 	}
 }
 
-// evictions names the dead, when self is the zone's reader. A reader that is
-// cut off itself says nothing.
-func (d *Detector) evictions(now time.Time) []Action {
+// dueEvictions returns an EvictDue action for each dead peer if self is the zone's reader. A
+// reader that seems to be disconnected itself returns none.
+func (d *Detector) dueEvictions(now time.Time) []Action {
 	if d.leader != d.self || d.Isolated() {
 		return nil
 	}
 	var out []Action
 	for _, id := range d.peers {
 		s := d.states[id]
-		if d.Status(now, id) != Dead || (!s.evicted.IsZero() && now.Sub(s.evicted) < d.cfg.EvictEvery) {
+		if d.Status(now, id) != Dead || (!s.lastEvictDue.IsZero() && now.Sub(s.lastEvictDue) < d.cfg.EvictEvery) {
 			continue
 		}
-		s.evicted = now
+		s.lastEvictDue = now
 		out = append(out, EvictDue{ID: id})
 	}
 	return out
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// Names of the records in the log.
+// Kinds of membership records in the log.
 const (
 	kindJoin  = "join"
 	kindLeave = "leave"
 	kindEvict = "evict"
 )
 
-// envelope is the form of a Record in the log.
+// envelope is the encoding of a Record in the log.
 type envelope struct {
 	Kind   string    `json:"kind"`
 	Member *Member   `json:"member,omitempty"`
@@ -20,7 +20,7 @@
 	By     *Identity `json:"by,omitempty"`
 }
 
-// MarshalRecord returns the form of a record in the log.
+// MarshalRecord returns the encoding of a record in the log.
 func MarshalRecord(rec Record) ([]byte, error) {
 	switch r := rec.(type) {
 	case Join:
@@ -30,16 +30,15 @@
 	case Evict:
 		return json.Marshal(envelope{Kind: kindEvict, ID: &r.ID, By: &r.By})
 	}
-	return nil, fmt.Errorf("membership: record of type %T", rec)
+	return nil, fmt.Errorf("membership: cannot encode a record of type %T", rec)
 }
 
-// UnmarshalRecord reads what MarshalRecord wrote. A record that lacks its
-// subject is an error: folding it would remove or add nobody and hide the
-// fault of its writer.
+// UnmarshalRecord decodes the output of MarshalRecord. A record without its member or identity is
+// an error: folding it would have no effect, and the fault of its writer would stay hidden.
 func UnmarshalRecord(b []byte) (Record, error) {
 	var e envelope
 	if err := json.Unmarshal(b, &e); err != nil {
-		return nil, fmt.Errorf("membership: record: %w", err)
+		return nil, fmt.Errorf("membership: decode record: %w", err)
 	}
 	switch {
 	case e.Kind == kindJoin && e.Member != nil && e.Member.Node != "":
@@ -49,7 +48,7 @@
 	case e.Kind == kindEvict && e.ID != nil:
 		return Evict{ID: *e.ID, By: deref(e.By)}, nil
 	}
-	return nil, fmt.Errorf("membership: record: kind %q without its subject, or unknown", e.Kind)
+	return nil, fmt.Errorf("membership: record of kind %q is unknown or lacks its member or identity", e.Kind)
 }
 
 func deref(id *Identity) Identity {
--- a/internal/membership/tree.go
+++ b/internal/membership/tree.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// Fanout bounds the children of a process in the tree that spreads what the
-// zone's reader read: 16 exchanges of about 100 B a second stay below 2 KB/s.
+// Fanout limits the children of a process in the tree that distributes what the zone's reader has
+// read: 16 exchanges of about 100 B per second stay below 2 KB/s.
 const Fanout = 16
 
-// Parent returns whom self exchanges with: a tree with the leader at its root
-// and the live members in order of identity below; false for the leader and
-// for one that is not listed. A zone of 400 is three levels deep. live must be
-// sorted; views that differ give a detour, no loss.
+// Parent returns the process that self exchanges with. The leader is the root of the tree, and the
+// live members follow below it in the order of their identities. A zone of 400 nodes has three
+// levels. Parent returns false for the leader and for a process that is not in live. live must be
+// sorted. If nodes have different views, findings may take a longer path but are not lost.
 func Parent(self, leader Identity, live []Identity) (Identity, bool) {
 	if self == leader {
 		return Identity{}, false
@@ -22,10 +22,11 @@
 	if p == 0 {
 		return leader, true
 	}
-	return at(p, leader, live), true
+	return memberAt(p, leader, live), true
 }
 
-// position is the index in the list that has the leader moved to its front.
+// position returns the index of id in the list with the leader moved to the front, -1 if id is not
+// in it.
 func position(id, leader Identity, live []Identity) int {
 	i, ok := slices.BinarySearchFunc(live, id, Identity.Compare)
 	if !ok {
@@ -38,8 +39,8 @@
 	return i
 }
 
-// at is the inverse of position for p > 0.
-func at(p int, leader Identity, live []Identity) Identity {
+// memberAt is the inverse of position for p > 0.
+func memberAt(p int, leader Identity, live []Identity) Identity {
 	l, ok := slices.BinarySearchFunc(live, leader, Identity.Compare)
 	if !ok || p <= l {
 		return live[p-1]
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -6,31 +6,33 @@
 	"strings"
 )
 
-// maxTombstones bounds how many gone nodes a View remembers: three days of
-// 1,400 replacements. A join older than that cannot still be on its way.
+// maxTombstones limits the number of tombstones in a View: three days of 1,400 replacements each.
+// A join record cannot be delayed for longer than that.
 const maxTombstones = 4200
 
+// tombstone is the highest incarnation of a node that has left or was evicted, with the offset of
+// that record.
 type tombstone struct {
 	Incarnation uint64 `json:"i"`
 	Offset      int64  `json:"o"`
 }
 
-// View is who is a member after a prefix of the log. It is immutable; Apply
-// returns a new one. The zero View is empty.
+// View is the set of members after a prefix of the log. It is immutable; Apply returns a new View.
+// The zero View is empty.
 type View struct {
-	members map[string]Member // by node
-	byAddr  map[string]string // inner address to node
-	gone    map[string]tombstone
-	version int64
+	members    map[string]Member    // by node
+	nodeByAddr map[string]string    // by inner address
+	tombstones map[string]tombstone // by node
+	version    int64
 }
 
-// Version is the offset after the last record folded.
+// Version returns the offset after the last folded record.
 func (v *View) Version() int64 { return v.version }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (v *View) Len() int { return len(v.members) }
 
-// Member returns the member of a node.
+// Member returns the member with the given node name.
 func (v *View) Member(node string) (Member, bool) {
 	m, ok := v.members[node]
 	return m, ok
@@ -42,17 +44,17 @@
 	return ok && m.Incarnation == id.Incarnation
 }
 
-// Gone reports whether this incarnation has left or was evicted.
+// Gone reports whether this incarnation, or a newer one of its node, has left or was evicted.
 func (v *View) Gone(id Identity) bool {
-	t, ok := v.gone[id.Node]
+	t, ok := v.tombstones[id.Node]
 	return ok && t.Incarnation >= id.Incarnation
 }
 
-// Members returns all members in order of their identity.
+// Members returns all members in the order of their identities.
 func (v *View) Members() []Member { return v.filter(func(Member) bool { return true }) }
 
-// ByService returns the members that serve a service for a workspace; one
-// without a workspace serves all.
+// ByService returns the members that serve a service for a workspace. A member without a workspace
+// serves all workspaces.
 func (v *View) ByService(workspace, service string) []Member {
 	return v.filter(func(m Member) bool {
 		return m.Service == service && (m.Workspace == "" || m.Workspace == workspace)
@@ -75,14 +77,14 @@
 	return out
 }
 
-// Narrow returns a view of the same version that keeps only some members. A
-// node keeps its own zone and the services that its upstream calls.
+// Narrow returns a view of the same version with the members for which keep returns true. A node
+// keeps the members of its own zone and of the services that its upstream calls.
 func (v *View) Narrow(keep func(Member) bool) *View {
-	n := &View{members: map[string]Member{}, byAddr: map[string]string{}, gone: v.gone, version: v.version}
+	n := &View{members: map[string]Member{}, nodeByAddr: map[string]string{}, tombstones: v.tombstones, version: v.version}
 	for node, m := range v.members {
 		if keep(m) {
 			n.members[node] = m
-			n.byAddr[m.InnerAddr] = node
+			n.nodeByAddr[m.InnerAddr] = node
 		}
 	}
 	return n
@@ -94,19 +96,19 @@
 	Record Record
 }
 
-// Apply folds one record. A record below Version is ignored, so that a reader
-// that starts again may deliver it twice.
+// Apply folds one record. A record below Version is ignored, because a restarted reader may
+// deliver a record twice.
 func (v *View) Apply(offset int64, rec Record) *View {
 	return v.ApplyAll([]Entry{{Offset: offset, Record: rec}})
 }
 
-// ApplyAll folds records in order and copies the view once.
+// ApplyAll folds records in order. It copies the view only once.
 func (v *View) ApplyAll(entries []Entry) *View {
 	n := &View{
-		members: maps.Clone(v.members),
-		byAddr:  maps.Clone(v.byAddr),
-		gone:    maps.Clone(v.gone),
-		version: v.version,
+		members:    maps.Clone(v.members),
+		nodeByAddr: maps.Clone(v.nodeByAddr),
+		tombstones: maps.Clone(v.tombstones),
+		version:    v.version,
 	}
 	n.init()
 	for _, e := range entries {
@@ -116,7 +118,7 @@
 		n.fold(e)
 		n.version = e.Offset + 1
 	}
-	n.trim()
+	n.trimTombstones()
 	return n
 }
 
@@ -124,11 +126,11 @@
 	if v.members == nil {
 		v.members = make(map[string]Member)
 	}
-	if v.byAddr == nil {
-		v.byAddr = make(map[string]string)
+	if v.nodeByAddr == nil {
+		v.nodeByAddr = make(map[string]string)
 	}
-	if v.gone == nil {
-		v.gone = make(map[string]tombstone)
+	if v.tombstones == nil {
+		v.tombstones = make(map[string]tombstone)
 	}
 }
 
@@ -143,58 +145,59 @@
 	}
 }
 
-// join guards against a join that reaches the log after its process has ended:
-// calls would go to an address where nobody, or someone else, listens. The
-// incarnation decides, not the order: an older one never replaces a newer one
-// of the same node or address, and one that has gone does not come back.
+// join adds or updates a member. It ignores a join that reaches the log after its process has
+// ended, since calls would go to an address at which no process, or another one, listens. The
+// incarnation decides, not the order of the records: an older incarnation never replaces a newer
+// one of the same node or address, and an incarnation that has left or was evicted is not added
+// again.
 func (v *View) join(offset int64, m Member) {
-	if t, ok := v.gone[m.Node]; ok && m.Incarnation <= t.Incarnation {
+	if t, ok := v.tombstones[m.Node]; ok && m.Incarnation <= t.Incarnation {
 		return
 	}
 	if old, ok := v.members[m.Node]; ok && old.Incarnation > m.Incarnation {
 		return
 	}
-	if node, ok := v.byAddr[m.InnerAddr]; ok && node != m.Node {
+	if node, ok := v.nodeByAddr[m.InnerAddr]; ok && node != m.Node {
 		if v.members[node].Incarnation > m.Incarnation {
 			return
 		}
 		v.remove(offset, v.members[node].Identity)
 	}
 	if old, ok := v.members[m.Node]; ok {
-		delete(v.byAddr, old.InnerAddr)
+		delete(v.nodeByAddr, old.InnerAddr)
 	}
 	m.JoinedAt = m.JoinedAt.UTC().Round(0)
 	v.members[m.Node] = m
-	v.byAddr[m.InnerAddr] = m.Node
+	v.nodeByAddr[m.InnerAddr] = m.Node
 }
 
-// remove drops exactly the named incarnation; a newer one stays.
+// remove removes exactly the given incarnation; a newer one is kept.
 func (v *View) remove(offset int64, id Identity) {
-	if t, ok := v.gone[id.Node]; !ok || t.Incarnation < id.Incarnation {
-		v.gone[id.Node] = tombstone{Incarnation: id.Incarnation, Offset: offset}
+	if t, ok := v.tombstones[id.Node]; !ok || t.Incarnation < id.Incarnation {
+		v.tombstones[id.Node] = tombstone{Incarnation: id.Incarnation, Offset: offset}
 	}
 	m, ok := v.members[id.Node]
 	if !ok || m.Incarnation > id.Incarnation {
 		return
 	}
 	delete(v.members, id.Node)
-	delete(v.byAddr, m.InnerAddr)
+	delete(v.nodeByAddr, m.InnerAddr)
 }
 
-// trim forgets the oldest tombstones by offset, so that every fold of the same
-// records forgets the same ones.
-func (v *View) trim() {
-	if len(v.gone) <= maxTombstones {
+// trimTombstones removes the tombstones with the lowest offsets, so that every fold of the same
+// records removes the same ones.
+func (v *View) trimTombstones() {
+	if len(v.tombstones) <= maxTombstones {
 		return
 	}
-	nodes := slices.Collect(maps.Keys(v.gone))
+	nodes := slices.Collect(maps.Keys(v.tombstones))
 	slices.SortFunc(nodes, func(a, b string) int {
-		if d := v.gone[a].Offset - v.gone[b].Offset; d != 0 {
+		if d := v.tombstones[a].Offset - v.tombstones[b].Offset; d != 0 {
 			return int(d)
 		}
 		return strings.Compare(a, b)
 	})
 	for _, n := range nodes[:len(nodes)-maxTombstones] {
-		delete(v.gone, n)
+		delete(v.tombstones, n)
 	}
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// A fixed seed gives the same verdict each run; -rapid.seed overrides it.
+// A fixed seed makes each run draw the same cases; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "20260101") }
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -39,7 +39,8 @@
 	}}
 }
 
-// Guards against members that come back from the dead when records arrive late or out of order.
+// Guards against a removed member that is added again when records arrive late or out of order,
+// and against folds that differ after a restart or from a snapshot.
 func TestViewFold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(drawRecord), 0, 40).Draw(t, "records")
@@ -49,7 +50,7 @@
 		for i, rec := range records {
 			entries = append(entries, Entry{Offset: int64(2 * i), Record: rec})
 			before := v
-			v = v.Apply(int64(2*i), throughLog(t, rec))
+			v = v.Apply(int64(2*i), encodeAndDecode(t, rec))
 			switch r := rec.(type) {
 			case Leave:
 				gone[r.ID] = true
@@ -71,7 +72,7 @@
 	})
 }
 
-func throughLog(t *rapid.T, rec Record) Record {
+func encodeAndDecode(t *rapid.T, rec Record) Record {
 	b, err := MarshalRecord(rec)
 	must.NoError(t, err)
 	back, err := UnmarshalRecord(b)
@@ -91,6 +92,7 @@
 	}
 }
 
+// Guards against members of another zone, workspace or service in a selection.
 func TestViewSelects(t *testing.T) {
 	v := (&View{}).ApplyAll([]Entry{
 		{0, Join{Member{Identity: Identity{"a", 1}, Region: "r", Zone: "saga", Service: "letters", InnerAddr: "1"}}},
@@ -103,8 +105,8 @@
 	must.True(t, n.Live(Identity{"b", 1}) && !n.Live(Identity{"a", 1}))
 }
 
-// Whatever the leader, the exchanges of a zone form one tree that reaches it,
-// and nobody has more children than the budget of 2 KB/s allows.
+// Guards against exchanges of a zone that do not form one tree with the leader as its root, and
+// against a process with more children than the budget of 2 KB/s allows.
 func TestTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 420).Draw(t, "n")
@@ -132,6 +134,7 @@
 	})
 }
 
+// Guards against a valid configuration that is rejected, or an invalid one that is accepted.
 func TestConfigsValidate(t *testing.T) {
 	must.NoError(t, DefaultDetectorConfig().Validate())
 	must.NoError(t, DefaultElectorConfig().Validate())
--- a/internal/membership/zone.go
+++ b/internal/membership/zone.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// ZoneConfig holds the bounds of a Zone.
+// ZoneConfig holds the configuration of a Zone.
 type ZoneConfig struct {
 	Detector DetectorConfig
 	Elector  ElectorConfig
 }
 
-// DefaultZoneConfig returns the defaults of both parts.
+// DefaultZoneConfig returns the default configuration of both parts.
 func DefaultZoneConfig() ZoneConfig {
 	return ZoneConfig{Detector: DefaultDetectorConfig(), Elector: DefaultElectorConfig()}
 }
 
-// Validate names the first field out of bounds, its value and the bound.
+// Validate returns an error with the first field out of range, its value and the limit.
 func (c ZoneConfig) Validate() error {
 	if err := c.Detector.Validate(); err != nil {
 		return err
@@ -21,9 +21,9 @@
 	return c.Elector.Validate()
 }
 
-// Zone is one node's picture of its availability zone: the members that the
-// log has, which of them live, and who reads the log for all. It joins View,
-// Detector and Elector; the node feeds it and does what it asks for.
+// Zone is the state of an availability zone at one node: the members according to the log, their
+// liveness, and the reader of the log. It combines View, Detector and Election. The node passes
+// events to it and performs the actions that it returns.
 type Zone struct {
 	self     Member
 	view     *View
@@ -31,13 +31,13 @@
 	election *Election
 }
 
-// Announce says that self leads, to every address in To.
+// Announce requests that a heartbeat of self as the leader is sent to every process in To.
 type Announce struct {
 	Heartbeat Heartbeat
 	To        []Identity
 }
 
-// NewZone returns the picture of a node that starts at now; cfg must be valid.
+// NewZone returns the state for a node that starts at now; cfg must be valid.
 func NewZone(cfg ZoneConfig, self Member, now time.Time) *Zone {
 	z := &Zone{
 		self:     self,
@@ -49,7 +49,7 @@
 	return z
 }
 
-// View is the newest fold. It is immutable and may be shared.
+// View returns the newest view. It is immutable and may be shared.
 func (z *Zone) View() *View { return z.view }
 
 // Apply folds records of the log in order.
@@ -58,8 +58,8 @@
 	z.refresh(now)
 }
 
-// Restore begins with a view of a snapshot or a peer; an older one than the
-// present is ignored, so that membership never goes back.
+// Restore replaces the view by one from a snapshot or a peer. A view that is not newer than the
+// present one is ignored, so that the version never decreases.
 func (z *Zone) Restore(now time.Time, v *View) {
 	if v.Version() <= z.view.Version() {
 		return
@@ -68,8 +68,8 @@
 	z.refresh(now)
 }
 
-// refresh gives the members to both parts. Candidates for the lead are those
-// that are not known dead: counting on a dead one would delay the next claim.
+// refresh passes the members to the detector and the election. Only members that are not dead
+// count as candidates for leader: waiting for a dead candidate would delay the election.
 func (z *Zone) refresh(now time.Time) {
 	members := z.view.InZone(z.self.Region, z.self.Zone)
 	ids := make([]Identity, 0, len(members))
@@ -87,14 +87,15 @@
 	z.election.SetPeers(peers)
 }
 
-// Tick is called once in a detector's Interval and returns what is due.
+// Tick returns the actions of the detector that are due. It must be called once per Interval of
+// the detector.
 func (z *Zone) Tick(now time.Time) []Action {
 	z.refresh(now)
 	return z.detector.Tick(now)
 }
 
-// TickElection is called about once in an elector's Stagger, so that claims of
-// the lead stay apart. It returns the announcement that is due, if any.
+// TickElection returns the announcement that is due, if any. It must be called about once per
+// Stagger of the elector, so that candidates do not become leader at the same time.
 func (z *Zone) TickElection(now time.Time) (Announce, bool) {
 	hb, ok := z.election.Tick(now)
 	if !ok {
@@ -103,17 +104,18 @@
 	return Announce{Heartbeat: hb, To: z.Live(now)}, true
 }
 
-// OnHeartbeat takes the word of a leader. It is as good as an answer to a
-// probe: its sender lives.
+// OnHeartbeat handles a heartbeat of a leader. It also counts as a response to a probe, because it
+// shows that the sender is live.
 func (z *Zone) OnHeartbeat(now time.Time, hb Heartbeat) {
 	z.election.OnHeartbeat(now, hb)
 	z.detector.OnProbeReply(now, hb.From)
 }
 
-// Detector is the part that answers to probes and gossip go to.
+// Detector returns the detector, which handles probe responses and gossip.
 func (z *Zone) Detector() *Detector { return z.detector }
 
-// Leader is who reads the log for the zone; false right after a start.
+// Leader returns the reader of the log for the zone; false until the first one is known after a
+// start.
 func (z *Zone) Leader() (Identity, bool) { return z.election.Leader() }
 
 // IsLeader reports whether self reads the log for the zone.
@@ -122,15 +124,15 @@
 	return ok && id == z.self.Identity
 }
 
-// Live returns the members of the zone that are not dead, self included.
+// Live returns the members of the zone that are not dead, including self.
 func (z *Zone) Live(now time.Time) []Identity { return z.detector.Live(now) }
 
-// NeedsJoin reports whether self must write a join record: it has none yet,
-// or its peers evicted it. An evicted process needs a new incarnation first.
+// NeedsJoin reports whether self must append a join record, either because it has none yet or
+// because its peers evicted it. An evicted process needs a new incarnation first.
 func (z *Zone) NeedsJoin() (due, newIncarnation bool) {
 	if z.view.Live(z.self.Identity) {
 		return false, false
 	}
-	t, ok := z.view.gone[z.self.Node]
+	t, ok := z.view.tombstones[z.self.Node]
 	return true, ok && t.Incarnation >= z.self.Incarnation
 }
