--- a/internal/result/cause.go
+++ b/internal/result/cause.go
@@ -6,31 +6,32 @@
 	"strings"
 )
 
-// Cause is the decision that the failure of a request comes down to: the refusal
-// or failure of the deepest call made for it.
+// Cause is the root cause of a failed request: the refusal or failure of the deepest call made
+// for it.
 type Cause struct {
 	Code Code `json:"code"`
-	// Service is the one that the call was for.
+	// Service is the service that the failed call was sent to.
 	Service string `json:"service"`
-	// Node is where it was decided.
+	// Node is the node that refused the call or saw it fail.
 	Node string `json:"node"`
 }
 
-// String says it for people.
+// String returns the cause as readable text.
 func (c *Cause) String() string {
 	return fmt.Sprintf("%d %s at %s for %s", int(c.Code), c.Code, c.Node, c.Service)
 }
 
-// Encode is the form that travels between nodes.
+// Encode returns the form sent between nodes: code, service and node, separated by spaces.
 func (c *Cause) Encode() string {
 	return strconv.Itoa(int(c.Code)) + " " + c.Service + " " + c.Node
 }
 
-// maxCauseBytes bounds a cause of another node, which goes into log lines: a code and
-// two names of 64 bytes, with room for longer names of other versions.
+// maxCauseBytes bounds the length of a cause received from another node, because it goes into
+// log lines. It fits a code and two names of 64 bytes, with room for longer names of other
+// versions.
 const maxCauseBytes = 256
 
-// DecodeCause reads what Encode wrote; nil when it says nothing that can be read.
+// DecodeCause parses the output of Encode. It returns nil for malformed or oversized text.
 func DecodeCause(text string) *Cause {
 	if len(text) > maxCauseBytes {
 		return nil
--- a/internal/result/cause_test.go
+++ b/internal/result/cause_test.go
@@ -7,15 +7,15 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestCauseTravels(t *testing.T) {
+func TestCauseRoundTrip(t *testing.T) {
 	c := &Cause{Code: QueueExpired, Service: "tracker", Node: "vm-12"}
 	must.Eq(t, c, DecodeCause(c.Encode()))
 	must.EqOp(t, "2003 queue_expired at vm-12 for tracker", c.String())
 }
 
-// Another version of the product, or a broken peer, sends a cause that can't be read.
-// The answer that it comes with is still good, so it must only count as saying nothing.
-func TestUnreadableCauseSaysNothing(t *testing.T) {
+// Guards against a malformed cause being accepted. Nodes of another version, or faulty peers,
+// may send one. Only the cause is ignored; the response that carries it is still valid.
+func TestDecodeCauseRejectsMalformedText(t *testing.T) {
 	for _, text := range []string{"", "2003", "2003 tracker", "x tracker vm-12", "-1 tracker vm-12", "2003  vm-12", "2003 tracker vm-12 more", "2003 tracker " + strings.Repeat("v", maxCauseBytes)} {
 		must.Nil(t, DecodeCause(text), must.Sprintf("%q", text))
 	}
--- a/internal/result/doc_test.go
+++ b/internal/result/doc_test.go
@@ -11,8 +11,9 @@
 
 var docRow = regexp.MustCompile("(?m)^\\| (\\d{4}) \\| `([a-z_]+)` \\| (no|unknown|yes) \\| (\\d{3}) \\| (.+) \\|$")
 
-// Guards against a table of result codes that promises what the code does not.
-func TestDocumentedTableIsTheCode(t *testing.T) {
+// Guards against docs/RESULT_CODES.md listing a name, effect, status or description that
+// differs from the declared code, or omitting a code.
+func TestDocumentedCodesMatchDeclaredCodes(t *testing.T) {
 	doc, err := os.ReadFile("../../docs/RESULT_CODES.md")
 	must.NoError(t, err)
 	documented := map[Code]bool{}
@@ -20,7 +21,7 @@
 		n, err := strconv.Atoi(m[1])
 		must.NoError(t, err)
 		c := Code(n)
-		must.MapContainsKey(t, table, c, must.Sprintf("documented code %d isn't declared", n))
+		must.MapContainsKey(t, codeInfo, c, must.Sprintf("documented code %d isn't declared", n))
 		must.False(t, documented[c], must.Sprintf("code %d is documented twice", n))
 		documented[c] = true
 		must.Eq(t, c.String(), m[2])
--- a/internal/result/problem.go
+++ b/internal/result/problem.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// HeaderResult carries the numeric code on every answer to a caller.
+	// HeaderResult carries the numeric code in every response to a caller.
 	HeaderResult = "Galena-Result"
 	// ProblemType is the media type of an RFC 9457 document.
 	ProblemType = "application/problem+json"
@@ -28,7 +28,7 @@
 	RetryAfterMillis int64  `json:"retry_after_ms,omitempty"`
 }
 
-// Problem returns the document for the caller of requestID.
+// Problem returns the problem document of r for the request requestID.
 func (r *Refusal) Problem(requestID string) Problem {
 	return Problem{
 		Type:             "urn:galenagrade:result:" + strconv.Itoa(int(r.Code)),
@@ -42,7 +42,7 @@
 	}
 }
 
-// Write sends the refusal as the whole answer of w.
+// Write sends the refusal as the complete response.
 func (r *Refusal) Write(w http.ResponseWriter, requestID string) {
 	body, err := json.Marshal(r.Problem(requestID))
 	if err != nil {
@@ -59,8 +59,8 @@
 	_, _ = w.Write(body)
 }
 
-// wholeSeconds rounds up: Retry-After has a resolution of one second and must
-// not invite a caller early.
+// wholeSeconds rounds up, because Retry-After has a resolution of one second and a caller must
+// not retry too early.
 func wholeSeconds(d time.Duration) int {
 	return int(math.Ceil(d.Seconds()))
 }
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,6 +1,6 @@
-// Package result holds the numbered outcomes of a call and the document that
-// explains a refusal to a caller. The numbers are part of the interface:
-// docs/RESULT_CODES.md lists them and a test compares the two.
+// Package result defines the result codes of calls and the problem document sent to a caller
+// with a refusal. The codes are part of the public interface: a test compares them with
+// docs/RESULT_CODES.md.
 package result
 
 import (
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// Ran says whether a call took effect at an upstream.
+// Ran reports whether a call took effect at an upstream.
 type Ran string
 
 const (
-	// RanNo is a promise: nothing of the call took effect anywhere.
+	// RanNo guarantees that the call took effect nowhere, so that it is safe to send again.
 	RanNo Ran = "no"
 	// RanUnknown means that an upstream may have run the call.
 	RanUnknown Ran = "unknown"
-	// RanYes means that an upstream ran the call to an answer.
+	// RanYes means that an upstream ran the call and answered.
 	RanYes Ran = "yes"
 )
 
-// Code is a numbered outcome. 1xxx: answered; 2xxx: refused by load or state,
-// not run; 3xxx: outcome unknown; 4xxx: the request itself is at fault, not
-// run; 5xxx: an upstream ran it and failed.
+// Code is the numeric result of a call. 1xxx: answered; 2xxx: refused because of load or state,
+// not run; 3xxx: outcome unknown; 4xxx: the request is invalid, not run; 5xxx: an upstream ran
+// the call and failed.
 type Code int
 
 const (
-	// OK is a whole answer.
+	// OK means that an upstream returned a complete response.
 	OK Code = 1000
-	// Replayed is the kept answer of an earlier attempt with the same key.
+	// Replayed means that the stored response of an earlier attempt with the same key was
+	// returned.
 	Replayed Code = 1001
 
-	// Shed means that the guard was full and the class or caller was shed.
+	// Shed means that the guard was at its limit and shed the call's level or caller.
 	Shed Code = 2001
 	// DeadlineTooNear means that too little time was left to run the call.
 	DeadlineTooNear Code = 2002
-	// QueueExpired means that the call waited in the queue beyond its bound.
+	// QueueExpired means that the call waited in the queue longer than its limit.
 	QueueExpired Code = 2003
-	// Draining means that the upstream is leaving and takes no new work.
+	// Draining means that the upstream is shutting down and accepts no new calls.
 	Draining Code = 2004
 	// NoUpstream means that no live upstream of the service is known.
 	NoUpstream Code = 2005
@@ -45,35 +46,35 @@
 	Quarantined Code = 2006
 	// OwnedElsewhere means that another guard owns the idempotency key.
 	OwnedElsewhere Code = 2007
-	// NoAuthority means that at-most-once could not be assured: the owner of
-	// the key lacks a fresh proof, or the log did not take a claim.
+	// NoAuthority means that at-most-once execution could not be guaranteed: the owner of the
+	// key has no recent proof of its authority, or the log did not accept a claim.
 	NoAuthority Code = 2008
-	// Unreachable means that no connection to a chosen upstream was made.
+	// Unreachable means that no connection to the chosen upstream could be opened.
 	Unreachable Code = 2010
-	// Starting means that the node does not know its configuration yet.
+	// Starting means that the node has not received its configuration yet.
 	Starting Code = 2011
-	// ParentGone means that the call that made this one is no longer running.
+	// ParentGone means that the parent call, which made this one, is no longer running.
 	ParentGone Code = 2012
 	// Cancelled means that the caller left before the call was run.
 	Cancelled Code = 2013
-	// ShedEarly means that every candidate was known to shed this class.
+	// ShedEarly means that every candidate upstream is known to shed the call's level or
+	// caller.
 	ShedEarly Code = 2014
-	// RetryBudgetExhausted means that the guard has let through as many repeats as the
-	// service may get at present.
+	// RetryBudgetExhausted means that the guard has used up its retry budget for the service.
 	RetryBudgetExhausted Code = 2015
-	// QuotaExceeded means that the workspace asks for more than its quota.
+	// QuotaExceeded means that the workspace exceeds its quota.
 	QuotaExceeded Code = 2016
-	// QuotaUnknown means that no node answered that holds a part of the workspace's
-	// quota.
+	// QuotaUnknown means that none of the nodes that hold a part of the workspace's quota
+	// answered.
 	QuotaUnknown Code = 2017
 
-	// LostAnswer means that the call was sent and no whole answer came back.
+	// LostAnswer means that the call was sent and no complete response was received.
 	LostAnswer Code = 3001
 	// DeadlinePassed means that the deadline passed while the call ran.
 	DeadlinePassed Code = 3002
-	// OutcomeUnknown means that an earlier owner of the key may have run it.
+	// OutcomeUnknown means that an earlier owner of the key may have run the call.
 	OutcomeUnknown Code = 3003
-	// AnswerMismatch means that an answer for another call came back.
+	// AnswerMismatch means that the response received belongs to another call.
 	AnswerMismatch Code = 3004
 	// AnswerCut means that the answer ended before its announced length.
 	AnswerCut Code = 3005
@@ -84,11 +85,11 @@
 	BadContext Code = 4001
 	// UnknownService means that no instance covers the workspace and service.
 	UnknownService Code = 4002
-	// KeyReused means that the key came before with a different body.
+	// KeyReused means that the key was used before with a different body.
 	KeyReused Code = 4003
-	// BodyTooLarge means that a body exceeds what can be held for the call.
+	// BodyTooLarge means that a body exceeds the size that is held for a call.
 	BodyTooLarge Code = 4004
-	// KeyRequired means that the template demands an idempotency key.
+	// KeyRequired means that the template requires an idempotency key.
 	KeyRequired Code = 4005
 	// TooDeep means that the call chain exceeds its depth bound.
 	TooDeep Code = 4006
@@ -98,17 +99,17 @@
 	UnknownRoute Code = 4008
 	// HeaderTooLarge means that a header exceeds what the routes allow.
 	HeaderTooLarge Code = 4009
-	// UnknownKey means that no workspace holds the caller's API key.
+	// UnknownKey means that the caller's API key belongs to no workspace.
 	UnknownKey Code = 4010
 
 	// UpstreamFailed means that the upstream answered with a server error.
 	UpstreamFailed Code = 5001
-	// UpstreamShed means that the upstream itself refused the call as
-	// overloaded. The upstreams' contract is that such a call did not run.
+	// UpstreamShed means that the upstream itself refused the call as overloaded. The contract
+	// with upstreams says that they do not run such a call.
 	UpstreamShed Code = 5002
 )
 
-// info is the fixed description of a code.
+// info describes a code.
 type info struct {
 	name   string
 	ran    Ran
@@ -116,7 +117,7 @@
 	help   string
 }
 
-var table = map[Code]info{
+var codeInfo = map[Code]info{
 	OK:                   {"ok", RanYes, 200, "whole answer from an upstream"},
 	Replayed:             {"replayed", RanYes, 200, "kept answer of an earlier attempt with the same key"},
 	Shed:                 {"shed", RanNo, 503, "guard is full; lower classes and whole callers are shed first"},
@@ -155,10 +156,10 @@
 	UpstreamShed:         {"upstream_shed", RanNo, 503, "upstream itself refused the call as overloaded"},
 }
 
-// Codes returns every code in ascending order of its class as declared.
+// Codes returns all declared codes in ascending order.
 func Codes() []Code {
-	codes := make([]Code, 0, len(table))
-	for c := range table {
+	codes := make([]Code, 0, len(codeInfo))
+	for c := range codeInfo {
 		codes = append(codes, c)
 	}
 	sortCodes(codes)
@@ -167,53 +168,54 @@
 
 // String returns the code's name, or its number when it is not declared.
 func (c Code) String() string {
-	if i, ok := table[c]; ok {
+	if i, ok := codeInfo[c]; ok {
 		return i.name
 	}
 	return fmt.Sprintf("code_%d", int(c))
 }
 
-// Ran reports what the code says about the call's effect; an undeclared code
-// says RanUnknown, since it must never be taken for a promise.
+// Ran reports whether a call with this code took effect. An undeclared code returns RanUnknown,
+// because it guarantees nothing.
 func (c Code) Ran() Ran {
-	if i, ok := table[c]; ok {
+	if i, ok := codeInfo[c]; ok {
 		return i.ran
 	}
 	return RanUnknown
 }
 
-// HTTPStatus returns the status sent to a caller with this code.
+// HTTPStatus returns the HTTP status sent to a caller with this code; 500 for an undeclared
+// one.
 func (c Code) HTTPStatus() int {
-	if i, ok := table[c]; ok {
+	if i, ok := codeInfo[c]; ok {
 		return i.status
 	}
 	return 500
 }
 
-// Help returns one line for operators.
-func (c Code) Help() string { return table[c].help }
+// Help returns a one-line description for operators; empty for an undeclared code.
+func (c Code) Help() string { return codeInfo[c].help }
 
-// Refusal is the error carried through the node for every call without a whole
-// answer. It is immutable once made.
+// Refusal is the error of a call that ends without a complete response. It is immutable once
+// made.
 type Refusal struct {
 	Code Code
-	// Detail names the limit and the figure that decided.
+	// Detail states the reason, with the limit and the value that was compared with it.
 	Detail string
-	// RetryAfter is when the caller may usefully come back; 0 when unknown.
+	// RetryAfter is the delay after which a retry is useful; 0 when unknown.
 	RetryAfter time.Duration
-	// AllFull says that the sender knows of no upstream that would take it:
-	// trying another one is useless.
+	// AllFull means that the sender knows of no upstream that would accept the call; trying
+	// another one is useless.
 	AllFull bool
-	// Owner is the inner address to ask instead, with OwnedElsewhere.
+	// Owner is the inner address of the key's owner; set with OwnedElsewhere.
 	Owner string
 }
 
-// Refuse makes a refusal with a formatted detail.
+// Refuse returns a refusal with a formatted detail.
 func Refuse(code Code, format string, args ...any) *Refusal {
 	return &Refusal{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy of r with the time to come back.
+// After returns a copy of r with RetryAfter set to d.
 func (r *Refusal) After(d time.Duration) *Refusal {
 	c := *r
 	c.RetryAfter = d
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// The class of a code and what it promises about the effect go together: a
-// caller that reads 2xxx or 4xxx may send the request again without harm.
-func TestClassMatchesPromise(t *testing.T) {
+// Guards against a code of class 2xxx or 4xxx that does not guarantee `ran: no`. Callers send
+// such a request again, and it would run twice.
+func TestCodeClassMatchesRan(t *testing.T) {
 	for _, c := range Codes() {
 		switch int(c) / 1000 {
 		case 2, 4:
