--- a/internal/callctx/callctx.go
+++ b/internal/callctx/callctx.go
@@ -1,7 +1,6 @@
-// Package callctx holds the context that one call carries through a chain of
-// services: who asked, for what, until when, how important it is and how many
-// retries the whole tree may still make. It also decodes that context from
-// the headers of callers, which are hostile until checked.
+// Package callctx defines the context that a call carries through a chain of services: request
+// and call IDs, workspace, service, level, deadline and idempotency key. It also decodes that
+// context from the headers of callers, which are untrusted input.
 package callctx
 
 import (
@@ -20,7 +19,7 @@
 	LevelHigh
 	// LevelNormal is shed after low work.
 	LevelNormal
-	// LevelLow is shed first and stands in for every unknown name.
+	// LevelLow is shed first. Unknown level names are parsed as LevelLow.
 	LevelLow
 	// Levels is the number of levels.
 	Levels = 4
@@ -36,8 +35,8 @@
 	return levelNames[LevelLow]
 }
 
-// ParseLevel returns the level with that name. Every unknown name is LevelLow:
-// a caller must not gain by inventing one.
+// ParseLevel returns the level with that name. An unknown name returns LevelLow, so that a
+// caller gains nothing by inventing one.
 func ParseLevel(name string) Level {
 	for i, n := range levelNames {
 		if n == name {
@@ -47,48 +46,51 @@
 	return LevelLow
 }
 
-// Context is what a call carries. It is immutable once made; a child call gets
-// a new one from Child.
+// Context is the context of one call. It is immutable once made; a child call gets its own
+// copy.
 type Context struct {
 	// RequestID names the root request; every call of its tree carries it.
 	RequestID string
 	// CallID names this call. Attempts at other upstreams get new call IDs;
 	// a re-attachment to the same upstream incarnation keeps it.
 	CallID string
-	// ParentID is the call that made this one; empty at the root.
+	// ParentID is the ID of the call that made this one; empty at the root.
 	ParentID  string
 	Workspace string
 	Service   string
 	Level     Level
-	// Deadline is on the local clock; on the wire it is the time remaining.
+	// Deadline is a time on the local clock; on the wire it is sent as the time remaining.
 	Deadline time.Time
-	// RootAdmitted is when the root request entered, on the local clock.
+	// RootAdmitted is the time at which the root request entered the system, on the local
+	// clock.
 	RootAdmitted time.Time
-	// Depth is 0 at the root.
+	// Depth is the number of calls above this one in its tree; 0 at the root.
 	Depth int
-	// CallerHash spreads callers evenly so that shedding drops whole callers.
+	// CallerHash is the evenly distributed hash of the caller. Shedding compares it with a
+	// threshold, and so drops all calls of some callers instead of some calls of every caller.
 	CallerHash uint32
-	// Idempotent says that running the call twice does no harm.
+	// Idempotent means that the call is safe to run twice.
 	Idempotent bool
 	// Key is the caller's Idempotency-Key; empty when there is none.
 	Key string
-	// KeyIssued is when the key was made, zero when unknown.
+	// KeyIssued is the time at which the caller created the key; zero when unknown.
 	KeyIssued time.Time
-	// TraceParent is passed on as it came.
+	// TraceParent is the caller's Traceparent header, passed on unchanged.
 	TraceParent string
 }
 
-// NoWorkspace stands for the workspace of requests that come by routes without a known
-// one. No workspace may have this name.
+// NoWorkspace is the workspace of requests whose route has no known workspace. No workspace may
+// have this name.
 const NoWorkspace = "-"
 
-// Remaining is the time left at now; never negative.
+// Remaining returns the time left until the deadline; never negative.
 func (c *Context) Remaining(now time.Time) time.Duration {
 	return max(0, c.Deadline.Sub(now))
 }
 
-// HashCaller maps a caller's identity to the hash that shedding uses. Identities are often
-// counted: neighbours must not get neighbouring hashes, or they are shed in bursts.
+// HashCaller returns the hash of a caller by which calls are shed. Callers are often numbered
+// in sequence: if similar names got similar hashes, consecutive callers would be shed in
+// bursts.
 func HashCaller(workspace, caller string) uint32 {
 	var h xxhash.Digest
 	h.Reset()
--- a/internal/callctx/fuzz_test.go
+++ b/internal/callctx/fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// FuzzDecode gives hostile headers, as lines of a request: nothing that is
-// accepted lies outside its bounds, and a refusal accepts nothing.
+// FuzzDecode decodes arbitrary header lines. It guards against an accepted value outside its
+// limits, a refusal that still returns values, and a hop-by-hop header that is sent on.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		"Galena-Workspace: w\nGalena-Service: s\nGalena-Timeout: 800ms\nIdempotency-Key: k",
@@ -29,7 +29,7 @@
 	f.Fuzz(func(t *testing.T, lines string) {
 		mime, err := textproto.NewReader(bufio.NewReader(strings.NewReader(lines + "\n\n"))).ReadMIMEHeader()
 		if err != nil {
-			t.Skip("net/http refuses it")
+			t.Skip("net/http rejects the header")
 		}
 		h := http.Header(mime)
 		raw, refusal := Decode(h)
@@ -40,7 +40,7 @@
 		}
 		checkRaw(t, raw)
 		for name := range h {
-			must.False(t, strings.HasPrefix(name, headerPrefix) && len(h[name]) > 1 && known(name), must.Sprint(name))
+			must.False(t, strings.HasPrefix(name, headerPrefix) && len(h[name]) > 1 && isDecodedHeader(name), must.Sprint(name))
 		}
 		for name := range Forwardable(h) {
 			must.False(t, hopByHop[name] || strings.HasPrefix(name, headerPrefix), must.Sprint(name))
@@ -59,7 +59,7 @@
 	must.True(t, raw.Level < Levels)
 }
 
-func known(name string) bool {
+func isDecodedHeader(name string) bool {
 	switch name {
 	case HeaderWorkspace, HeaderService, HeaderPriority, HeaderTimeout, HeaderCaller, HeaderIssuedAt, HeaderIdempotent, HeaderContext:
 		return true
--- a/internal/callctx/headers.go
+++ b/internal/callctx/headers.go
@@ -9,7 +9,7 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// Headers that callers and upstreams use.
+// Headers of requests and responses that callers and upstreams use.
 const (
 	HeaderWorkspace = "Galena-Workspace"
 	HeaderService   = "Galena-Service"
@@ -17,36 +17,42 @@
 	HeaderTimeout   = "Galena-Timeout"
 	HeaderCaller    = "Galena-Caller"
 	HeaderIssuedAt  = "Galena-Issued-At"
-	// HeaderIdempotent set to "true" declares a call safe to run twice.
+	// HeaderIdempotent with the value "true" declares that a call is safe to run twice.
 	HeaderIdempotent = "Galena-Idempotent"
 	// HeaderContext is opaque to upstreams: they copy it from the request they
 	// run to the calls they make for it.
 	HeaderContext = "Galena-Context"
-	// HeaderRequestID names the root request on answers.
+	// HeaderRequestID carries the ID of the root request in responses.
 	HeaderRequestID = "Galena-Request-Id"
 	HeaderKey       = "Idempotency-Key"
 	HeaderTrace     = "Traceparent"
 	headerPrefix    = "Galena-"
 )
 
-// Bounds of what a caller may send.
+// Limits on what a caller may send.
 const (
+	// MaxNameLen bounds the length of a workspace, service or parent call name.
 	MaxNameLen = 64
-	// MaxRequestIDLen bounds the ID of a request. Upstreams name the calls that they
-	// make for one by adding to its ID: 17 bytes a level, and chains are 10 deep.
+	// MaxRequestIDLen bounds the length of a request ID. Upstreams derive the IDs of the calls
+	// that they make for a request by appending 17 bytes per level, and chains are 10 calls
+	// deep.
 	MaxRequestIDLen = 256
-	MaxKeyLen       = 200
-	MaxTraceLen     = 128
-	// MaxTimeout bounds a caller's own timeout before the template's.
+	// MaxKeyLen bounds the length of an idempotency key or caller name.
+	MaxKeyLen = 200
+	// MaxTraceLen bounds the length of a Traceparent header.
+	MaxTraceLen = 128
+	// MaxTimeout bounds the timeout that a caller may request. The template's bound applies as
+	// well.
 	MaxTimeout = 10 * time.Minute
 )
 
-// Raw is what a caller asked for, checked but not yet completed by a template.
+// Raw holds the decoded and validated headers of a caller, before the values of a template are
+// applied.
 type Raw struct {
 	Workspace, Service string
-	// Level is LevelLow when the header names no known level.
+	// Level is LevelLow when the header names an unknown level.
 	Level Level
-	// HasLevel says that the caller sent a level at all.
+	// HasLevel reports whether the caller sent a level.
 	HasLevel bool
 	// Timeout is 0 when the caller sent none.
 	Timeout     time.Duration
@@ -58,11 +64,11 @@
 	TraceParent string
 }
 
-// Decode reads the headers of a caller. It returns a refusal with
-// result.BadContext naming the header and its bound.
+// Decode parses the headers of a caller. An invalid header returns a refusal with
+// result.BadContext whose detail names the header and its limit.
 func Decode(h http.Header) (Raw, *result.Refusal) {
 	for _, name := range []string{HeaderIdempotent, HeaderPriority, HeaderTimeout, HeaderIssuedAt} {
-		if _, refusal := single(h, name); refusal != nil {
+		if _, refusal := singleValue(h, name); refusal != nil {
 			return Raw{}, refusal
 		}
 	}
@@ -81,7 +87,7 @@
 		{HeaderTrace, &raw.TraceParent, isPrintable, MaxTraceLen},
 	}
 	for _, f := range fields {
-		v, refusal := single(h, f.header)
+		v, refusal := singleValue(h, f.header)
 		if refusal != nil {
 			return Raw{}, refusal
 		}
@@ -89,7 +95,7 @@
 			return Raw{}, result.Refuse(result.BadContext, "header %s has %d bytes, bound %d", f.header, len(v), f.bound)
 		}
 		if v != "" && !f.check(v) {
-			return Raw{}, result.Refuse(result.BadContext, "header %s has characters outside its set", f.header)
+			return Raw{}, result.Refuse(result.BadContext, "header %s contains characters that are not allowed", f.header)
 		}
 		*f.into = v
 	}
@@ -134,9 +140,10 @@
 	return d, d > 0 && d <= MaxTimeout
 }
 
-// single refuses a header sent twice: two parties reading different ones of
-// the two values is how a key or workspace check is bypassed.
-func single(h http.Header, name string) (string, *result.Refusal) {
+// singleValue returns the value of the header, or "" when it is absent. A header sent more than
+// once is refused: two components could read different values, which would allow a key or
+// workspace check to be bypassed.
+func singleValue(h http.Header, name string) (string, *result.Refusal) {
 	values := h[name]
 	switch len(values) {
 	case 0:
@@ -147,10 +154,10 @@
 	return "", result.Refuse(result.BadContext, "header %s was sent %d times", name, len(values))
 }
 
-// ValidName reports whether s can name a workspace or a service in a header.
+// ValidName reports whether s is a valid name of a workspace or service in a header.
 func ValidName(s string) bool { return s != "" && len(s) <= MaxNameLen && isName(s) }
 
-// ValidRequestID reports whether s can name a request.
+// ValidRequestID reports whether s is a valid request ID.
 func ValidRequestID(s string) bool { return s != "" && len(s) <= MaxRequestIDLen && isName(s) }
 
 func isName(s string) bool {
@@ -173,15 +180,15 @@
 	return true
 }
 
-// hopByHop are the headers that concern one connection (RFC 9110, 7.6.1).
+// hopByHop lists the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// Forwardable copies the headers that go on to the next hop: neither those of
-// one connection nor those of this system, which are written anew.
+// Forwardable returns a copy of h with the headers that are sent on to the next hop. It omits
+// hop-by-hop headers and the headers of this system, which each sender sets itself.
 func Forwardable(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
