--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -10,26 +10,25 @@
 	"github.com/galenagrade/galenagrade/internal/retry"
 )
 
-// Routed is what a route and the caller's headers say of a request.
+// Routed holds what a route and the caller's headers specify for a request.
 type Routed struct {
-	// RequestID is the caller's name of the request; one that is no valid name
-	// is replaced.
+	// RequestID is the request ID sent by the caller; an invalid one is replaced.
 	RequestID string
 	Service   string
-	// Workspace is whose request it is; callctx.NoWorkspace when that is not known.
+	// Workspace is the workspace that the request belongs to; callctx.NoWorkspace when unknown.
 	Workspace string
 	Level     callctx.Level
-	// Timeout is how long the caller may be kept waiting.
+	// Timeout bounds how long the caller waits.
 	Timeout    time.Duration
 	Idempotent bool
-	// Retries is how many further upstreams may be tried.
+	// Retries is the number of other upstreams that may be tried.
 	Retries int
-	// Caller spreads callers for shedding.
+	// Caller identifies the caller. Its hash decides which callers are shed.
 	Caller string
 }
 
-// Accept makes the call of a request that a route matched, and the account that
-// pays its retries.
+// Accept builds the call of a request that matched a route, and the account from which its
+// retries are paid.
 func (n *Node) Accept(now time.Time, r Routed) (*Call, *retry.Account) {
 	id := n.NewID()
 	call := &Call{Routed: true, Ctx: callctx.Context{
@@ -51,10 +50,10 @@
 	return call, retry.NewAccount(r.Retries)
 }
 
-// ChildEnded tells the running call that made this one what its end says of the
-// services behind, and what it failed for: the answer of the whole tree carries both
-// to its entry, whose log line then names the deepest decision although that node's
-// own line was one too many for its bound.
+// ChildEnded records the end of a call at the running call that made it: from which rank on the
+// services behind it shed calls, and the cause of a failure. The response of the whole tree
+// carries both to the entry node. Its log line then names the deepest decision, even when the
+// node that took the decision dropped its own log line because of its rate limit.
 func (n *Node) ChildEnded(now time.Time, call *Call, a *Response) {
 	if call.Ctx.ParentID == "" {
 		return
@@ -68,8 +67,8 @@
 	n.guard.noteCause(call.Ctx.ParentID, n.causeOf(call, a))
 }
 
-// causeOf is what the failure of call comes down to: what its answer says of the calls
-// made for it, or that answer itself.
+// causeOf returns the root cause of a failed call: the cause that its response carries, or else
+// the response itself.
 func (n *Node) causeOf(call *Call, a *Response) *result.Cause {
 	if a.Cause != nil {
 		return a.Cause
@@ -77,10 +76,10 @@
 	return &result.Cause{Code: a.Code, Service: call.Ctx.Service, Node: cmp.Or(a.Upstream, n.ID())}
 }
 
-// AcceptChild makes the call of a request that the local upstream made while it
-// runs parent: the child is as important as its root, its time ends with its
-// parent's, and the allowance of the whole tree pays its retries. It returns
-// false when parent does not run here.
+// AcceptChild builds the call of a request that the local upstream makes while it runs parent.
+// The child has the level of its root, ends no later than its parent, and its retries are paid
+// from the allowance of the whole tree. AcceptChild returns false when parent does not run on
+// this node.
 func (n *Node) AcceptChild(now time.Time, r Routed, parent string) (*Call, *retry.Account, bool) {
 	running, account, ok := n.guard.parent(parent)
 	if !ok {
@@ -98,6 +97,6 @@
 		ctx.Deadline = running.Ctx.Deadline
 	}
 	call.IsRetry = running.IsRetry
-	call.HasPriorWork = n.guard.continues(parent)
+	call.HasPriorWork = n.guard.hasPriorWork(parent)
 	return call, account, true
 }
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -12,43 +12,42 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// Call is one attempt of a request on its way to a guard. It is immutable once
-// handed on.
+// Call is one attempt of a request, as it is sent to a guard. It is immutable once sent.
 type Call struct {
 	Ctx callctx.Context
-	// Method and Target (path and query) as the caller sent them.
+	// Method and Target (path and query) are those of the caller's request.
 	Method, Target string
-	// Host is the Host of the caller's request; empty leaves the upstream's
-	// address.
+	// Host is the Host header of the caller's request; when empty, the upstream's address is
+	// used.
 	Host string
-	// Routed says that a route matched the request, and no template.
+	// Routed means that the request was matched by a route and not by a template.
 	Routed bool
-	// IsRetry says that an earlier attempt may have reached an upstream, or that
-	// the call was made by a run that was itself a repeat.
+	// IsRetry means that an earlier attempt may have reached an upstream, or that the call was
+	// made by a run that was itself a retry.
 	IsRetry bool
-	// HasPriorWork says that calls were served already that the same root, or the run that
-	// makes this call, made before.
+	// HasPriorWork means that earlier calls of the same root, or of the run that makes this
+	// call, were already served.
 	HasPriorWork bool
-	// Header holds only what goes on to the upstream.
+	// Header holds only the headers that are sent on to the upstream.
 	Header   http.Header
 	Body     []byte
 	BodyHash uint64
-	// Allowance is the share of the retry allowance that travels along.
+	// Allowance is the share of the retry allowance that is sent with the call.
 	Allowance int
-	// CrashRecords are the records of upstreams that died running this request.
+	// CrashRecords are the records of upstreams that crashed while running this request.
 	CrashRecords []quarantine.CrashRecord
-	// Reattach says that an earlier sending of the same call ID got no answer.
+	// Reattach means that an earlier transmission of the same call ID got no response.
 	Reattach bool
-	// Sampled says that the call's events are kept, by sample or because it was
-	// refused or retried on the way.
+	// Sampled means that the call's events are recorded, because it was sampled, or was refused
+	// or retried on the way.
 	Sampled bool
 }
 
-// HashBody returns the hash by which two bodies under one key are compared.
+// HashBody returns the hash by which two bodies sent with the same key are compared.
 func HashBody(body []byte) uint64 { return xxhash.Sum64(body) }
 
-// Fingerprint identifies requests that would crash an upstream alike: same
-// service, method, path and body, whatever their caller, key or call ID.
+// Fingerprint identifies requests that are expected to crash an upstream in the same way: same
+// service, method, path and body, regardless of caller, key and call ID.
 func (c *Call) Fingerprint() quarantine.Fingerprint {
 	d := xxhash.New()
 	for _, part := range []string{c.Ctx.Service, c.Method, c.Target} {
@@ -63,15 +62,15 @@
 	return quarantine.Fingerprint(d.Sum64())
 }
 
-// Keyed reports whether the call runs at most once under its key.
+// Keyed reports whether the call must run at most once under its idempotency key.
 func (c *Call) Keyed() bool { return !c.Ctx.Idempotent && c.Ctx.Key != "" }
 
-// IdempotencyKey is the key under which a keyed call runs at most once.
+// IdempotencyKey returns the key under which a keyed call runs at most once.
 func (c *Call) IdempotencyKey() idempotency.Key {
 	return idempotency.Key{Workspace: c.Ctx.Workspace, Service: c.Ctx.Service, Key: c.Ctx.Key}
 }
 
-// Response is the end of one attempt: whole, or a refusal.
+// Response is the outcome of one attempt: a complete response or a refusal.
 type Response struct {
 	CallID string
 	Code   result.Code
@@ -79,35 +78,35 @@
 	Status int
 	Header http.Header
 	Body   []byte
-	// Refusal explains every answer that is not whole.
+	// Refusal is set when the response is not complete.
 	Refusal *result.Refusal
-	// ShedsFrom is the lowest rank from which on the services behind this one
-	// shed calls, as far as this call met them; routing.NoThreshold when they shed
-	// none.
+	// ShedsFrom is the lowest rank from which on the services behind this one shed calls, as
+	// far as this call reached them; routing.NoThreshold when they shed none.
 	ShedsFrom uint32
-	// ShedsBy names the service that sheds from there on; empty when none does.
+	// ShedsBy is the service that sheds from that rank on; empty when none does.
 	ShedsBy string
-	// Cause is what an answer that isn't good comes down to, where a call made for
-	// it failed; nil when none did.
+	// Cause is the root cause of a failed response when a call made for it failed; nil when
+	// none did.
 	Cause *result.Cause
-	// Unused is the part of the travelled allowance that comes home.
+	// Unused is the part of the call's allowance that was not spent and is returned to the
+	// sender.
 	Unused int
-	// Load is what the guard said about itself; nil when it said nothing.
+	// Load is the load report of the guard; nil when the response carried none.
 	Load *routing.LoadReport
-	// Upstream is the node that produced the answer; empty when none did.
+	// Upstream is the node that produced the response; empty when none did.
 	Upstream string
-	// Crashed is the incarnation of the upstream that died while it ran the
-	// call; 0 when none did.
+	// Crashed is the incarnation of the upstream that crashed while it ran the call; 0 when
+	// none did.
 	Crashed uint64
 }
 
-// Refused makes the answer of a call that ends without a whole one.
+// Refused returns the response of a call that ends with a refusal.
 func Refused(callID string, r *result.Refusal) *Response {
 	return &Response{CallID: callID, Code: r.Code, Refusal: r, ShedsFrom: routing.NoThreshold}
 }
 
-// Good reports whether the upstream's answer is no failure.
+// Good reports whether the upstream answered with success.
 func (a *Response) Good() bool { return a.Code == result.OK || a.Code == result.Replayed }
 
-// Whole reports whether the answer may be given to the caller as it is.
+// Whole reports whether the response is complete and may be passed to the caller unchanged.
 func (a *Response) Whole() bool { return a.Refusal == nil }
--- a/internal/node/concurrent_test.go
+++ b/internal/node/concurrent_test.go
@@ -18,19 +18,19 @@
 	"github.com/galenagrade/galenagrade/internal/retry"
 )
 
-// recorder is the history of a run and the ledger of its upstreams.
-type recorder struct {
+// historyRecorder records the runs of the upstreams and the responses to the callers.
+type historyRecorder struct {
 	mu sync.Mutex
 	h  history.History
 }
 
-func (r *recorder) ran(run history.Run) {
+func (r *historyRecorder) ran(run history.Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.h.Runs = append(r.h.Runs, run)
 }
 
-func (r *recorder) ended(send history.Send, retries int) {
+func (r *historyRecorder) ended(send history.Send, retries int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.h.Sends = append(r.h.Sends, send)
@@ -39,18 +39,19 @@
 
 const (
 	simAllowance = 2
-	// reattachAfter is when a silent sending is followed by a second one.
+	// reattachAfter is the delay after which an attempt without a response is transmitted
+	// again.
 	reattachAfter = 100 * time.Millisecond
 )
 
-// simGuard is a guard with an upstream that works, sheds, fails and dies. It
-// implements Runner and Authority.
+// simGuard is a guard with an upstream that responds, sheds, fails and crashes. It implements
+// Runner and Authority.
 type simGuard struct {
 	name string
-	// claims says that ownership of a key is settled by a claim of each.
+	// claims means that the ownership of each key is decided by a claim.
 	claims bool
 	g      *Guard
-	rec    *recorder
+	rec    *historyRecorder
 
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -62,7 +63,7 @@
 	return s.rng.IntN(n)
 }
 
-// ownedElsewhere keeps a key at its one owner, as the log does.
+// ownedElsewhere refuses a key that another guard owns, as the log does.
 func (s *simGuard) ownedElsewhere(call *Call) *result.Refusal {
 	owner := ownerOf(call)
 	if owner == s.name {
@@ -84,7 +85,7 @@
 		time.Sleep(time.Duration(s.draw(30)) * time.Millisecond)
 		refusal := s.ownedElsewhere(call)
 		if refusal == nil && s.draw(5) == 0 {
-			refusal = result.Refuse(result.NoAuthority, "the log is out")
+			refusal = result.Refuse(result.NoAuthority, "the log is unavailable")
 		}
 		s.g.Claimed(time.Now(), call.Ctx.CallID, refusal)
 	}()
@@ -101,14 +102,14 @@
 		s.rec.ran(history.Run{Upstream: s.name, Service: "s", Path: "/", Request: request, Attempt: call.Ctx.RequestID, Key: call.Ctx.Key})
 		time.Sleep(time.Duration(1+s.draw(60)) * time.Millisecond)
 		if s.draw(25) == 0 {
-			s.die(call)
+			s.crash(call)
 			return
 		}
-		s.g.Finish(time.Now(), id, wholeAnswerOf(call, request))
+		s.g.Finish(time.Now(), id, wholeResponseOf(call, request))
 	}()
 }
 
-func (s *simGuard) die(call *Call) {
+func (s *simGuard) crash(call *Call) {
 	incarnation, _, _ := s.g.UpstreamDown(time.Now(), s.name)
 	a := refusedWith(call, result.LostAnswer)
 	a.Crashed = incarnation
@@ -117,7 +118,7 @@
 	s.g.UpstreamUp(time.Now(), limits(2))
 }
 
-// simRouter is safe for concurrent use; each key has one owner.
+// simRouter is safe for concurrent use. Each key has one owner.
 type simRouter struct {
 	*fakeRouter
 	mu sync.Mutex
@@ -133,31 +134,31 @@
 
 func ownerOf(call *Call) string { return fmt.Sprintf("n%d", HashBody([]byte(call.Ctx.Key))%3) }
 
-// sim is three guards and what carries calls to them.
+// sim is a system of three guards and the transport between callers and guards.
 type sim struct {
 	router *simRouter
 	guards map[string]*simGuard
-	rec    *recorder
+	rec    *historyRecorder
 }
 
 func newSim(seed uint64) *sim {
-	s := &sim{router: &simRouter{fakeRouter: newFakeRouter(3, time.Now())}, guards: map[string]*simGuard{}, rec: &recorder{}}
+	s := &sim{router: &simRouter{fakeRouter: newFakeRouter(3, time.Now())}, guards: map[string]*simGuard{}, rec: &historyRecorder{}}
 	for i := range uint64(3) {
 		g := &simGuard{name: fmt.Sprintf("n%d", i), claims: seed%2 == 0, rec: s.rec, rng: rand.New(rand.NewPCG(seed, i))}
 		g.g = NewGuard(DefaultGuardConfig(), i+1, g, g, time.Now())
-		g.g.onSuspects = func([]quarantine.CrashRecord) {}
+		g.g.onCrashRecords = func([]quarantine.CrashRecord) {}
 		g.g.UpstreamUp(time.Now(), limits(2))
 		s.guards[g.name] = g
 	}
 	return s
 }
 
-// serve is one sending at a guard.
+// serve sends a call to a guard once and returns its response.
 func (s *sim) serve(ctx context.Context, g *Guard, call *Call) *Response {
 	got := make(chan *Response, 1)
-	token, answer := g.Arrive(time.Now(), call, func(a *Response) { got <- a })
-	if answer != nil {
-		return answer
+	token, response := g.Arrive(time.Now(), call, func(a *Response) { got <- a })
+	if response != nil {
+		return response
 	}
 	select {
 	case a := <-got:
@@ -173,26 +174,26 @@
 	}
 }
 
-// carry takes an attempt to its guard. One in five meets a connection that
-// goes silent before or after the guard got it: the request arrives late or
-// its answer never, and a second sending follows.
-func (s *sim) carry(ctx context.Context, rng *rand.Rand, node string, call *Call) *Response {
+// transmit sends an attempt to its guard. One in five uses a connection that becomes
+// unresponsive before or after the guard received the call: the call arrives late or its
+// response never does, and a second transmission follows.
+func (s *sim) transmit(ctx context.Context, rng *rand.Rand, node string, call *Call) *Response {
 	g := s.guards[node].g
 	if rng.IntN(5) > 0 {
 		return s.serve(ctx, g, call)
 	}
-	late := time.Duration(rng.IntN(2)*rng.IntN(900)) * time.Millisecond
+	delay := time.Duration(rng.IntN(2)*rng.IntN(900)) * time.Millisecond
 	go func() {
-		time.Sleep(late)
+		time.Sleep(delay)
 		s.serve(context.Background(), g, call)
 	}()
 	time.Sleep(reattachAfter)
 	if ctx.Err() != nil {
 		return refusedWith(call, result.LostAnswer)
 	}
-	again := *call
-	again.Reattach = true
-	return s.serve(ctx, g, &again)
+	resend := *call
+	resend.Reattach = true
+	return s.serve(ctx, g, &resend)
 }
 
 func (s *sim) send(rng *rand.Rand, request string, number int) *Response {
@@ -209,13 +210,13 @@
 	}
 	d := NewDispatch(s.router, rng, call, retry.NewAccount(simAllowance))
 	for {
-		switch order := d.Next(time.Now()); order.Kind {
+		switch action := d.Next(time.Now()); action.Kind {
 		case ActionPause:
-			time.Sleep(order.Pause)
+			time.Sleep(action.Pause)
 		case ActionSend:
-			d.Observe(time.Now(), s.carry(ctx, rng, order.Target.Endpoint().Node, order.Attempt))
+			d.Observe(time.Now(), s.transmit(ctx, rng, action.Target.Endpoint().Node, action.Attempt))
 		case ActionDone:
-			a := order.Response
+			a := action.Response
 			s.rec.ended(history.Send{
 				Request: request, Attempt: call.Ctx.RequestID, Service: "s", Code: a.Code,
 				Success: a.Whole(), Whole: a.Whole(), AnswerTo: string(a.Body), AnswerFrom: "s",
@@ -225,8 +226,7 @@
 	}
 }
 
-// caller sends one request up to four times, at times before the last sending
-// has ended everywhere.
+// caller sends one request up to four times. An earlier transmission may still be in progress.
 func (s *sim) caller(rng *rand.Rand, request string) {
 	time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
 	for i := range 4 {
@@ -237,7 +237,7 @@
 	}
 }
 
-// tick drives the guards' waits until the callers have ended.
+// tick ticks the guards until the callers have ended.
 func (s *sim) tick(done <-chan struct{}) {
 	for {
 		select {
@@ -251,7 +251,8 @@
 	}
 }
 
-// Guards against a promise broken, or a slot lost, among concurrent calls under faults.
+// Guards against a broken at-most-once guarantee, or a leaked slot, when concurrent calls meet
+// faults.
 func TestHistoriesOfConcurrentCalls(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -13,19 +13,19 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// ActionKind says what the holder of a Dispatch does next.
+// ActionKind is the next action for the caller of a Dispatch.
 type ActionKind int
 
 const (
-	// ActionSend: send Attempt to Target and report with Observe.
+	// ActionSend means: send Attempt to Target and report its response with Observe.
 	ActionSend ActionKind = iota
-	// ActionPause: wait, then ask Next again.
+	// ActionPause means: wait for Pause, then call Next again.
 	ActionPause
-	// ActionDone: give Answer to the caller.
+	// ActionDone means: return Response to the caller.
 	ActionDone
 )
 
-// Action is one instruction of a Dispatch.
+// Action is the next action, as returned by Next.
 type Action struct {
 	Kind     ActionKind
 	Target   *routing.Target
@@ -34,29 +34,29 @@
 	Response *Response
 }
 
-// Router is what a Dispatch needs of its node.
+// Router gives a Dispatch access to the state of its node.
 type Router interface {
 	// Table returns the routing table in force.
 	Table() *routing.Table
 	// Owner returns the node that owns the call's key; empty when any may run it.
 	Owner(call *Call) string
-	// At returns the node of a service at an inner address; empty when unknown.
-	At(service, addr string) string
+	// NodeAt returns the node of the service at an inner address; empty when unknown.
+	NodeAt(service, addr string) string
 	// Throttle returns the retry throttle of a destination service.
 	Throttle(service string) *retry.Throttle
 	// RetryPolicy returns the backoff in force.
 	RetryPolicy() retry.Policy
-	// CrashRecords returns the records against the call's request, if any.
+	// CrashRecords returns the crash records of the call's request, if any.
 	CrashRecords(now time.Time, call *Call) []quarantine.CrashRecord
-	// ReportCrash records that an upstream died while it ran the call.
+	// ReportCrash records that an upstream crashed while it ran the call.
 	ReportCrash(now time.Time, call *Call, a *Response)
 	// NewID returns a fresh call ID.
 	NewID() string
 }
 
-// Dispatch takes one call from its entry or exit node to an answer: it chooses
-// upstreams, classifies what comes back and spends the chain's allowance. It
-// does no I/O. Not safe for concurrent use.
+// Dispatch takes one call from its entry or exit node to a response: it chooses upstreams,
+// classifies their responses and spends the retry allowance of the call chain. It does no I/O.
+// Not safe for concurrent use.
 type Dispatch struct {
 	router  Router
 	rng     *rand.Rand
@@ -64,42 +64,43 @@
 	account *retry.Account
 
 	tried     []string
-	next      string // node to ask, when an answer named the owner
+	ownerNode string // owner of the key, as named by the last response
 	redirects int
-	// unproven is the first attempt that may have run, if there was one.
-	unproven *Response
+	// maybeRan is the response of the first attempt that may have run; nil when there is none.
+	maybeRan *Response
 	attempts int
 	retries  int
-	// reroutes counts attempts that did not reach an upstream and cost nothing.
-	reroutes int
-	marks    []quarantine.CrashRecord
-	held     bool // paused once until a suspect may run
-	pause    time.Duration
-	final    *Response
-	target   *routing.Target
-	share    *retry.Share
-	sent     time.Time
-	// watch is where decisions are recorded; nil where the router is no Node.
-	watch *Node
-	begun time.Time
-	// arrived says that an attempt may have reached an upstream.
-	arrived bool
-	// away is the time that attempts took.
-	away time.Duration
+	// reroutes counts the attempts that did not reach an upstream and were sent elsewhere
+	// without cost.
+	reroutes         int
+	crashRecords     []quarantine.CrashRecord
+	waitedForSuspect bool // paused once until the suspected request may run
+	pause            time.Duration
+	final            *Response
+	target           *routing.Target
+	share            *retry.Share
+	sentAt           time.Time
+	// node records the decisions; nil when the router is not a Node.
+	node      *Node
+	startedAt time.Time
+	// mayHaveArrived means that an attempt may have reached an upstream.
+	mayHaveArrived bool
+	// attemptTime is the total time that attempts took.
+	attemptTime time.Duration
 }
 
-// NewDispatch starts a call whose retries are paid from account.
+// NewDispatch returns the dispatch of a call whose retries are paid from account.
 func NewDispatch(router Router, rng *rand.Rand, call *Call, account *retry.Account) *Dispatch {
-	watch, _ := router.(*Node)
-	return &Dispatch{router: router, rng: rng, call: call, account: account, watch: watch}
+	n, _ := router.(*Node)
+	return &Dispatch{router: router, rng: rng, call: call, account: account, node: n}
 }
 
-// Next returns the next order.
+// Next returns the next action.
 func (d *Dispatch) Next(now time.Time) Action {
-	if d.begun.IsZero() {
-		d.begun = now
-		if d.watch != nil {
-			d.watch.began(now, d.call, d.account.Balance())
+	if d.startedAt.IsZero() {
+		d.startedAt = now
+		if d.node != nil {
+			d.node.recordReceived(now, d.call, d.account.Balance())
 		}
 	}
 	if d.final != nil {
@@ -111,7 +112,7 @@
 		return Action{Kind: ActionPause, Pause: pause}
 	}
 	if d.call.Ctx.Remaining(now) <= 0 {
-		d.settle(Refused(d.call.Ctx.CallID, result.Refuse(result.DeadlineTooNear, "no time left before an upstream was chosen")))
+		d.settle(Refused(d.call.Ctx.CallID, result.Refuse(result.DeadlineTooNear, "the deadline passed before an upstream was chosen")))
 		return Action{Kind: ActionDone, Response: d.final}
 	}
 	target, refusal := d.pick(now)
@@ -122,27 +123,27 @@
 	return d.send(now, target)
 }
 
-// settle ends the call with a, unless an earlier attempt may have run: a
-// refusal that promises "not run" would then be false, and the caller gets the
-// earlier outcome.
+// settle ends the call with a, unless an earlier attempt may have run. A refusal that
+// guarantees "not run" would then be false, and the caller gets the response of the earlier
+// attempt.
 func (d *Dispatch) settle(a *Response) {
-	last := retry.Attempt{Code: a.Code, MayHaveRun: d.unproven != nil}
+	last := retry.Attempt{Code: a.Code, MayHaveRun: d.maybeRan != nil}
 	if retry.FinalCode(last) != a.Code {
-		a = d.unproven
+		a = d.maybeRan
 	}
 	d.final = a
 }
 
-// Leave ends a call whose caller left while no attempt was out. Without it the
-// next one would still be sent, and one that is not idempotent would run to its
-// end for nobody.
+// Leave ends a call whose caller left between two attempts. Otherwise the next attempt would
+// still be sent, and a call that is not idempotent would run to its end without a receiver.
 func (d *Dispatch) Leave() {
 	if d.final == nil {
 		d.settle(Refused(d.call.Ctx.CallID, result.Refuse(result.Cancelled, "the caller left before the next attempt")))
 	}
 }
 
-// rank is what upstreams shed the call by. Further calls of a tree are not shed.
+// rank returns the rank by which upstreams shed the call. It is 0 for calls of a tree with
+// prior work, which are not shed.
 func (d *Dispatch) rank() uint32 {
 	if d.call.HasPriorWork {
 		return 0
@@ -156,29 +157,29 @@
 		Rank:         d.rank(),
 		Avoid:        d.tried,
 		HasPriorWork: d.call.Ctx.Depth > 0,
-		Node:         d.next,
+		Node:         d.ownerNode,
 	}
-	d.marks = d.router.CrashRecords(now, d.call)
+	d.crashRecords = d.router.CrashRecords(now, d.call)
 	switch {
 	case info.Node != "":
 	case d.call.Keyed():
 		info.Node = d.router.Owner(d.call)
-	case len(d.marks) > 0:
+	case len(d.crashRecords) > 0:
 		info.SuspectedCrasher = true
-		info.Node = d.home()
+		info.Node = d.suspectNode()
 	}
 	target, refusal := d.router.Table().Pick(now, d.rng, info)
 	if refusal != nil && info.Node != "" {
-		// The owner is leaving or gone: any other guard knows the next one.
+		// The owner is unavailable. Any other guard can name the next owner.
 		info.Node = ""
 		return d.router.Table().Pick(now, d.rng, info)
 	}
 	return target, refusal
 }
 
-// home names the one guard where a suspect may run, so that two guards don't
-// lose their upstreams to it at the same time.
-func (d *Dispatch) home() string {
+// suspectNode returns the single node on which a suspected crasher may run, so that it does not
+// crash the upstreams of two nodes at the same time.
+func (d *Dispatch) suspectNode() string {
 	var candidates []string
 	for _, t := range d.router.Table().Targets(d.call.Ctx.Service) {
 		node := t.Endpoint().Node
@@ -194,27 +195,27 @@
 	attempt.Ctx.CallID = d.router.NewID()
 	d.share = d.account.Lend()
 	attempt.Allowance = d.share.Amount()
-	attempt.CrashRecords = d.marks
-	attempt.IsRetry = d.call.IsRetry || d.arrived
+	attempt.CrashRecords = d.crashRecords
+	attempt.IsRetry = d.call.IsRetry || d.mayHaveArrived
 	d.attempts++
 	d.target = target
-	d.sent = now
-	d.next = ""
+	d.sentAt = now
+	d.ownerNode = ""
 	target.Start(now)
-	if d.watch != nil {
-		d.watch.routed(now, d, &attempt)
+	if d.node != nil {
+		d.node.recordRouted(now, d, &attempt)
 	}
 	return Action{Kind: ActionSend, Target: target, Attempt: &attempt}
 }
 
-// Observe takes the end of the attempt last sent.
+// Observe processes the response of the attempt last sent.
 func (d *Dispatch) Observe(now time.Time, a *Response) {
 	d.share.Return(a.Unused)
-	wasOut := d.target.Ejected()
-	d.target.Done(now, routedOutcome(a), now.Sub(d.sent), a.Load)
-	d.away += now.Sub(d.sent)
-	if d.watch != nil {
-		d.watch.moved(now, d, wasOut)
+	wasEjected := d.target.Ejected()
+	d.target.Done(now, routingOutcome(a), now.Sub(d.sentAt), a.Load)
+	d.attemptTime += now.Sub(d.sentAt)
+	if d.node != nil {
+		d.node.recordEjection(now, d, wasEjected)
 	}
 	throttle := d.router.Throttle(d.call.Ctx.Service)
 	if a.Whole() {
@@ -222,7 +223,7 @@
 		d.final = a
 		return
 	}
-	d.arrived = d.arrived || !neverArrived(a.Code)
+	d.mayHaveArrived = d.mayHaveArrived || !didNotReachUpstream(a.Code)
 	if countsAgainstThrottle(a.Code) {
 		throttle.Failure()
 	}
@@ -230,14 +231,14 @@
 		a.Upstream = d.target.Endpoint().Node
 		d.router.ReportCrash(now, d.call, a)
 	}
-	if a.Code.Ran() != result.RanNo && d.unproven == nil {
-		d.unproven = a
+	if a.Code.Ran() != result.RanNo && d.maybeRan == nil {
+		d.maybeRan = a
 	}
 	d.decide(now, a, throttle)
 }
 
 func (d *Dispatch) decide(now time.Time, a *Response, throttle *retry.Throttle) {
-	if d.hold(now, a) {
+	if d.waitForSuspect(now, a) {
 		return
 	}
 	action, wait := retry.Decide(retry.Attempt{
@@ -246,7 +247,7 @@
 		Idempotent: d.call.Ctx.Idempotent,
 		Remaining:  d.call.Ctx.Remaining(now),
 		Owner:      a.Refusal.Owner,
-		MayHaveRun: d.unproven != nil && d.unproven != a,
+		MayHaveRun: d.maybeRan != nil && d.maybeRan != a,
 		Number:     d.retries,
 		OwnerAsked: d.redirects,
 		Rand:       d.rng,
@@ -254,17 +255,17 @@
 	switch {
 	case action == retry.AskOwner:
 		d.redirects++
-		d.next = d.router.At(d.call.Ctx.Service, a.Refusal.Owner)
+		d.ownerNode = d.router.NodeAt(d.call.Ctx.Service, a.Refusal.Owner)
 		d.pause = wait
 	case action == retry.RetryOtherNode && d.reroute(a):
 		d.tried = append(d.tried, d.target.Endpoint().Node)
 		d.pause = wait
-	case action == retry.RetryOtherNode && !d.mayPass(throttle):
+	case action == retry.RetryOtherNode && !d.throttleAllows(throttle):
 		d.settle(a)
 	case action == retry.RetryOtherNode && d.account.Spend():
 		d.retries++
-		if d.watch != nil {
-			d.watch.retried(now, d, a, wait)
+		if d.node != nil {
+			d.node.recordRetried(now, d, a, wait)
 		}
 		d.tried = append(d.tried, d.target.Endpoint().Node)
 		d.pause = wait
@@ -273,20 +274,19 @@
 	}
 }
 
-// reroute reports whether the call may go elsewhere without cost: it did not
-// reach an upstream, so it adds no load to any, and a node that learns late that
-// an upstream left must not use up what a caller has for real failures.
+// reroute reports whether the call may be sent to another node without spending its allowance.
+// The attempt did not reach an upstream and added no load to any. A node that still routes to
+// an upstream that has left would otherwise use up the allowance meant for real failures.
 func (d *Dispatch) reroute(a *Response) bool {
-	if d.watch == nil || d.reroutes >= d.watch.cfg.Reroutes || !neverArrived(a.Code) {
+	if d.node == nil || d.reroutes >= d.node.cfg.Reroutes || !didNotReachUpstream(a.Code) {
 		return false
 	}
 	d.reroutes++
 	return true
 }
 
-// neverArrived reports whether an attempt with this end did not reach an
-// upstream.
-func neverArrived(c result.Code) bool {
+// didNotReachUpstream reports whether an attempt with this result did not reach an upstream.
+func didNotReachUpstream(c result.Code) bool {
 	switch c {
 	case result.Shed, result.QueueExpired, result.Draining, result.NoUpstream, result.Unreachable, result.Starting:
 		return true
@@ -294,38 +294,41 @@
 	return false
 }
 
-// mayPass asks the destination's throttle and counts its refusals.
-func (d *Dispatch) mayPass(throttle *retry.Throttle) bool {
+// throttleAllows reports whether the retry throttle of the destination allows a retry, and
+// counts the retries that it rejects.
+func (d *Dispatch) throttleAllows(throttle *retry.Throttle) bool {
 	if throttle.Allow() {
 		return true
 	}
-	if d.watch != nil {
-		d.watch.cfg.Metrics.Inc(metrics.RetriesThrottled, 1)
+	if d.node != nil {
+		d.node.cfg.Metrics.Inc(metrics.RetriesThrottled, 1)
 	}
 	return false
 }
 
-// hold waits, once, until a request that was in flight at a crash may run
-// alone: word of other crashes needs a moment to arrive.
-func (d *Dispatch) hold(now time.Time, a *Response) bool {
+// waitForSuspect pauses the call once when its request was running at a crash, until the
+// request may run alone. The records of other crashes take a moment to arrive from the peers.
+// It reports whether the call is paused.
+func (d *Dispatch) waitForSuspect(now time.Time, a *Response) bool {
 	wait := a.Refusal.RetryAfter
-	inFlight := d.unproven != nil && d.unproven.Crashed != 0
-	if a.Code != result.Quarantined || !inFlight || d.held || wait <= 0 {
+	inFlight := d.maybeRan != nil && d.maybeRan.Crashed != 0
+	if a.Code != result.Quarantined || !inFlight || d.waitedForSuspect || wait <= 0 {
 		return false
 	}
 	if d.call.Ctx.Remaining(now) < 2*wait || !d.account.Spend() {
 		return false
 	}
-	d.held = true
+	d.waitedForSuspect = true
 	d.retries++
 	d.pause = wait
-	if d.watch != nil {
-		d.watch.retried(now, d, a, wait)
+	if d.node != nil {
+		d.node.recordRetried(now, d, a, wait)
 	}
 	return true
 }
 
-// countsAgainstThrottle leaves out what says nothing about the destination.
+// countsAgainstThrottle reports whether a result counts as a failure of the destination for the
+// retry throttle. Results that are unrelated to the destination do not count.
 func countsAgainstThrottle(c result.Code) bool {
 	switch c {
 	case result.OwnedElsewhere, result.Cancelled, result.CancelledRunning, result.KeyReused, result.Quarantined:
@@ -334,12 +337,12 @@
 	return true
 }
 
-func routedOutcome(a *Response) routing.Outcome {
+func routingOutcome(a *Response) routing.Outcome {
 	switch {
 	case a.Whole():
 		return routing.Answered
 	case a.Code == result.Unreachable, a.Code == result.NoUpstream:
-		// A node without its upstream is no better than one that isn't there.
+		// A node without an upstream is treated like an unreachable node.
 		return routing.Unreachable
 	case a.Code == result.Cancelled, a.Code == result.CancelledRunning:
 		return routing.Cancelled
--- a/internal/node/dispatch_property_test.go
+++ b/internal/node/dispatch_property_test.go
@@ -15,7 +15,7 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// fakeRouter knows some upstreams of one service.
+// fakeRouter routes to some upstreams of one service.
 type fakeRouter struct {
 	table    *routing.Table
 	throttle *retry.Throttle
@@ -38,30 +38,30 @@
 func (r *fakeRouter) RetryPolicy() retry.Policy                              { return retry.DefaultPolicy() }
 func (r *fakeRouter) CrashRecords(time.Time, *Call) []quarantine.CrashRecord { return nil }
 func (r *fakeRouter) ReportCrash(_ time.Time, _ *Call, _ *Response)          {}
-func (r *fakeRouter) At(_, addr string) string                               { return addr[len("addr-"):] }
+func (r *fakeRouter) NodeAt(_, addr string) string                           { return addr[len("addr-"):] }
 func (r *fakeRouter) NewID() string                                          { r.ids++; return fmt.Sprintf("id%d", r.ids) }
 
-// sentAttempt is one attempt with its answer.
+// sentAttempt is one attempt and the outcome of its response.
 type sentAttempt struct {
 	id, node string
 	ran      result.Ran
 	whole    bool
 }
 
-// anyAnswer draws how an attempt ends, with a claim of unused allowance that
-// may be a lie.
-func anyAnswer(t *rapid.T, order Action) *Response {
+// drawResponse draws the response of an attempt. The unused allowance that it reports may be
+// false.
+func drawResponse(t *rapid.T, action Action) *Response {
 	code := rapid.SampledFrom([]result.Code{
 		result.OK, result.UpstreamFailed, result.Shed, result.QueueExpired, result.UpstreamShed, result.Draining,
 		result.Unreachable, result.LostAnswer, result.AnswerCut, result.AnswerMismatch, result.OwnedElsewhere,
 		result.Quarantined, result.OutcomeUnknown, result.NoAuthority, result.DeadlinePassed, result.CancelledRunning,
 	}).Draw(t, "code")
 	if code == result.OK || code == result.UpstreamFailed && rapid.Bool().Draw(t, "whole") {
-		a := wholeAnswerOf(order.Attempt, "x")
+		a := wholeResponseOf(action.Attempt, "x")
 		a.Code = code
 		return a
 	}
-	a := refusedWith(order.Attempt, code)
+	a := refusedWith(action.Attempt, code)
 	a.Refusal.Owner = "addr-n1"
 	a.Refusal.AllFull = rapid.IntRange(0, 4).Draw(t, "all full") == 0
 	a.Refusal.RetryAfter = 50 * time.Millisecond
@@ -72,7 +72,8 @@
 	return a
 }
 
-// Guards against retries beyond the allowance, or a false `ran: no`, for any sequence of answers.
+// Guards against retries beyond the allowance, or a false `ran: no`, for any sequence of
+// responses.
 func TestDispatchProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		router := newFakeRouter(rapid.IntRange(1, 5).Draw(t, "upstreams"), epoch)
@@ -84,18 +85,18 @@
 		now, final, attempts := epoch, (*Response)(nil), []sentAttempt(nil)
 		bound := 1 + allowance + retry.DefaultPolicy().MaxOwnerAsks
 		for final == nil {
-			switch order := d.Next(now); order.Kind {
+			switch action := d.Next(now); action.Kind {
 			case ActionDone:
-				final = order.Response
+				final = action.Response
 			case ActionPause:
-				now = now.Add(order.Pause)
+				now = now.Add(action.Pause)
 			case ActionSend:
-				if lent := order.Attempt.Allowance; lent > allowance {
+				if lent := action.Attempt.Allowance; lent > allowance {
 					t.Fatalf("lent %d of %d", lent, allowance)
 				}
 				now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "took")) * time.Millisecond)
-				a := anyAnswer(t, order)
-				attempts = append(attempts, sentAttempt{order.Attempt.Ctx.CallID, order.Target.Endpoint().Node, a.Code.Ran(), a.Whole()})
+				a := drawResponse(t, action)
+				attempts = append(attempts, sentAttempt{action.Attempt.Ctx.CallID, action.Target.Endpoint().Node, a.Code.Ran(), a.Whole()})
 				d.Observe(now, a)
 			}
 			if len(attempts) > bound {
@@ -114,7 +115,7 @@
 	mayHaveRun := 0
 	for _, a := range attempts {
 		if ids[a.id] {
-			t.Fatalf("call ID %s was sent twice", a.id)
+			t.Fatalf("call ID %s was used by 2 attempts", a.id)
 		}
 		ids[a.id] = true
 		if a.ran != result.RanNo {
@@ -122,34 +123,34 @@
 		}
 	}
 	if !final.Whole() && final.Code.Ran() == result.RanNo && mayHaveRun > 0 {
-		t.Fatalf("%d attempts may have run, the caller is told %d %s", mayHaveRun, int(final.Code), final.Code)
+		t.Fatalf("%d attempts may have run, the caller gets %d %s", mayHaveRun, int(final.Code), final.Code)
 	}
 	if !d.call.Ctx.Idempotent && mayHaveRun > 1 {
 		t.Fatalf("%d attempts of a call that is not idempotent may have run", mayHaveRun)
 	}
 	if final.Whole() && !attempts[len(attempts)-1].whole {
-		t.Fatalf("a whole answer that no attempt brought")
+		t.Fatalf("the final response is complete, the response of the last attempt is not")
 	}
 }
 
-// Guards against a refusal of the second attempt hiding that the first one ran.
-func TestRefusalAfterALostAnswerIsNotNo(t *testing.T) {
+// Guards against a refusal of the second attempt hiding that the first one may have run.
+func TestRefusalAfterLostAnswerReturnsLostAnswer(t *testing.T) {
 	call := newCall("root", epoch.Add(time.Minute))
 	call.Ctx.Idempotent = true
 	d := NewDispatch(newFakeRouter(3, epoch), rand.New(rand.NewPCG(1, 1)), call, retry.NewAccount(2))
 	now := epoch
 	for _, code := range []result.Code{result.LostAnswer, result.Shed, result.Shed} {
-		order := d.Next(now)
-		for order.Kind == ActionPause {
-			now = now.Add(order.Pause)
-			order = d.Next(now)
+		action := d.Next(now)
+		for action.Kind == ActionPause {
+			now = now.Add(action.Pause)
+			action = d.Next(now)
 		}
-		must.EqOp(t, ActionSend, order.Kind)
-		a := refusedWith(order.Attempt, code)
-		a.Unused = order.Attempt.Allowance
+		must.EqOp(t, ActionSend, action.Kind)
+		a := refusedWith(action.Attempt, code)
+		a.Unused = action.Attempt.Allowance
 		d.Observe(now, a)
 	}
-	order := d.Next(now)
-	must.EqOp(t, ActionDone, order.Kind)
-	must.EqOp(t, result.LostAnswer, order.Response.Code)
+	action := d.Next(now)
+	must.EqOp(t, ActionDone, action.Kind)
+	must.EqOp(t, result.LostAnswer, action.Response.Code)
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -9,7 +9,7 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// Event puts an event on the node's time line.
+// Event adds an event to the node's timeline.
 func (n *Node) Event(now time.Time, e timeline.Event) {
 	if n.cfg.Ring == nil {
 		return
@@ -30,17 +30,17 @@
 	}
 }
 
-// Answered records how a call ended at its entry or exit node. Good calls are
-// sampled, so that they cost next to nothing.
+// Answered records the end of a call at its entry or exit node. Successful calls are only
+// recorded when sampled, so that they cost almost nothing.
 func (n *Node) Answered(call *Call, a *Response, d *Dispatch) {
 	if n.cfg.Observer != nil {
 		n.cfg.Observer.CallEnded(call.Ctx.RequestID, d.retries)
 	}
 	now := n.Now()
-	total := now.Sub(d.begun)
+	total := now.Sub(d.startedAt)
 	n.cfg.Metrics.Result(a.Code)
 	n.cfg.Metrics.Observe(metrics.CallTime, total)
-	n.cfg.Metrics.Observe(metrics.AddedTime, total-d.away)
+	n.cfg.Metrics.Observe(metrics.AddedTime, total-d.attemptTime)
 	if !a.Whole() && n.cfg.OnRefused != nil {
 		n.cfg.OnRefused(call, a.Refusal)
 	}
@@ -65,11 +65,11 @@
 	n.Event(now, e)
 }
 
-// Reattached records that an attempt was sent again over a fresh connection.
+// Reattached records that an attempt was sent again on a new connection.
 func (n *Node) Reattached(call *Call, upstream string, a *Response) {
 	n.cfg.Metrics.Inc(metrics.CallsReattached, 1)
 	n.cfg.Metrics.Inc(metrics.ConnectionsReplaced, 1)
-	n.Event(n.Now(), timeline.Event{Kind: timeline.ConnReplaced, Upstream: upstream, Detail: "no answer over the kept connection while a fresh one works"})
+	n.Event(n.Now(), timeline.Event{Kind: timeline.ConnReplaced, Upstream: upstream, Detail: "no response on the reused connection; a new connection works"})
 	e := callEvent(timeline.CallReattached, call)
 	e.Code = a.Code
 	e.Upstream = upstream
--- a/internal/node/fake_test.go
+++ b/internal/node/fake_test.go
@@ -9,10 +9,10 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// epoch is when every test begins.
+// epoch is the start time of every test.
 var epoch = time.Date(2026, 5, 1, 9, 0, 0, 0, time.UTC)
 
-// fakeRunner keeps what the guard ordered until the test settles it.
+// fakeRunner records the claims and runs that the guard starts. The test completes them.
 type fakeRunner struct {
 	claims, runs []*Call
 	onRun        func(*Call)
@@ -27,7 +27,7 @@
 	}
 }
 
-// fakeAuthority permits what its functions permit; nil ones permit all.
+// fakeAuthority permits every start, unless refuse is set and returns a refusal.
 type fakeAuthority struct {
 	claims bool
 	refuse func() *result.Refusal
@@ -42,7 +42,7 @@
 	return time.Time{}, a.refuse()
 }
 
-// newGuard makes a guard whose upstream has some slots and a short queue.
+// newGuard returns a guard whose upstream has the given slots and a short queue.
 func newGuard(slots int, runner Runner, authority Authority) *Guard {
 	cfg := DefaultGuardConfig()
 	cfg.KeepDoneBytes = 64
@@ -68,7 +68,7 @@
 	}
 }
 
-func wholeAnswerOf(call *Call, body string) *Response {
+func wholeResponseOf(call *Call, body string) *Response {
 	return &Response{CallID: call.Ctx.CallID, Code: result.OK, Status: 200, Body: []byte(body)}
 }
 
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -13,30 +13,30 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// Waiter receives the answer of a call that had to wait or run. It is called
-// exactly once, without the guard's lock, and must not block.
+// Waiter receives the response of a call that was queued or run. It is called exactly once,
+// without the guard's lock, and must not block.
 type Waiter func(*Response)
 
-// Runner performs what the guard decides. Its methods are called without the
-// guard's lock and must not block: they start the work and return.
+// Runner carries out the decisions of the guard. Its methods are called without the guard's
+// lock and must not block: they start the work and return.
 type Runner interface {
-	// Claim gets the claim of the call's key into the log, then calls Claimed.
+	// Claim appends the claim of the call's key to the log, then calls Claimed.
 	Claim(call *Call)
-	// Run sends the call to the local upstream, then calls Finish. The dispatch
-	// must happen before the given moment; zero means the call's deadline.
+	// Run sends the call to the local upstream, then calls Finish. The call must be sent before
+	// the given time; zero means the call's deadline.
 	Run(call *Call, before time.Time)
 }
 
-// Authority decides whether this guard may start a call under a key.
+// Authority decides whether this guard may run a call under its idempotency key.
 type Authority interface {
-	// MayStart is asked right before dispatch. A nil refusal permits the start
-	// until before; zero means without bound of its own.
+	// MayStart is called right before the call is sent. A nil refusal permits the start until
+	// before; zero means that there is no other bound than the deadline.
 	MayStart(now time.Time, call *Call) (before time.Time, refusal *result.Refusal)
-	// NeedsClaim reports whether a claim must be in the log first.
+	// NeedsClaim reports whether a claim of the key must be in the log first.
 	NeedsClaim(call *Call) bool
 }
 
-// phase is how far a call has come at its guard.
+// phase is the state of a call at its guard.
 type phase int
 
 const (
@@ -46,8 +46,7 @@
 	phaseDone
 )
 
-// execution is one call at its guard, from arrival until its answer is
-// forgotten.
+// execution is one call at its guard, from its arrival until its response expires.
 type execution struct {
 	call        *Call
 	fingerprint quarantine.Fingerprint
@@ -58,42 +57,41 @@
 	arrived     time.Time
 	started     time.Time
 	ended       time.Time
-	answer      *Response
+	response    *Response
 	cancel      func()
-	// served says that a call made by this one had a good answer.
+	// served means that a call made by this one was answered with success.
 	served bool
-	// shedsFrom is the least that calls made by this one were told.
+	// shedsFrom is the lowest shedding threshold reported to the calls made by this one.
 	shedsFrom uint32
-	// shedsBy is the service that said so.
+	// shedsBy is the service with that threshold.
 	shedsBy string
-	// cause is what the last failure of a call made by this one comes down to; nil
-	// when none failed.
+	// cause is the root cause of the last failed call made by this one; nil when none failed.
 	cause *result.Cause
-	// joins are the calls of the same key that wait for this one's answer.
-	joins []joined
+	// joins are the calls with the same key that wait for this one's response.
+	joins []joinedCall
 }
 
-type joined struct {
-	call *Call
-	wake Waiter
+type joinedCall struct {
+	call   *Call
+	waiter Waiter
 }
 
-// GuardConfig bounds what a guard keeps.
+// GuardConfig limits what a guard retains.
 type GuardConfig struct {
-	// KeepDone is how long the answer of a finished call is kept for a
-	// re-attachment; it must exceed the time in which one is raced.
+	// KeepDone is how long the response of a finished call is kept for a re-attachment. It must
+	// exceed the time during which a re-attachment can race the first transmission.
 	KeepDone time.Duration
-	// KeepDoneBytes bounds those answers.
+	// KeepDoneBytes bounds the size of those responses.
 	KeepDoneBytes int64
-	// Keys bounds the idempotency keys and the answers kept for resends.
+	// Keys limits the idempotency keys and the responses kept for resends.
 	Keys idempotency.Config
-	// Quarantine bounds what is known of crashing requests.
+	// Quarantine limits the records of crashing requests.
 	Quarantine quarantine.Config
-	// RetryBudget bounds the calls of which an earlier attempt reached an upstream.
+	// RetryBudget limits the calls of which an earlier attempt may have reached an upstream.
 	RetryBudget retry.BudgetConfig
 }
 
-// DefaultGuardConfig suits a VM with 64 MB for the node.
+// DefaultGuardConfig returns a configuration for a VM that gives 64 MB to the node.
 func DefaultGuardConfig() GuardConfig {
 	return GuardConfig{
 		KeepDone:      10 * time.Second,
@@ -103,58 +101,60 @@
 	}
 }
 
-// Guard is the only way into the local upstream: it recognises resends,
-// admits, queues, sheds, and remembers what ran. It does no I/O: its Runner
-// does. Safe for concurrent use.
+// Guard controls all access to the local upstream: it detects resends, admits, queues and sheds
+// calls, and stores the outcome of calls that ran. It does no I/O: its Runner does. Safe for
+// concurrent use.
 type Guard struct {
 	cfg       GuardConfig
 	runner    Runner
 	authority Authority
 
-	mu         sync.Mutex
-	incarn     uint64
-	admission  *admission.Controller
-	quarantine *quarantine.Tracker
-	keys       *idempotency.Table
-	repeats    *retry.Budget
-	calls      map[string]*execution
-	done       []*execution // finished, oldest first
-	doneBytes  int64
-	// bare counts the oldest of done whose answer is no longer held.
-	bare     int
+	mu          sync.Mutex
+	incarnation uint64
+	admission   *admission.Controller
+	quarantine  *quarantine.Tracker
+	keys        *idempotency.Table
+	retryBudget *retry.Budget
+	calls       map[string]*execution
+	done        []*execution // finished, oldest first
+	doneBytes   int64
+	// stripped is the number of entries at the start of done whose response is no longer
+	// stored.
+	stripped int
 	draining bool
-	// endsBy is when the node's process ends; zero while that isn't planned.
-	endsBy     time.Time
+	// stopAt is the time at which the node's process stops; zero while no stop is planned.
+	stopAt     time.Time
 	upstreamUp bool
 	slots      int
-	observer   *observer
-	// upstreamIncarnation numbers the lives of the local upstream.
+	events     *eventRecorder
+	// upstreamIncarnation identifies the process of the local upstream.
 	upstreamIncarnation uint64
-	// suspicion is false while no request is suspected of crashing upstreams.
-	suspicion  atomic.Bool
-	onSuspects func([]quarantine.CrashRecord)
+	// hasCrashRecords is false while no request is suspected of crashing upstreams. Calls read
+	// it without the lock, and look up no records while it is false.
+	hasCrashRecords atomic.Bool
+	onCrashRecords  func([]quarantine.CrashRecord)
 }
 
-// NewGuard makes the guard of a node incarnation without an upstream.
+// NewGuard returns the guard of a node incarnation. Its upstream is down until UpstreamUp.
 func NewGuard(cfg GuardConfig, incarnation uint64, runner Runner, authority Authority, now time.Time) *Guard {
 	return &Guard{
-		cfg:        cfg,
-		runner:     runner,
-		authority:  authority,
-		incarn:     incarnation,
-		admission:  admission.New(admission.DefaultConfig(1), now),
-		quarantine: quarantine.New(cfg.Quarantine),
-		keys:       idempotency.NewTable(cfg.Keys),
-		repeats:    retry.NewBudget(cfg.RetryBudget),
-		calls:      make(map[string]*execution),
+		cfg:         cfg,
+		runner:      runner,
+		authority:   authority,
+		incarnation: incarnation,
+		admission:   admission.New(admission.DefaultConfig(1), now),
+		quarantine:  quarantine.New(cfg.Quarantine),
+		keys:        idempotency.NewTable(cfg.Keys),
+		retryBudget: retry.NewBudget(cfg.RetryBudget),
+		calls:       make(map[string]*execution),
 	}
 }
 
-// due collects what is owed to others once the lock is released.
-type due []func()
+// callbacks collects calls that must be made after the guard's lock is released.
+type callbacks []func()
 
-func (d due) settle() {
-	for _, f := range d {
+func (c callbacks) run() {
+	for _, f := range c {
 		f()
 	}
 }
@@ -168,6 +168,6 @@
 		Threshold:   l.Threshold,
 		Overloaded:  l.Overloaded,
 		Draining:    l.Draining || g.draining,
-		Incarnation: g.incarn,
+		Incarnation: g.incarnation,
 	}
 }
--- a/internal/node/guard_arrive.go
+++ b/internal/node/guard_arrive.go
@@ -10,62 +10,61 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// Arrive takes a call. A nil answer means that w gets it later; the token then
-// names this attachment to the call for Leave.
-func (g *Guard) Arrive(now time.Time, call *Call, w Waiter) (token int, answer *Response) {
+// Arrive handles a call that was sent to this guard. When it returns no response, w receives
+// the response later, and the token identifies this attachment to the call for Leave.
+func (g *Guard) Arrive(now time.Time, call *Call, w Waiter) (token int, response *Response) {
 	g.mu.Lock()
-	var d due
-	token, answer = g.arriveLocked(now, call, w, &d)
+	var deferred callbacks
+	token, response = g.arriveLocked(now, call, w, &deferred)
 	g.mu.Unlock()
-	d.settle()
-	return token, answer
+	deferred.run()
+	return token, response
 }
 
-func (g *Guard) arriveLocked(now time.Time, call *Call, w Waiter, d *due) (int, *Response) {
+func (g *Guard) arriveLocked(now time.Time, call *Call, w Waiter, deferred *callbacks) (int, *Response) {
 	if e, ok := g.calls[call.Ctx.CallID]; ok {
 		return e.attach(w)
 	}
-	token, answer := g.considerLocked(now, call, w, d)
-	if answer != nil && !answer.Whole() {
-		g.observer.refused(now, call, answer.Refusal)
+	token, response := g.decideLocked(now, call, w, deferred)
+	if response != nil && !response.Whole() {
+		g.events.refused(now, call, response.Refusal)
 	}
-	if answer != nil && call.Reattach {
-		g.remember(now, call, answer)
+	if response != nil && call.Reattach {
+		g.keepReattachmentLocked(now, call, response)
 	}
-	return token, answer
+	return token, response
 }
 
-// attach joins a sending of a call that is already here: the connection of the
-// first went silent, and the call must not run again by it.
+// attach adds a waiter to a call that is already here. The connection of an earlier
+// transmission became unresponsive, and the call must not run again because of that.
 func (e *execution) attach(w Waiter) (int, *Response) {
 	if e.phase == phaseDone {
-		return 0, e.answer
+		return 0, e.response
 	}
 	e.nextWaiter++
 	e.waiters[e.nextWaiter] = w
 	return e.nextWaiter, nil
 }
 
-// considerLocked decides on a call that was never seen here. A key that is
-// remembered is answered from memory, also while draining: its first sending
-// may have run here, and nobody else can say so.
-func (g *Guard) considerLocked(now time.Time, call *Call, w Waiter, d *due) (int, *Response) {
+// decideLocked decides on a call ID that was never seen here. A known key is answered from the
+// key table even while draining: its first transmission may have run here, and no other guard
+// knows that.
+func (g *Guard) decideLocked(now time.Time, call *Call, w Waiter, deferred *callbacks) (int, *Response) {
 	if call.Keyed() {
-		if answer, settled := g.beginKeyLocked(now, call, w); settled {
-			return 0, answer
+		if response, settled := g.beginKeyLocked(now, call, w); settled {
+			return 0, response
 		}
 	}
-	if refusal := g.refuseLocked(now, call); refusal != nil {
-		g.forgetKeyLocked(now, call)
-		return 0, g.refusedLocked(call, refusal)
+	if refusal := g.checkLocked(now, call); refusal != nil {
+		g.releaseKeyLocked(now, call)
+		return 0, g.refusalResponseLocked(call, refusal)
 	}
-	return g.admitLocked(now, call, w, d)
+	return g.admitLocked(now, call, w, deferred)
 }
 
-func (g *Guard) refuseLocked(now time.Time, call *Call) *result.Refusal {
+func (g *Guard) checkLocked(now time.Time, call *Call) *result.Refusal {
 	if call.Keyed() && !g.authority.NeedsClaim(call) {
-		// Asked before draining: while slots move, the refusal names their
-		// next owner.
+		// Checked before draining: while slots move, this refusal names their next owner.
 		if _, refusal := g.authority.MayStart(now, call); refusal != nil {
 			return refusal
 		}
@@ -73,56 +72,56 @@
 	if g.draining {
 		return result.Refuse(result.Draining, "the upstream is leaving")
 	}
-	if !g.endsBy.IsZero() && now.Add(usualTimes*g.admission.MedianLatency()).After(g.endsBy) {
-		return result.Refuse(result.Draining, "the node ends in %v, calls usually take %v", g.endsBy.Sub(now), g.admission.MedianLatency())
+	if !g.stopAt.IsZero() && now.Add(stopLatencyFactor*g.admission.MedianLatency()).After(g.stopAt) {
+		return result.Refuse(result.Draining, "the node stops in %v, the median latency is %v", g.stopAt.Sub(now), g.admission.MedianLatency())
 	}
 	if !g.upstreamUp {
 		return result.Refuse(result.NoUpstream, "no upstream is announced to this node")
 	}
-	if refusal := g.countLocked(now, call); refusal != nil {
+	if refusal := g.countRetryLocked(now, call); refusal != nil {
 		return refusal
 	}
-	if len(call.CrashRecords) == 0 && !g.suspicion.Load() {
+	if len(call.CrashRecords) == 0 && !g.hasCrashRecords.Load() {
 		return nil
 	}
-	for _, mark := range call.CrashRecords {
-		g.quarantine.Merge(now, mark)
-		g.suspicion.Store(true)
+	for _, record := range call.CrashRecords {
+		g.quarantine.Merge(now, record)
+		g.hasCrashRecords.Store(true)
 	}
 	return g.quarantine.Admit(now, call.Fingerprint())
 }
 
-// beginKeyLocked looks the key up; settled says that the call does not go on
-// to admission.
-func (g *Guard) beginKeyLocked(now time.Time, call *Call, w Waiter) (answer *Response, settled bool) {
+// beginKeyLocked looks the key up. It returns settled when the call does not go on to
+// admission: it is answered, or waits for the running call with the same key.
+func (g *Guard) beginKeyLocked(now time.Time, call *Call, w Waiter) (response *Response, settled bool) {
 	begin := g.keys.Begin(now, call.IdempotencyKey(), call.BodyHash, call.Ctx.CallID)
 	switch begin.Kind {
 	case idempotency.Start:
 		return nil, false
 	case idempotency.Join:
-		g.observer.joined(now, call, begin.RunningCallID)
+		g.events.joined(now, call, begin.RunningCallID)
 		return g.joinLocked(call, begin.RunningCallID, w), true
 	case idempotency.Replay:
-		return replayed(call, begin.Answer), true
+		return replayedResponse(call, begin.Answer), true
 	case idempotency.Conflict:
-		return g.refusedLocked(call, result.Refuse(result.KeyReused, "the key came before with a different body")), true
+		return g.refusalResponseLocked(call, result.Refuse(result.KeyReused, "the key came before with a different body")), true
 	case idempotency.TableFull:
-		return g.refusedLocked(call, result.Refuse(result.NoAuthority, "the table of keys is full")), true
+		return g.refusalResponseLocked(call, result.Refuse(result.NoAuthority, "the table of keys is full")), true
 	default:
-		return g.refusedLocked(call, result.Refuse(result.OutcomeUnknown, "an earlier attempt with this key may have run")), true
+		return g.refusalResponseLocked(call, result.Refuse(result.OutcomeUnknown, "an earlier attempt with this key may have run")), true
 	}
 }
 
 func (g *Guard) joinLocked(call *Call, runningID string, w Waiter) *Response {
 	e, ok := g.calls[runningID]
 	if !ok || e.phase == phaseDone {
-		return g.refusedLocked(call, result.Refuse(result.OutcomeUnknown, "the running attempt has ended without an answer"))
+		return g.refusalResponseLocked(call, result.Refuse(result.OutcomeUnknown, "the running attempt has ended without a response"))
 	}
-	e.joins = append(e.joins, joined{call: call, wake: w})
+	e.joins = append(e.joins, joinedCall{call: call, waiter: w})
 	return nil
 }
 
-func (g *Guard) admitLocked(now time.Time, call *Call, w Waiter, d *due) (int, *Response) {
+func (g *Guard) admitLocked(now time.Time, call *Call, w Waiter, deferred *callbacks) (int, *Response) {
 	e := &execution{
 		call:        call,
 		fingerprint: call.Fingerprint(),
@@ -132,23 +131,23 @@
 		shedsFrom:   routing.NoThreshold,
 	}
 	g.calls[call.Ctx.CallID] = e
-	decision, others := g.admission.Offer(now, requestOf(call))
-	g.observer.offered(now, call, decision.Verdict, g.admission.Load())
-	g.applyLocked(now, others, d)
+	decision, queuedDecisions := g.admission.Offer(now, requestOf(call))
+	g.events.offered(now, call, decision.Verdict, g.admission.Load())
+	g.applyLocked(now, queuedDecisions, deferred)
 	switch decision.Verdict {
 	case admission.Refuse:
 		delete(g.calls, call.Ctx.CallID)
-		g.forgetKeyLocked(now, call)
-		return 0, g.refusedLocked(call, decision.Refusal)
+		g.releaseKeyLocked(now, call)
+		return 0, g.refusalResponseLocked(call, decision.Refusal)
 	case admission.Run:
-		g.admittedLocked(now, e, d)
+		g.claimOrStartLocked(now, e, deferred)
 	}
-	// Attached only now: a refusal at dispatch goes back as the answer, and
-	// through the waiter the sender would get it a second time.
+	// The waiter is attached only now. A refusal at dispatch is returned as the response; an
+	// attached waiter would give it to the sender a second time.
 	return e.attach(w)
 }
 
-func (g *Guard) refusedLocked(call *Call, r *result.Refusal) *Response {
+func (g *Guard) refusalResponseLocked(call *Call, r *result.Refusal) *Response {
 	a := Refused(call.Ctx.CallID, r)
 	a.Unused = call.Allowance
 	a.Load = g.loadLocked()
--- a/internal/node/guard_end.go
+++ b/internal/node/guard_end.go
@@ -8,33 +8,34 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// endLocked settles the key, closes the account and owes everyone the answer.
-func (g *Guard) endLocked(now time.Time, e *execution, a *Response, d *due) {
+// endLocked ends a call: it records the outcome of the key, closes the account and schedules
+// the response for every waiter.
+func (g *Guard) endLocked(now time.Time, e *execution, a *Response, deferred *callbacks) {
 	e.phase = phaseDone
 	e.ended = now
 	a.Unused = e.account.Close()
 	a.Load = g.loadLocked()
 	a.ShedsFrom = e.shedsFrom
 	a.ShedsBy = e.shedsBy
-	e.answer = a
+	e.response = a
 	g.settleKeyLocked(now, e.call, a)
 	for _, w := range e.waiters {
-		*d = append(*d, func() { w(a) })
+		*deferred = append(*deferred, func() { w(a) })
 	}
 	for _, j := range e.joins {
-		answer := joinedAnswer(j.call.Ctx.CallID, a)
+		response := joinedResponse(j.call.Ctx.CallID, a)
 		if j.call.Reattach && !a.Whole() {
-			g.remember(now, j.call, answer)
+			g.keepReattachmentLocked(now, j.call, response)
 		}
-		*d = append(*d, func() { j.wake(answer) })
+		*deferred = append(*deferred, func() { j.waiter(response) })
 	}
 	e.waiters = nil
 	e.joins = nil
 	g.keepLocked(now, e)
 }
 
-// settleKeyLocked records what is now known about the key. Only a code that
-// promises "not run" lets a resend run again.
+// settleKeyLocked records the outcome of the call's key. Only a code that guarantees "not run"
+// lets a resend run.
 func (g *Guard) settleKeyLocked(now time.Time, call *Call, a *Response) {
 	if !call.Keyed() {
 		return
@@ -52,20 +53,22 @@
 	}
 }
 
-func (g *Guard) forgetKeyLocked(now time.Time, call *Call) {
+func (g *Guard) releaseKeyLocked(now time.Time, call *Call) {
 	if call.Keyed() {
 		g.keys.NotRun(now, call.IdempotencyKey(), call.Ctx.CallID)
 	}
 }
 
-// keepLocked keeps a finished call for re-attachments, within its bounds.
+// keepLocked retains a finished call for re-attachments, within the limits of the
+// configuration.
 func (g *Guard) keepLocked(now time.Time, e *execution) {
 	if len(e.call.Body) > 0 {
-		// Nothing bounds the bodies of requests once they have ended.
+		// The limits cover responses only. The bodies of finished requests would be retained
+		// without a limit.
 		e.call = &Call{Ctx: e.call.Ctx}
 	}
 	g.done = append(g.done, e)
-	g.doneBytes += int64(len(e.answer.Body))
+	g.doneBytes += int64(len(e.response.Body))
 	g.trimLocked(now)
 }
 
@@ -73,47 +76,45 @@
 	n := 0
 	for n < len(g.done) && now.Sub(g.done[n].ended) >= g.cfg.KeepDone {
 		oldest := g.done[n]
-		g.doneBytes -= int64(len(oldest.answer.Body))
+		g.doneBytes -= int64(len(oldest.response.Body))
 		delete(g.calls, oldest.call.Ctx.CallID)
 		g.done[n] = nil
 		n++
 	}
 	g.done = g.done[n:]
-	g.bare = max(0, g.bare-n)
-	for g.doneBytes > g.cfg.KeepDoneBytes && g.bare < len(g.done) {
-		g.stripLocked(g.done[g.bare])
-		g.bare++
+	g.stripped = max(0, g.stripped-n)
+	for g.doneBytes > g.cfg.KeepDoneBytes && g.stripped < len(g.done) {
+		g.stripLocked(g.done[g.stripped])
+		g.stripped++
 	}
 }
 
-// stripLocked gives up the answer of a finished call but not its call ID: were
-// the ID forgotten too, a re-attachment would run the call a second time. A
-// refusal has no body and stays as it was.
+// stripLocked drops the response of a finished call but keeps its call ID: without the ID, a
+// re-attachment would run the call a second time. A refusal has no body and is kept.
 func (g *Guard) stripLocked(e *execution) {
-	if len(e.answer.Body) == 0 {
+	if len(e.response.Body) == 0 {
 		return
 	}
-	g.doneBytes -= int64(len(e.answer.Body))
-	e.answer = Refused(e.call.Ctx.CallID, result.Refuse(result.LostAnswer, "the call ran, and its answer is no longer held"))
+	g.doneBytes -= int64(len(e.response.Body))
+	e.response = Refused(e.call.Ctx.CallID, result.Refuse(result.LostAnswer, "the call ran, and its response is no longer stored"))
 }
 
-// remember keeps the answer given to a re-attachment whose call was never seen
-// here. The first sending may lie in the connection that went silent and be
-// delivered yet: it must find the same answer, or a call said not to have run
-// would run after all.
-func (g *Guard) remember(now time.Time, call *Call, a *Response) {
+// keepReattachmentLocked retains the response to a re-attachment whose call ID was never seen
+// here. The first transmission may still be delivered by the unresponsive connection. It must
+// get the same response, or a call that was reported as not run would run after all.
+func (g *Guard) keepReattachmentLocked(now time.Time, call *Call, a *Response) {
 	if _, known := g.calls[call.Ctx.CallID]; known {
 		return
 	}
-	e := &execution{call: call, phase: phaseDone, arrived: now, ended: now, answer: a}
+	e := &execution{call: call, phase: phaseDone, arrived: now, ended: now, response: a}
 	g.calls[call.Ctx.CallID] = e
 	g.keepLocked(now, e)
 }
 
-// Leave says that the holder of an attachment is gone. Waiting calls nobody
-// waits for give up their place. Running ones are cancelled if running them
-// again does no harm; a non-idempotent one goes on to its deadline, because
-// its effect may have begun and its resend will want the answer.
+// Leave detaches a caller that stopped waiting. A queued call without other callers leaves the
+// queue. A running one is cancelled if it is safe to run again; a non-idempotent one continues
+// to its deadline, because it may already have taken effect and its resend will need the
+// response.
 func (g *Guard) Leave(now time.Time, callID string, token int) {
 	g.mu.Lock()
 	e, ok := g.calls[callID]
@@ -121,52 +122,52 @@
 		g.mu.Unlock()
 		return
 	}
-	var d due
+	var deferred callbacks
 	_, attached := e.waiters[token]
 	last := attached && len(e.waiters) == 1 && len(e.joins) == 0
 	if e.phase == phaseQueued && last {
-		// The leaver is still attached and hears that nothing ran.
+		// The caller is still attached and receives this refusal, which says that nothing ran.
 		decisions := g.admission.Abandon(now, callID)
-		refusal := leftRefusal(now, e.call)
-		g.observer.refused(now, e.call, refusal)
-		g.endLocked(now, e, Refused(callID, refusal), &d)
-		g.applyLocked(now, decisions, &d)
+		refusal := leaveRefusal(now, e.call)
+		g.events.refused(now, e.call, refusal)
+		g.endLocked(now, e, Refused(callID, refusal), &deferred)
+		g.applyLocked(now, decisions, &deferred)
 	} else {
 		delete(e.waiters, token)
-		if e.doomed() && e.cancel != nil {
-			g.observer.cancelled(now, e.call, "nobody waits for the running call")
-			d = append(d, e.cancel)
+		if e.cancellable() && e.cancel != nil {
+			g.events.cancelled(now, e.call, "the running call has no caller left")
+			deferred = append(deferred, e.cancel)
 		}
 	}
 	g.mu.Unlock()
-	d.settle()
+	deferred.run()
 }
 
-// leftRefusal says why a call left the queue before it ran.
-func leftRefusal(now time.Time, call *Call) *result.Refusal {
+// leaveRefusal returns the refusal of a call that left the queue before it ran.
+func leaveRefusal(now time.Time, call *Call) *result.Refusal {
 	if call.Ctx.Remaining(now) <= 0 {
 		return result.Refuse(result.DeadlineTooNear, "the deadline passed while the call waited")
 	}
 	return result.Refuse(result.Cancelled, "the caller left")
 }
 
-func replayed(call *Call, kept *idempotency.Response) *Response {
+func replayedResponse(call *Call, stored *idempotency.Response) *Response {
 	return &Response{
 		CallID: call.Ctx.CallID,
 		Code:   result.Replayed,
-		Status: kept.Status,
-		Header: kept.Header,
-		Body:   kept.Body,
+		Status: stored.Status,
+		Header: stored.Header,
+		Body:   stored.Body,
 		Unused: call.Allowance,
 
 		ShedsFrom: routing.NoThreshold,
 	}
 }
 
-// joinedAnswer gives the answer of the running attempt to another with its
-// key. The joined call used nothing of its allowance, and its share is not
-// reported: an unreported share counts as spent, which errs on the safe side.
-func joinedAnswer(callID string, a *Response) *Response {
+// joinedResponse returns the response of a running attempt for another attempt with its key.
+// The joined call spent nothing of its allowance, but its share is not returned: an unreturned
+// share counts as spent, so that the allowance is never exceeded.
+func joinedResponse(callID string, a *Response) *Response {
 	c := *a
 	c.CallID = callID
 	c.Unused = 0
--- a/internal/node/guard_keys.go
+++ b/internal/node/guard_keys.go
@@ -6,8 +6,8 @@
 	"github.com/galenagrade/galenagrade/internal/idempotency"
 )
 
-// KeysBusy returns how many calls with matching keys have not ended. One whose
-// key was looked up counts, whether it was dispatched or not.
+// KeysBusy returns the number of unfinished calls with matching keys. A call counts from the
+// lookup of its key on, whether it was dispatched or not.
 func (g *Guard) KeysBusy(match func(idempotency.Key) bool) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -20,15 +20,15 @@
 	return n
 }
 
-// ExportKeys returns what is remembered of matching keys.
+// ExportKeys returns the entries of matching keys.
 func (g *Guard) ExportKeys(now time.Time, match func(idempotency.Key) bool) []idempotency.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.keys.Export(now, match)
 }
 
-// ImportKeys takes over another guard's memory; false means that some of it
-// found no room.
+// ImportKeys adds the entries of another guard. It returns false when there was no room for
+// some of them.
 func (g *Guard) ImportKeys(now time.Time, entries []idempotency.Entry) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/guard_model_test.go
+++ b/internal/node/guard_model_test.go
@@ -11,43 +11,45 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// sending is one attachment that waits for its answer.
-type sending struct {
+// attachment is one transmission of a call to the guard, with the responses that it got.
+type attachment struct {
 	call  *Call
 	token int
 	left  bool
 	got   []*Response
 }
 
-// guardModel drives a guard in random order and keeps what must hold.
+// guardModel drives a guard in random order and tracks the state needed to check its
+// invariants.
 type guardModel struct {
-	t      *rapid.T
-	g      *Guard
-	runner *fakeRunner
-	now    time.Time
-	made   int
+	t         *rapid.T
+	g         *Guard
+	runner    *fakeRunner
+	now       time.Time
+	callCount int
 
-	sendings []*sending
-	calls    []*Call
-	// started are the call IDs that ran, with the time of their end.
+	attachments []*attachment
+	calls       []*Call
+	// started holds the end time of each call that ran, by call ID; zero while it runs.
 	started map[string]time.Time
-	// keys are the call IDs that started and may have run, by key.
+	// keys holds the ID of the call that started and may have run, by key.
 	keys map[string]string
-	// spent is what children of a call used or lost of its allowance.
+	// spent holds how much of a call's allowance its children used or lost, by call ID.
 	spent map[string]int
-	// refusedAgain are call IDs whose re-attachment was answered `ran: no`.
-	refusedAgain map[string]time.Time
-	// outlived are calls whose upstream died while their claim was out.
-	outlived map[string]bool
-	draining bool
+	// refusedReattach holds the time at which a re-attachment was answered with `ran: no`, by
+	// call ID.
+	refusedReattach map[string]time.Time
+	// claimingAtCrash holds the calls that waited for their claim when the upstream crashed.
+	claimingAtCrash map[string]bool
+	draining        bool
 }
 
 func newGuardModel(t *rapid.T) *guardModel {
 	m := &guardModel{
 		t: t, now: epoch, runner: &fakeRunner{},
 		started: map[string]time.Time{}, keys: map[string]string{},
-		spent: map[string]int{}, refusedAgain: map[string]time.Time{},
-		outlived: map[string]bool{},
+		spent: map[string]int{}, refusedReattach: map[string]time.Time{},
+		claimingAtCrash: map[string]bool{},
 	}
 	authority := &fakeAuthority{claims: rapid.Bool().Draw(t, "claims"), refuse: func() *result.Refusal {
 		if rapid.IntRange(0, 9).Draw(t, "authority") > 0 {
@@ -60,16 +62,16 @@
 	return m
 }
 
-// onRun is where two executions of one call or one key would meet.
+// onRun fails the test when a call or a key is executed a second time.
 func (m *guardModel) onRun(call *Call) {
 	id := call.Ctx.CallID
-	if m.outlived[id] {
-		m.t.Fatalf("call %s was told that its upstream died, and started", id)
+	if m.claimingAtCrash[id] {
+		m.t.Fatalf("call %s was answered that its upstream crashed, and started", id)
 	}
 	if _, twice := m.started[id]; twice {
 		m.t.Fatalf("call %s started twice", id)
 	}
-	if at, refused := m.refusedAgain[id]; refused {
+	if at, refused := m.refusedReattach[id]; refused {
 		m.t.Fatalf("call %s started after it was refused at %s", id, at)
 	}
 	m.started[id] = time.Time{}
@@ -82,8 +84,8 @@
 }
 
 func (m *guardModel) arrive(t *rapid.T) {
-	m.made++
-	call := newCall(fmt.Sprintf("c%d", m.made), m.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond))
+	m.callCount++
+	call := newCall(fmt.Sprintf("c%d", m.callCount), m.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond))
 	call.Ctx.Level = 2
 	call.Allowance = rapid.IntRange(0, 4).Draw(t, "allowance")
 	switch rapid.IntRange(0, 2).Draw(t, "kind") {
@@ -97,7 +99,7 @@
 	m.send(call)
 }
 
-// attach sends a call ID again, as after a connection went silent.
+// attach sends a call ID again, as a sender does when its connection is unresponsive.
 func (m *guardModel) attach(t *rapid.T) {
 	if len(m.calls) == 0 {
 		t.Skip("no call yet")
@@ -105,46 +107,46 @@
 	again := *rapid.SampledFrom(m.calls).Draw(t, "call")
 	ended, ran := m.started[again.Ctx.CallID]
 	if ran && !ended.IsZero() && m.now.Sub(ended) >= m.g.cfg.KeepDone {
-		t.Skip("no longer remembered")
+		t.Skip("no longer retained")
 	}
-	if at, ok := m.refusedAgain[again.Ctx.CallID]; ok && m.now.Sub(at) >= m.g.cfg.KeepDone {
-		t.Skip("no longer remembered")
+	if at, ok := m.refusedReattach[again.Ctx.CallID]; ok && m.now.Sub(at) >= m.g.cfg.KeepDone {
+		t.Skip("no longer retained")
 	}
 	again.Reattach = true
 	m.send(&again)
 }
 
 func (m *guardModel) send(call *Call) {
-	s := &sending{call: call}
-	token, answer := m.g.Arrive(m.now, call, func(a *Response) { m.deliver(s, a) })
+	s := &attachment{call: call}
+	token, response := m.g.Arrive(m.now, call, func(a *Response) { m.deliver(s, a) })
 	s.token = token
-	m.sendings = append(m.sendings, s)
-	if answer != nil {
-		m.deliver(s, answer)
+	m.attachments = append(m.attachments, s)
+	if response != nil {
+		m.deliver(s, response)
 	}
 }
 
-func (m *guardModel) deliver(s *sending, a *Response) {
+func (m *guardModel) deliver(s *attachment, a *Response) {
 	if len(s.got) > 0 {
-		m.t.Fatalf("sending of %s answered twice", s.call.Ctx.CallID)
+		m.t.Fatalf("attachment of %s was answered twice", s.call.Ctx.CallID)
 	}
 	s.got = append(s.got, a)
 	if a.CallID != s.call.Ctx.CallID {
-		m.t.Fatalf("sending of %s got the answer of %s", s.call.Ctx.CallID, a.CallID)
+		m.t.Fatalf("attachment of %s got the response of %s", s.call.Ctx.CallID, a.CallID)
 	}
 	_, ran := m.started[a.CallID]
 	if a.Unused > s.call.Allowance-m.spent[a.CallID] {
-		m.t.Fatalf("call %s brings %d home of %d, %d spent", a.CallID, a.Unused, s.call.Allowance, m.spent[a.CallID])
+		m.t.Fatalf("call %s returns %d of its allowance of %d, %d spent", a.CallID, a.Unused, s.call.Allowance, m.spent[a.CallID])
 	}
 	if s.call.Reattach && !ran && a.Code.Ran() == result.RanNo {
-		m.refusedAgain[a.CallID] = m.now
+		m.refusedReattach[a.CallID] = m.now
 	}
 }
 
 func (m *guardModel) leave(t *rapid.T) {
-	waiting := slices.DeleteFunc(slices.Clone(m.sendings), func(s *sending) bool { return s.left || len(s.got) > 0 })
+	waiting := slices.DeleteFunc(slices.Clone(m.attachments), func(s *attachment) bool { return s.left || len(s.got) > 0 })
 	if len(waiting) == 0 {
-		t.Skip("nobody waits")
+		t.Skip("no attachment waits")
 	}
 	s := rapid.SampledFrom(waiting).Draw(t, "who")
 	s.left = true
@@ -188,7 +190,7 @@
 	if code.Ran() == result.RanNo {
 		delete(m.keys, call.Ctx.Key)
 	}
-	a := wholeAnswerOf(call, "a body of more than the bytes that are kept, so that answers push each other out")
+	a := wholeResponseOf(call, "a body of more than the bytes that are kept, so that answers push each other out")
 	if code != result.OK && code != result.UpstreamFailed {
 		a = refusedWith(call, code)
 	}
@@ -205,16 +207,16 @@
 	m.runner.claims = m.runner.claims[1:]
 	var refusal *result.Refusal
 	if rapid.IntRange(0, 2).Draw(t, "lost") == 0 {
-		refusal = result.Refuse(result.NoAuthority, "the log is out")
+		refusal = result.Refuse(result.NoAuthority, "the log is unavailable")
 	}
 	m.g.Claimed(m.now, call.Ctx.CallID, refusal)
 }
 
-// crash breaks every running call, and the upstream comes back.
+// crash ends every running call, then starts the upstream again.
 func (m *guardModel) crash(*rapid.T) {
 	m.g.UpstreamDown(m.now, "n")
 	for _, call := range m.runner.claims {
-		m.outlived[call.Ctx.CallID] = true
+		m.claimingAtCrash[call.Ctx.CallID] = true
 	}
 	for _, call := range m.runner.runs {
 		m.end(call, result.LostAnswer)
@@ -238,7 +240,7 @@
 	m.g.Drain(m.now)
 }
 
-// check holds at every moment.
+// check verifies the invariants that hold after every action.
 func (m *guardModel) check(t *rapid.T) {
 	load := m.g.admission.Load()
 	if len(m.runner.runs) > 2 {
@@ -246,7 +248,7 @@
 	}
 	claims := 0
 	for _, call := range m.runner.claims {
-		if !m.outlived[call.Ctx.CallID] {
+		if !m.claimingAtCrash[call.Ctx.CallID] {
 			claims++
 		}
 	}
@@ -257,11 +259,11 @@
 		t.Fatalf("%d calls in 2 slots", load.InFlight)
 	}
 	if m.g.doneBytes < 0 || m.g.doneBytes > m.g.cfg.KeepDoneBytes {
-		t.Fatalf("%d bytes of answers kept, bound %d", m.g.doneBytes, m.g.cfg.KeepDoneBytes)
+		t.Fatalf("%d bytes of responses retained, bound %d", m.g.doneBytes, m.g.cfg.KeepDoneBytes)
 	}
 }
 
-// settle ends everything: claims first, since they start runs.
+// settle completes all work: claims first, since they start runs.
 func (m *guardModel) settle() {
 	for len(m.runner.claims)+len(m.runner.runs) > 0 {
 		claims := m.runner.claims
@@ -282,18 +284,19 @@
 }
 
 func (m *guardModel) checkEnd(t *rapid.T) {
-	for _, s := range m.sendings {
+	for _, s := range m.attachments {
 		if !s.left && len(s.got) != 1 {
-			t.Fatalf("sending of %s got %d answers", s.call.Ctx.CallID, len(s.got))
+			t.Fatalf("attachment of %s got %d responses", s.call.Ctx.CallID, len(s.got))
 		}
 	}
 	load := m.g.admission.Load()
 	if m.g.Busy() != 0 || load.InFlight != 0 || load.Queued != 0 || len(m.g.calls) != 0 {
-		t.Fatalf("busy %d, in flight %d, queued %d, remembered %d after the end", m.g.Busy(), load.InFlight, load.Queued, len(m.g.calls))
+		t.Fatalf("busy %d, in flight %d, queued %d, retained %d after the end", m.g.Busy(), load.InFlight, load.Queued, len(m.g.calls))
 	}
 }
 
-// Guards against a call answered twice or never, started twice, or a slot leaked, in any order of events.
+// Guards against a call that is answered twice or never, started twice, or leaks a slot, in any
+// order of events.
 func TestGuardModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newGuardModel(t)
--- a/internal/node/guard_run.go
+++ b/internal/node/guard_run.go
@@ -7,93 +7,95 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// admittedLocked moves a call that got a slot on to its claim or its run.
-func (g *Guard) admittedLocked(now time.Time, e *execution, d *due) {
+// claimOrStartLocked starts the claim of an admitted call's key, or its run when no claim is
+// needed.
+func (g *Guard) claimOrStartLocked(now time.Time, e *execution, deferred *callbacks) {
 	if e.call.Keyed() && g.authority.NeedsClaim(e.call) {
 		e.phase = phaseClaiming
-		*d = append(*d, func() { g.runner.Claim(e.call) })
+		*deferred = append(*deferred, func() { g.runner.Claim(e.call) })
 		return
 	}
-	g.startLocked(now, e, d)
+	g.startLocked(now, e, deferred)
 }
 
-// startLocked is the last check before dispatch. A holder that was paused
-// finds its authority too old here, not when it was admitted.
-func (g *Guard) startLocked(now time.Time, e *execution, d *due) {
+// startLocked makes the last checks before dispatch and starts the run. The authority is
+// checked right before the dispatch: when the process was paused after the admission, its
+// authority may have expired in the meantime.
+func (g *Guard) startLocked(now time.Time, e *execution, deferred *callbacks) {
 	var before time.Time
 	if e.call.Keyed() {
 		var refusal *result.Refusal
 		before, refusal = g.authority.MayStart(now, e.call)
 		if refusal != nil {
-			g.notRunLocked(now, e, refusal, d)
+			g.refuseAdmittedLocked(now, e, refusal, deferred)
 			return
 		}
 	}
-	if g.suspicion.Load() {
-		// Another suspect may have started while this one waited.
+	if g.hasCrashRecords.Load() {
+		// Another suspected request may have started while this call waited.
 		if refusal := g.quarantine.Admit(now, e.fingerprint); refusal != nil {
-			g.notRunLocked(now, e, refusal, d)
+			g.refuseAdmittedLocked(now, e, refusal, deferred)
 			return
 		}
 	}
 	e.phase = phaseRunning
 	e.started = now
 	g.quarantine.Started(now, e.fingerprint)
-	g.observer.started(now, e)
-	*d = append(*d, func() { g.runner.Run(e.call, before) })
+	g.events.started(now, e)
+	*deferred = append(*deferred, func() { g.runner.Run(e.call, before) })
 }
 
-// notRunLocked ends a call that got a slot and provably did not run.
-func (g *Guard) notRunLocked(now time.Time, e *execution, refusal *result.Refusal, d *due) {
-	g.observer.refused(now, e.call, refusal)
+// refuseAdmittedLocked refuses a call that was admitted and provably did not run.
+func (g *Guard) refuseAdmittedLocked(now time.Time, e *execution, refusal *result.Refusal, deferred *callbacks) {
+	g.events.refused(now, e.call, refusal)
 	decisions := g.admission.Finish(now, e.call.Ctx.CallID, admission.Cancelled, 0)
-	g.endLocked(now, e, Refused(e.call.Ctx.CallID, refusal), d)
-	g.applyLocked(now, decisions, d)
+	g.endLocked(now, e, Refused(e.call.Ctx.CallID, refusal), deferred)
+	g.applyLocked(now, decisions, deferred)
 }
 
-// Claimed reports how the claim of a call ended: refusal is nil when this
-// guard holds the key.
+// Claimed reports the outcome of a claim: refusal is nil when this guard now owns the key.
 func (g *Guard) Claimed(now time.Time, callID string, refusal *result.Refusal) {
 	g.mu.Lock()
-	var d due
+	var deferred callbacks
 	if e, ok := g.calls[callID]; ok && e.phase == phaseClaiming {
 		if refusal != nil {
-			g.notRunLocked(now, e, refusal, &d)
+			g.refuseAdmittedLocked(now, e, refusal, &deferred)
 		} else {
-			g.startLocked(now, e, &d)
+			g.startLocked(now, e, &deferred)
 		}
 	}
 	g.mu.Unlock()
-	d.settle()
+	deferred.run()
 }
 
-// OnCancel sets what stops the running call when nobody waits for it any more.
+// OnCancel sets the function that cancels the running call when no caller waits for it any
+// more.
 func (g *Guard) OnCancel(callID string, cancel func()) {
 	g.mu.Lock()
 	e, ok := g.calls[callID]
 	if ok {
 		e.cancel = cancel
 	}
-	// Everybody may have left between the start and this report; the upstream
-	// would then work to the end for nobody.
-	doomed := ok && e.doomed()
+	// All callers may have left between the start and this call. Without this check, the
+	// upstream would run the call to its end without a receiver.
+	cancelNow := ok && e.cancellable()
 	g.mu.Unlock()
-	if doomed {
+	if cancelNow {
 		cancel()
 	}
 }
 
-// doomed reports whether a running call may and should be stopped: nobody
-// waits for it, and running it again does no harm.
-func (e *execution) doomed() bool {
-	alone := len(e.waiters) == 0 && len(e.joins) == 0
-	return e.phase == phaseRunning && e.call.Ctx.Idempotent && alone
+// cancellable reports whether a running call should be cancelled: no caller waits for it, and
+// it is safe to run again.
+func (e *execution) cancellable() bool {
+	noWaiters := len(e.waiters) == 0 && len(e.joins) == 0
+	return e.phase == phaseRunning && e.call.Ctx.Idempotent && noWaiters
 }
 
 // Finish reports the end of a run.
 func (g *Guard) Finish(now time.Time, callID string, a *Response) {
 	g.mu.Lock()
-	var d due
+	var deferred callbacks
 	if e, ok := g.calls[callID]; ok && e.phase == phaseRunning {
 		decisions := g.admission.Finish(now, callID, outcomeOf(a), now.Sub(e.started))
 		cleared := g.quarantine.Finished(now, e.fingerprint, a.Whole())
@@ -101,46 +103,47 @@
 			a.Crashed = 0
 		}
 		if len(cleared) > 0 {
-			d = append(d, func() { g.onSuspects(cleared) })
+			deferred = append(deferred, func() { g.onCrashRecords(cleared) })
 		}
-		g.observer.cleared(now, cleared)
+		g.events.cleared(now, cleared)
 		if !a.Good() {
 			a.Cause = e.cause
 		}
-		g.observer.finished(now, e, a)
-		g.endLocked(now, e, a, &d)
-		g.applyLocked(now, decisions, &d)
+		g.events.finished(now, e, a)
+		g.endLocked(now, e, a, &deferred)
+		g.applyLocked(now, decisions, &deferred)
 	}
 	g.mu.Unlock()
-	d.settle()
+	deferred.run()
 }
 
-// Tick expires waits; call it every few milliseconds while calls wait.
+// Tick expires waiting calls, retained responses, keys and crash records. Call it every few
+// milliseconds while calls wait.
 func (g *Guard) Tick(now time.Time) {
 	g.mu.Lock()
-	var d due
-	g.applyLocked(now, g.admission.Tick(now), &d)
+	var deferred callbacks
+	g.applyLocked(now, g.admission.Tick(now), &deferred)
 	g.trimLocked(now)
 	g.keys.Expire(now)
-	g.refreshSuspicionLocked(now)
-	g.observer.watch(now, g.admission.Load())
+	g.refreshHasCrashRecordsLocked(now)
+	g.events.recordLoad(now, g.admission.Load())
 	g.mu.Unlock()
-	d.settle()
+	deferred.run()
 }
 
-// applyLocked carries out decisions on waiting calls.
-func (g *Guard) applyLocked(now time.Time, decisions []admission.Decision, d *due) {
+// applyLocked carries out admission decisions on waiting calls.
+func (g *Guard) applyLocked(now time.Time, decisions []admission.Decision, deferred *callbacks) {
 	for _, dec := range decisions {
 		e, ok := g.calls[dec.ID]
 		if !ok || e.phase != phaseQueued {
 			continue
 		}
 		if dec.Verdict == admission.Refuse {
-			g.observer.refused(now, e.call, dec.Refusal)
-			g.endLocked(now, e, Refused(dec.ID, dec.Refusal), d)
+			g.events.refused(now, e.call, dec.Refusal)
+			g.endLocked(now, e, Refused(dec.ID, dec.Refusal), deferred)
 			continue
 		}
-		g.admittedLocked(now, e, d)
+		g.claimOrStartLocked(now, e, deferred)
 	}
 }
 
--- a/internal/node/guard_upstream.go
+++ b/internal/node/guard_upstream.go
@@ -11,7 +11,7 @@
 	"github.com/galenagrade/galenagrade/internal/retry"
 )
 
-// UpstreamUp says that the local upstream takes work, with these limits.
+// UpstreamUp puts the local upstream into service with these limits.
 func (g *Guard) UpstreamUp(now time.Time, cfg admission.Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -24,16 +24,16 @@
 	g.admission = admission.New(cfg, now)
 }
 
-// UpstreamReplaced says that another process of the upstream serves from now on.
-// What waited for the old one is refused as not run; what runs goes on until its
-// connection ends. A drain of the old process does not bind the new one.
+// UpstreamReplaced puts another process of the upstream into service. Calls that wait for the
+// old process are refused as not run; running calls continue until their connection ends. A
+// drain of the old process does not apply to the new one.
 func (g *Guard) UpstreamReplaced(now time.Time, cfg admission.Config) {
 	g.mu.Lock()
-	var d due
+	var deferred callbacks
 	for _, e := range g.calls {
 		if e.phase == phaseQueued {
 			g.admission.Abandon(now, e.call.Ctx.CallID)
-			g.diedWaitingLocked(now, e, &d)
+			g.refuseWaitingLocked(now, e, &deferred)
 		}
 	}
 	g.upstreamUp = true
@@ -42,34 +42,34 @@
 	g.upstreamIncarnation = uint64(now.UnixNano())
 	g.admission = admission.New(cfg, now)
 	g.mu.Unlock()
-	d.settle()
+	deferred.run()
 }
 
 // reconfigureWith changes the limits of a running upstream; its slots stay.
 func (g *Guard) reconfigureWith(now time.Time, config func(slots int) admission.Config) {
 	g.mu.Lock()
-	var d due
+	var deferred callbacks
 	if g.upstreamUp {
-		g.applyLocked(now, g.admission.Reconfigure(now, config(g.slots)), &d)
+		g.applyLocked(now, g.admission.Reconfigure(now, config(g.slots)), &deferred)
 	}
 	g.mu.Unlock()
-	d.settle()
+	deferred.run()
 }
 
-// configureMemory sets how long keys, answers and crashing requests are known.
-func (g *Guard) configureMemory(keys idempotency.Config, crashes quarantine.Config) {
+// configureRetention sets how long keys, responses and crash records are retained.
+func (g *Guard) configureRetention(keys idempotency.Config, crashes quarantine.Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.keys.Reconfigure(keys)
 	g.quarantine.Reconfigure(crashes)
 }
 
-// UpstreamDown says that the local upstream's process died. What it ran
-// becomes suspect; what waited, also for its claim, is refused as not run: a
-// claim that came after the upstream's return would start a call for which no
-// slot is counted. Reports of the same
-// death by several calls count once: only the first finds the upstream up.
-func (g *Guard) UpstreamDown(now time.Time, upstream string) (incarnation uint64, suspects []quarantine.CrashRecord, first bool) {
+// UpstreamDown reports that the process of the local upstream crashed. The requests that it ran
+// get crash records. Calls that wait in the queue or for their claim are refused as not run: a
+// claim that completes after the upstream's return would start a call for which no slot is
+// counted. A crash that several calls report counts once: only the first report finds the
+// upstream up.
+func (g *Guard) UpstreamDown(now time.Time, upstream string) (incarnation uint64, records []quarantine.CrashRecord, first bool) {
 	g.mu.Lock()
 	incarnation = g.upstreamIncarnation
 	if !g.upstreamUp {
@@ -89,49 +89,50 @@
 			claiming = append(claiming, e)
 		}
 	}
-	suspects = g.quarantine.Crashed(now, upstream, incarnation, running)
-	g.suspicion.Store(true)
-	var d due
+	records = g.quarantine.Crashed(now, upstream, incarnation, running)
+	g.hasCrashRecords.Store(true)
+	var deferred callbacks
 	for _, e := range waiting {
 		g.admission.Abandon(now, e.call.Ctx.CallID)
-		g.diedWaitingLocked(now, e, &d)
+		g.refuseWaitingLocked(now, e, &deferred)
 	}
 	for _, e := range claiming {
 		g.admission.Finish(now, e.call.Ctx.CallID, admission.Cancelled, 0)
-		g.diedWaitingLocked(now, e, &d)
+		g.refuseWaitingLocked(now, e, &deferred)
 	}
 	g.mu.Unlock()
-	d.settle()
-	return incarnation, suspects, true
+	deferred.run()
+	return incarnation, records, true
 }
 
-func (g *Guard) diedWaitingLocked(now time.Time, e *execution, d *due) {
-	refusal := result.Refuse(result.NoUpstream, "the upstream died while the call waited")
-	g.endLocked(now, e, Refused(e.call.Ctx.CallID, refusal), d)
+func (g *Guard) refuseWaitingLocked(now time.Time, e *execution, deferred *callbacks) {
+	refusal := result.Refuse(result.NoUpstream, "the process of the upstream ended while the call waited")
+	g.endLocked(now, e, Refused(e.call.Ctx.CallID, refusal), deferred)
 }
 
-// usualTimes is how many times the usual time of a call a stopping node must have left
-// to take one: hardly a call takes longer than that.
-const usualTimes = 4
+// stopLatencyFactor times the median latency must remain before the node stops for a new call
+// to be accepted. Hardly any call takes longer than that.
+const stopLatencyFactor = 4
 
-// EndBy says that the node's process ends at that time. Calls that would most likely
-// still run then are refused, since they would be cut; a short one is still served.
+// EndBy sets the time at which the node's process stops. A call that would probably still run
+// then is refused, since it would be interrupted; a short one is still served.
 func (g *Guard) EndBy(at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.endsBy = at
+	g.stopAt = at
 }
 
-// Drain refuses new calls from now on; those in flight go on.
+// Drain makes the guard refuse new and queued calls. Calls that run or wait for their claim are
+// completed.
 func (g *Guard) Drain(now time.Time) {
 	g.mu.Lock()
-	var d due
+	var deferred callbacks
 	if !g.draining {
 		g.draining = true
-		g.applyLocked(now, g.admission.Drain(now), &d)
+		g.applyLocked(now, g.admission.Drain(now), &deferred)
 	}
 	g.mu.Unlock()
-	d.settle()
+	deferred.run()
 }
 
 // Serving reports whether the local upstream is up.
@@ -141,14 +142,14 @@
 	return g.upstreamUp
 }
 
-// Draining reports whether new calls are refused for good.
+// Draining reports whether new calls are refused because of a drain.
 func (g *Guard) Draining() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.draining
 }
 
-// Load returns a reading of the guard's limits and what they hold.
+// Load returns the current limits of the guard and their usage.
 func (g *Guard) Load() admission.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -157,10 +158,10 @@
 	return l
 }
 
-// Kept is what the guard remembers for resends.
+// Kept is the number of keys and bytes of responses retained for resends, with their bounds.
 type Kept struct{ Keys, MaxKeys, Bytes, MaxBytes int64 }
 
-// Kept returns how many keys and bytes of answers are remembered.
+// Kept returns the number of keys and bytes of responses that are retained.
 func (g *Guard) Kept() Kept {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -173,15 +174,15 @@
 	}
 }
 
-// Busy returns how many calls wait, claim or run.
+// Busy returns the number of calls that wait, claim or run.
 func (g *Guard) Busy() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.calls) - len(g.done)
 }
 
-// Parent returns the context and account of a call that runs here, for the
-// calls that its upstream makes.
+// Parent returns the context and account of a call that runs here, for the calls that the
+// upstream makes on its behalf.
 func (g *Guard) Parent(callID string) (callctx.Context, *retry.Account, bool) {
 	call, account, ok := g.parent(callID)
 	if !ok {
@@ -190,8 +191,8 @@
 	return call.Ctx, account, true
 }
 
-// noteShedding records what a call made by the running call callID learned of the
-// services behind.
+// noteShedding records the shedding threshold of the services behind, as learned by a call that
+// the running call callID made.
 func (g *Guard) noteShedding(callID string, shedsFrom uint32, by string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -200,7 +201,7 @@
 	}
 }
 
-// noteCause records what a failed call made by the running call callID comes down to.
+// noteCause records the root cause of a failed call that the running call callID made.
 func (g *Guard) noteCause(callID string, cause *result.Cause) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -209,7 +210,7 @@
 	}
 }
 
-// noteServed records that a call made by the running call callID had a good answer.
+// noteServed records that a call made by the running call callID was answered with success.
 func (g *Guard) noteServed(callID string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -218,9 +219,9 @@
 	}
 }
 
-// continues reports whether calls were served already for the tree of the running call
-// callID.
-func (g *Guard) continues(callID string) bool {
+// hasPriorWork reports whether calls of the tree of the running call callID were already
+// served.
+func (g *Guard) hasPriorWork(callID string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e, ok := g.calls[callID]
--- a/internal/node/main_test.go
+++ b/internal/node/main_test.go
@@ -8,7 +8,7 @@
 	"github.com/galenagrade/galenagrade/internal/testseed"
 )
 
-// TestMain also fails when a test leaves a goroutine behind.
+// TestMain fails when a test leaks a goroutine.
 func TestMain(m *testing.M) {
 	testseed.Fix()
 	goleak.VerifyTestMain(m)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,6 @@
-// Package node is the path of a request through one node, its decisions put together:
-// how calls are routed, admitted, retried and remembered. It does no
-// I/O and reads no clock of its own: a Clock, a Runner and the messages that
-// arrive are given to it, so that many nodes can be driven by one goroutine.
+// Package node implements the decisions that one node takes for a request: routing, admission,
+// retries and idempotency. It does no I/O and reads no clock of its own: a Clock, a Runner and
+// incoming messages are passed in, so that one goroutine can drive many nodes.
 package node
 
 import (
@@ -22,84 +21,85 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// Clock tells the time. Its times carry a monotonic reading, or the harness's.
+// Clock returns the current time. Its times carry a monotonic reading or come from a test
+// harness.
 type Clock interface {
 	Now() time.Time
 }
 
-// Identity names a node process and where it is.
+// Identity identifies a node process and its location.
 type Identity struct {
 	Node        string
 	Incarnation uint64
 	Region      string
 	Zone        string
-	// InnerAddr is where other nodes reach it, IP:port.
+	// InnerAddr is the address for other nodes, IP:port.
 	InnerAddr string
-	// AdminAddr is where operators reach it, IP:port.
+	// AdminAddr is the address for operators, IP:port.
 	AdminAddr string
 }
 
-// Config is what a node is made of.
+// Config configures a node.
 type Config struct {
 	Identity  Identity
 	Clock     Clock
 	Runner    Runner
 	Authority Authority
-	// Owners finds the owner of an idempotency key; may be nil.
+	// Owners finds the owner of an idempotency key; nil means that no key has an owner.
 	Owners   Owners
 	Ring     *timeline.Ring
 	Routing  routing.Config
 	Retry    retry.Policy
 	Throttle retry.ThrottleConfig
 	Guard    GuardConfig
-	// Seed feeds the call IDs; two nodes must not share one.
+	// Seed seeds the generator of call IDs; every node needs a different one.
 	Seed [32]byte
-	// Sample keeps the events of one good call in that many; refused and
-	// retried calls are always kept.
+	// Sample is the sampling rate of events: they are kept for one in Sample successful calls,
+	// and for every refused or retried call.
 	Sample int
-	// Observer may be nil.
+	// Observer receives the end of every call; may be nil.
 	Observer Observer
-	// Reroutes is how often a call that did not reach an upstream is sent to
-	// another one without cost to its allowance.
+	// Reroutes is how many times a call that did not reach an upstream is sent to another one
+	// without spending its retry allowance.
 	Reroutes int
-	// MaxQueue bounds the guard's queue whatever a template asks for; 0 leaves
-	// it to the template.
+	// MaxQueue bounds the guard's queue, in addition to the bound of the template; 0 means no
+	// further bound.
 	MaxQueue int
-	// MaxBody bounds one body in bytes whatever a template asks for; 0 leaves
-	// it to the template.
+	// MaxBody bounds a single body in bytes, in addition to the bound of the template; 0 means
+	// no further bound.
 	MaxBody int64
-	// Metrics takes the node's numbers; nil keeps them nowhere.
+	// Metrics receives the node's metrics; nil discards them.
 	Metrics *metrics.Set
-	// OnRefused is told of every refusal that leaves the node to a caller or
-	// to the local upstream; may be nil. It must not block.
+	// OnRefused is called for every refusal that the node sends to a caller or to the local
+	// upstream; may be nil. It must not block.
 	OnRefused func(call *Call, r *result.Refusal)
-	// OnEvent is told of every event that goes on the time line; may be nil. It
-	// must not block nor keep the event.
+	// OnEvent is called for every event that is added to the timeline; may be nil. It must not
+	// block nor retain the event.
 	OnEvent func(*timeline.Event)
-	// OnCrash is called when the local upstream's process died; may be nil.
+	// OnCrash is called when the process of the local upstream crashed; may be nil.
 	OnCrash func()
-	// OnCrashRecords is given records of crashing requests for the peers; may be
-	// nil. It must not block.
+	// OnCrashRecords is called with crash records to be gossiped to the peers; may be nil. It
+	// must not block.
 	OnCrashRecords func([]quarantine.CrashRecord)
 }
 
 // Owners finds the guard that owns an idempotency key.
 type Owners interface {
-	// Owner returns its inner address; empty when none is known.
+	// Owner returns the inner address of the owner; empty when unknown.
 	Owner(service string, keyHash uint64) string
-	// SetResendHorizon raises the time in which keys of the local service may
-	// be sent again.
+	// SetResendHorizon raises the time during which callers may resend keys of the local
+	// service.
 	SetResendHorizon(d time.Duration)
 }
 
-// Observer is told how calls end at their entry or exit node. It is called
+// Observer receives the end of calls at their entry or exit node. Its methods are called
 // concurrently and must not block.
 type Observer interface {
-	// CallEnded gives the retries made here on behalf of a root request.
+	// CallEnded reports how many retries this node made for a root request.
 	CallEnded(requestID string, retries int)
 }
 
-// Node is one node's decisions. Safe for concurrent use.
+// Node implements the decisions of one node. Safe for concurrent use.
 type Node struct {
 	cfg     Config
 	guard   *Guard
@@ -111,8 +111,8 @@
 
 	throttles sync.Map // service name to *throttle
 
-	// endpoints are those of the table in force; only the control loop, which
-	// also sets the configuration, touches them.
+	// endpoints are the endpoints of the current routing table. Only the control loop, which
+	// also sets the configuration, accesses endpoints and overrides.
 	endpoints []routing.Endpoint
 	overrides map[string]routing.Override
 
@@ -120,10 +120,10 @@
 	idSrc *rand.ChaCha8
 }
 
-// New makes a node that knows nobody yet.
+// New returns a node without a configuration, endpoints or a local upstream.
 func New(cfg Config) *Node {
 	if cfg.Metrics == nil {
-		cfg.Metrics = unread()
+		cfg.Metrics = discardedMetrics()
 	}
 	n := &Node{
 		cfg:     cfg,
@@ -132,15 +132,15 @@
 	}
 	now := cfg.Clock.Now()
 	n.guard = NewGuard(cfg.Guard, cfg.Identity.Incarnation, cfg.Runner, cfg.Authority, now)
-	n.guard.observer = &observer{node: n}
-	n.guard.onSuspects = n.spread
+	n.guard.events = &eventRecorder{node: n}
+	n.guard.onCrashRecords = n.gossip
 	n.policy.Store(policy.NewState())
 	n.table.Store(routing.NewTable(nil, cfg.Routing, n.self(), nil, now))
 	return n
 }
 
-// unread is where numbers go that nobody asked for.
-var unread = sync.OnceValue(func() *metrics.Set { return metrics.New(1 << 16) })
+// discardedMetrics receives the metrics of nodes that are configured without a metrics set.
+var discardedMetrics = sync.OnceValue(func() *metrics.Set { return metrics.New(1 << 16) })
 
 func (n *Node) self() routing.Self {
 	id := n.cfg.Identity
@@ -150,19 +150,19 @@
 // ID returns the node's name.
 func (n *Node) ID() string { return n.cfg.Identity.Node }
 
-// Identity returns who and where the node is.
+// Identity returns the identity of the node.
 func (n *Node) Identity() Identity { return n.cfg.Identity }
 
-// Incarnation returns the number of this process of the node.
+// Incarnation returns the incarnation number of the node's process.
 func (n *Node) Incarnation() uint64 { return n.cfg.Identity.Incarnation }
 
 // Now reads the node's clock.
 func (n *Node) Now() time.Time { return n.cfg.Clock.Now() }
 
-// Guard returns the way into the local upstream.
+// Guard returns the guard of the local upstream.
 func (n *Node) Guard() *Guard { return n.guard }
 
-// Ring returns the node's time line.
+// Ring returns the ring buffer of the node's timeline.
 func (n *Node) Ring() *timeline.Ring { return n.cfg.Ring }
 
 // Table implements Router.
@@ -184,8 +184,8 @@
 	return t.(*throttle).Throttle
 }
 
-// idBytes gives 128 random bits: no two of 5.5 million calls a second over
-// years will share one.
+// idBytes is the length of a call ID: 128 random bits, so that IDs stay unique over years of
+// 5.5 million calls a second.
 const idBytes = 16
 
 // NewID implements Router.
@@ -199,8 +199,8 @@
 	return string(text[:])
 }
 
-// SetEndpoints puts a new routing table in force. Only the control loop calls
-// it, so that no two tables are built from the same predecessor.
+// SetEndpoints builds and publishes a new routing table. Only the control loop calls it, so
+// that no two tables are built from the same predecessor.
 func (n *Node) SetEndpoints(now time.Time, endpoints []routing.Endpoint) {
 	n.endpoints = endpoints
 	n.buildTable(now)
@@ -213,8 +213,8 @@
 	n.table.Store(routing.NewTable(n.table.Load(), cfg, n.self(), n.endpoints, now))
 }
 
-// SetPolicy puts a configuration in force. An older one than that in force is
-// ignored: what was accepted never reverts.
+// SetPolicy applies a configuration. A configuration that is not newer than the current one is
+// ignored, so that an accepted change is never reverted.
 func (n *Node) SetPolicy(now time.Time, s *policy.State) {
 	old := n.policy.Load()
 	if s.Version() <= old.Version() {
@@ -229,8 +229,8 @@
 	n.Event(now, timeline.Event{Kind: timeline.ConfigApplied, Detail: fmt.Sprintf("version %d", change)})
 }
 
-// Root completes the context of a caller's request and returns the retry
-// allowance of its tree.
+// Root builds the call of a caller's request from its headers and its template. It returns the
+// call and the retry allowance of the call's tree.
 func (n *Node) Root(now time.Time, raw callctx.Raw, method, caller string) (*Call, int, *result.Refusal) {
 	eff, refusal := n.lookup(raw.Workspace, raw.Service)
 	if refusal != nil {
@@ -255,7 +255,7 @@
 		RootAdmitted: now,
 		CallerHash:   callctx.HashCaller(raw.Workspace, caller),
 	}}
-	if refusal := completeKey(call, raw, method, eff); refusal != nil {
+	if refusal := completeContext(call, raw, method, eff); refusal != nil {
 		return nil, 0, refusal
 	}
 	n.cfg.Metrics.Inc(metrics.CallsReceived, 1)
@@ -263,8 +263,8 @@
 	return call, eff.RetryAllowance, nil
 }
 
-// Child completes the context of a call that the local upstream makes for a
-// call that it runs. The account of that call pays its retries.
+// Child builds a call that the local upstream makes while it runs another call. It returns the
+// call and the account of the running call, from which the retries of the child are paid.
 func (n *Node) Child(now time.Time, raw callctx.Raw, method string) (*Call, *retry.Account, *result.Refusal) {
 	running, account, ok := n.guard.parent(raw.Parent)
 	if !ok {
@@ -288,13 +288,13 @@
 	if raw.Timeout > 0 && now.Add(raw.Timeout).Before(parent.Deadline) {
 		call.Ctx.Deadline = now.Add(raw.Timeout)
 	}
-	if refusal := completeKey(call, raw, method, eff); refusal != nil {
+	if refusal := completeContext(call, raw, method, eff); refusal != nil {
 		return nil, nil, refusal
 	}
 	return call, account, nil
 }
 
-func completeKey(call *Call, raw callctx.Raw, method string, eff *policy.Effective) *result.Refusal {
+func completeContext(call *Call, raw callctx.Raw, method string, eff *policy.Effective) *result.Refusal {
 	call.Ctx.Idempotent = raw.Idempotent || eff.Idempotent(method)
 	call.Ctx.Key = raw.Key
 	call.Ctx.KeyIssued = raw.KeyIssued
@@ -324,7 +324,7 @@
 // defaultMaxBody bounds the bodies of services without an instance, in bytes.
 const defaultMaxBody = 1 << 20
 
-// MaxBody returns the bound of a body held for the call, in bytes.
+// MaxBody returns the size limit of a body held for the call, in bytes.
 func (n *Node) MaxBody(call *Call) int64 {
 	bound := int64(defaultMaxBody)
 	if eff, ok := n.policy.Load().Lookup(call.Ctx.Workspace, call.Ctx.Service); ok {
@@ -336,7 +336,7 @@
 	return bound
 }
 
-// RefuseCall makes the answer to a call that the guard never saw.
+// RefuseCall returns the response to a call that is refused before it reaches the guard.
 func (n *Node) RefuseCall(call *Call, r *result.Refusal) *Response {
 	a := Refused(call.Ctx.CallID, r)
 	a.Unused = call.Allowance
@@ -345,24 +345,24 @@
 
 // Owner implements Router.
 func (n *Node) Owner(call *Call) string {
-	if n.cfg.Owners == nil || !n.owned(call) {
+	if n.cfg.Owners == nil || !n.usesOwnership(call) {
 		return ""
 	}
-	return n.At(call.Ctx.Service, n.cfg.Owners.Owner(call.Ctx.Service, call.IdempotencyKey().Hash()))
+	return n.NodeAt(call.Ctx.Service, n.cfg.Owners.Owner(call.Ctx.Service, call.IdempotencyKey().Hash()))
 }
 
-// owned reports whether the call's key is decided by the owner of its slot.
-func (n *Node) owned(call *Call) bool {
+// usesOwnership reports whether the owner of the key's slot decides whether the call may run.
+func (n *Node) usesOwnership(call *Call) bool {
 	eff, ok := n.policy.Load().Lookup(call.Ctx.Workspace, call.Ctx.Service)
 	return ok && eff.AtMostOnce == policy.AtMostOnceOwnership
 }
 
 // NeedsClaim reports whether a claim of the call's key must be in the log
 // before the call runs.
-func (n *Node) NeedsClaim(call *Call) bool { return !n.owned(call) }
+func (n *Node) NeedsClaim(call *Call) bool { return !n.usesOwnership(call) }
 
-// At implements Router.
-func (n *Node) At(service, addr string) string {
+// NodeAt implements Router.
+func (n *Node) NodeAt(service, addr string) string {
 	if addr == "" {
 		return ""
 	}
--- a/internal/node/continues_test.go
+++ b/internal/node/prior_work_test.go
@@ -17,40 +17,40 @@
 
 func (fixedClock) Now() time.Time { return epoch }
 
-// running makes a node whose upstream runs a call, and returns both.
-func running(t *testing.T, root *Call) *Node {
+// nodeRunning returns a node whose upstream runs the call root.
+func nodeRunning(t *testing.T, root *Call) *Node {
 	n := New(Config{
 		Identity: Identity{Node: "n", Incarnation: 1}, Clock: fixedClock{}, Runner: &fakeRunner{}, Authority: &fakeAuthority{},
 		Routing: routing.DefaultConfig(), Retry: retry.DefaultPolicy(), Throttle: retry.DefaultThrottleConfig(), Guard: DefaultGuardConfig(),
 	})
 	n.Guard().UpstreamUp(epoch, admission.DefaultConfig(4))
-	_, answer := n.Guard().Arrive(epoch, root, func(*Response) {})
-	must.Nil(t, answer)
+	_, response := n.Guard().Arrive(epoch, root, func(*Response) {})
+	must.Nil(t, response)
 	return n
 }
 
-func child(t *testing.T, n *Node, parent string) *Call {
+func acceptChild(t *testing.T, n *Node, parent string) *Call {
 	call, _, ok := n.AcceptChild(epoch, Routed{RequestID: "q.1", Workspace: callctx.NoWorkspace, Service: "tracker", Timeout: time.Second}, parent)
 	must.True(t, ok)
 	return call
 }
 
-// Guards against calls of a tree that was served before being shed like first ones.
-func TestCallsAfterAServedOneContinueTheirTree(t *testing.T) {
+// Guards against the further calls of a tree with prior work being shed like first calls.
+func TestCallAfterServedSiblingHasPriorWork(t *testing.T) {
 	root := &Call{Routed: true, Ctx: callctx.Context{RequestID: "q", CallID: "c", Workspace: "north", Service: "letters", Deadline: epoch.Add(time.Minute)}}
-	n := running(t, root)
-	first := child(t, n, "c")
+	n := nodeRunning(t, root)
+	first := acceptChild(t, n, "c")
 	must.False(t, first.HasPriorWork)
 	n.ChildEnded(epoch, first, &Response{Code: result.Shed, Refusal: result.Refuse(result.Shed, "full"), ShedsFrom: routing.NoThreshold})
-	second := child(t, n, "c")
+	second := acceptChild(t, n, "c")
 	must.False(t, second.HasPriorWork)
 	n.ChildEnded(epoch, second, &Response{Code: result.OK, ShedsFrom: routing.NoThreshold})
-	must.True(t, child(t, n, "c").HasPriorWork)
+	must.True(t, acceptChild(t, n, "c").HasPriorWork)
 	must.EqOp(t, "north", second.Ctx.Workspace)
 }
 
-// Guards against a tree that is taken for a new one on its way down.
-func TestCallsOfACallThatContinuesContinue(t *testing.T) {
-	n := running(t, &Call{Routed: true, HasPriorWork: true, Ctx: callctx.Context{RequestID: "q.1", CallID: "c", Workspace: "north", Service: "consent", Depth: 1, Deadline: epoch.Add(time.Minute)}})
-	must.True(t, child(t, n, "c").HasPriorWork)
+// Guards against a tree with prior work being treated as a new one further down.
+func TestChildOfCallWithPriorWorkHasPriorWork(t *testing.T) {
+	n := nodeRunning(t, &Call{Routed: true, HasPriorWork: true, Ctx: callctx.Context{RequestID: "q.1", CallID: "c", Workspace: "north", Service: "consent", Depth: 1, Deadline: epoch.Add(time.Minute)}})
+	must.True(t, acceptChild(t, n, "c").HasPriorWork)
 }
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -10,7 +10,7 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// instancesOf returns the behaviours of every workspace for a service, by
+// instancesOf returns the effective settings of a service in every workspace, ordered by
 // workspace. Workspaces that share a service share its upstreams.
 func instancesOf(s *policy.State, service string) []*policy.Effective {
 	var out []*policy.Effective
@@ -25,8 +25,8 @@
 	return out
 }
 
-// instanceFor returns the behaviour that decides where a service can have only
-// one: that of the first workspace in order.
+// instanceFor returns the effective settings for what a service can have only once: those of
+// the first workspace in order.
 func instanceFor(s *policy.State, service string) (*policy.Effective, bool) {
 	all := instancesOf(s, service)
 	if len(all) == 0 {
@@ -35,7 +35,7 @@
 	return all[0], true
 }
 
-// reconfigure puts what a new configuration changed in force.
+// reconfigure applies the changes of a new configuration.
 func (n *Node) reconfigure(now time.Time) {
 	n.dropChangedThrottles()
 	if !maps.Equal(n.overrides, routingOverrides(n.policy.Load())) {
@@ -48,13 +48,13 @@
 	n.guard.reconfigureWith(now, func(slots int) admission.Config {
 		return n.admissionConfig(*service, slots)
 	})
-	n.configureMemory()
+	n.configureRetention()
 }
 
-// configureMemory sets how long the guard remembers keys, answers and crashing
-// requests. The longest horizon of any workspace decides: a key forgotten
-// before its caller stops resending it would run a second time.
-func (n *Node) configureMemory() {
+// configureRetention sets how long the guard retains keys, responses and crash records. The
+// longest horizon of all workspaces applies: a key that expires before its caller stops
+// resending it would run a second time.
+func (n *Node) configureRetention() {
 	service := n.service.Load()
 	if service == nil {
 		return
@@ -75,15 +75,15 @@
 			crashes.QuarantineFor = eff.QuarantineFor
 		}
 	}
-	n.guard.configureMemory(keys, crashes)
+	n.guard.configureRetention(keys, crashes)
 	if n.cfg.Owners != nil {
 		n.cfg.Owners.SetResendHorizon(keys.KeepKeys)
 	}
 }
 
-// dropChangedThrottles forgets the throttles whose ratio is another now. The
-// others keep what they learned: changes come every few seconds at the planned
-// size, and a throttle that starts anew each time would hold nothing back.
+// dropChangedThrottles removes the throttles whose configuration changed. The others keep their
+// state: at the planned size the configuration changes every few seconds, and a throttle that
+// is reset each time would never limit retries.
 func (n *Node) dropChangedThrottles() {
 	n.throttles.Range(func(service, t any) bool {
 		if t.(*throttle).cfg != n.throttleConfig(service.(string)) {
@@ -93,7 +93,7 @@
 	})
 }
 
-// throttle is a service's retry throttle with what it was made of.
+// throttle is the retry throttle of a service with the configuration it was created from.
 type throttle struct {
 	*retry.Throttle
 	cfg retry.ThrottleConfig
@@ -107,7 +107,7 @@
 	return cfg
 }
 
-// routingOverrides are the values of each service's template for routing.
+// routingOverrides returns the routing settings of each service's template, by service.
 func routingOverrides(s *policy.State) map[string]routing.Override {
 	out := make(map[string]routing.Override)
 	for _, i := range s.Instances() {
--- a/internal/node/reconfigure_test.go
+++ b/internal/node/reconfigure_test.go
@@ -14,15 +14,15 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// noOwners records the horizon that a node asks for.
-type noOwners struct{ horizon time.Duration }
+// horizonRecorder owns no keys and records the resend horizon that the node sets.
+type horizonRecorder struct{ horizon time.Duration }
 
-func (*noOwners) Owner(string, uint64) string { return "" }
+func (*horizonRecorder) Owner(string, uint64) string { return "" }
 
-func (o *noOwners) SetResendHorizon(d time.Duration) { o.horizon = d }
+func (o *horizonRecorder) SetResendHorizon(d time.Duration) { o.horizon = d }
 
-// published is the state after the template balanced and one instance of it.
-func published(t *testing.T, values map[string]string) *policy.State {
+// publishedState returns the configuration with the template balanced and one instance of it.
+func publishedState(t *testing.T, values map[string]string) *policy.State {
 	s := policy.NewState()
 	for _, tpl := range policy.Library() {
 		if tpl.Name == "balanced" {
@@ -40,14 +40,14 @@
 	return s.Apply(logstore.Entry{Offset: int64(s.Version()), Record: rec})
 }
 
-// Guards against keys forgotten before the horizon that the template promises.
-func TestKeysAreRememberedForTheHorizonOfTheTemplate(t *testing.T) {
-	runner, owners := &fakeRunner{}, &noOwners{}
+// Guards against keys that expire before the resend horizon of the template has passed.
+func TestKeysAreRetainedForResendHorizonOfTemplate(t *testing.T) {
+	runner, owners := &fakeRunner{}, &horizonRecorder{}
 	n := New(Config{
-		Clock: stillClock{}, Runner: runner, Authority: &fakeAuthority{}, Owners: owners, Guard: DefaultGuardConfig(),
+		Clock: frozenClock{}, Runner: runner, Authority: &fakeAuthority{}, Owners: owners, Guard: DefaultGuardConfig(),
 		Routing: routing.DefaultConfig(), Ring: timeline.NewRing("n", 16, &timeline.Clock{}),
 	})
-	n.SetPolicy(epoch, published(t, map[string]string{"resend_horizon": "1h", "slow_start": "7s"}))
+	n.SetPolicy(epoch, publishedState(t, map[string]string{"resend_horizon": "1h", "slow_start": "7s"}))
 	n.UpstreamAnnounced(epoch, Announcement{Service: "s", Address: "127.0.0.1:1", Slots: 2})
 	must.Eq(t, time.Hour, owners.horizon)
 
@@ -59,7 +59,7 @@
 	}
 	must.Nil(t, send("first", epoch))
 	must.SliceLen(t, 1, runner.runs)
-	n.Guard().Finish(epoch.Add(time.Second), "first", wholeAnswerOf(runner.runs[0], "issued"))
+	n.Guard().Finish(epoch.Add(time.Second), "first", wholeResponseOf(runner.runs[0], "issued"))
 	late := epoch.Add(40 * time.Minute)
 	n.Guard().Tick(late)
 	again := send("again", late)
@@ -69,14 +69,15 @@
 	must.Eq(t, 7*time.Second, routingOverrides(n.Policy())["s"].SlowStart)
 }
 
-// Configuration changes every few seconds at the planned size. A throttle that
-// began anew at each of them would never hold retries back in an outage.
-func TestThrottleOutlivesChangesThatDoNotConcernIt(t *testing.T) {
+// Guards against a configuration change resetting the throttles of services that it does not
+// affect. At the planned size the configuration changes every few seconds, and a throttle reset
+// at each change would never hold retries back in an outage.
+func TestUnrelatedChangeKeepsThrottleState(t *testing.T) {
 	n := New(Config{
-		Clock: stillClock{at: epoch}, Runner: &fakeRunner{}, Authority: &fakeAuthority{}, Guard: DefaultGuardConfig(),
+		Clock: frozenClock{at: epoch}, Runner: &fakeRunner{}, Authority: &fakeAuthority{}, Guard: DefaultGuardConfig(),
 		Routing: routing.DefaultConfig(), Throttle: retry.DefaultThrottleConfig(), Ring: timeline.NewRing("n", 16, &timeline.Clock{}),
 	})
-	state := published(t, nil)
+	state := publishedState(t, nil)
 	n.SetPolicy(epoch, state)
 	before := n.Throttle("s")
 	for before.Allow() {
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -10,42 +10,44 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// Announcement is what the local upstream says of itself.
+// Announcement is what the local upstream reports when it registers with its node.
 type Announcement struct {
 	Service string `json:"service"`
-	// Address is where it takes calls, IP:port.
+	// Address is the address on which the upstream accepts calls, IP:port.
 	Address string `json:"address"`
-	// Slots is how many calls it can run at a time.
+	// Slots is the number of calls that the upstream can run concurrently.
 	Slots int `json:"slots"`
-	// Connections is how many connections it accepts.
+	// Connections is the number of connections that the upstream accepts.
 	Connections int `json:"connections"`
 }
 
-// UpstreamAnnounced takes the local upstream into service.
+// UpstreamAnnounced puts the local upstream into service.
 func (n *Node) UpstreamAnnounced(now time.Time, a Announcement) {
 	n.service.Store(&a.Service)
 	n.guard.UpstreamUp(now, n.admissionConfig(a.Service, a.Slots))
-	n.configureMemory()
+	n.configureRetention()
 	n.Event(now, timeline.Event{Kind: timeline.UpstreamJoined, Service: a.Service, Upstream: n.ID(), Detail: a.Address})
 }
 
-// UpstreamReplaced takes another process of the local upstream into service.
+// UpstreamReplaced puts a new process of the local upstream into service in place of the old
+// one.
 func (n *Node) UpstreamReplaced(now time.Time, a Announcement) {
 	n.service.Store(&a.Service)
 	n.guard.UpstreamReplaced(now, n.admissionConfig(a.Service, a.Slots))
-	n.configureMemory()
+	n.configureRetention()
 	n.Event(now, timeline.Event{Kind: timeline.UpstreamJoined, Service: a.Service, Upstream: n.ID(), Detail: a.Address})
 }
 
-// UpstreamCrashed records the death of the local upstream's process, once, and
-// spreads what it ran as suspects. It returns the incarnation that died last.
+// UpstreamCrashed records a crash of the local upstream's process, once, and gossips crash
+// records of the requests that it ran. It returns the incarnation of the process that crashed
+// last.
 func (n *Node) UpstreamCrashed(now time.Time) uint64 {
-	incarnation, suspects, first := n.guard.UpstreamDown(now, n.ID())
+	incarnation, records, first := n.guard.UpstreamDown(now, n.ID())
 	if first {
-		n.spread(suspects)
+		n.gossip(records)
 		n.Event(now, timeline.Event{Kind: timeline.UpstreamCrashed, Upstream: n.ID()})
 		n.cfg.Metrics.Inc(metrics.UpstreamCrashes, 1)
-		n.suspected(now, suspects)
+		n.recordSuspected(now, records)
 		if n.cfg.OnCrash != nil {
 			n.cfg.OnCrash()
 		}
@@ -53,26 +55,25 @@
 	return incarnation
 }
 
-func (n *Node) spread(suspects []quarantine.CrashRecord) {
-	n.cfg.Metrics.Inc(metrics.CrashRecordsGossiped, int64(len(suspects)))
-	if len(suspects) > 0 && n.cfg.OnCrashRecords != nil {
-		n.cfg.OnCrashRecords(suspects)
+func (n *Node) gossip(records []quarantine.CrashRecord) {
+	n.cfg.Metrics.Inc(metrics.CrashRecordsGossiped, int64(len(records)))
+	if len(records) > 0 && n.cfg.OnCrashRecords != nil {
+		n.cfg.OnCrashRecords(records)
 	}
 }
 
 // CrashRecords implements Router.
 func (n *Node) CrashRecords(now time.Time, call *Call) []quarantine.CrashRecord {
-	return n.guard.marks(now, call)
+	return n.guard.crashRecords(now, call)
 }
 
 // ReportCrash implements Router.
 func (n *Node) ReportCrash(now time.Time, call *Call, a *Response) {
-	n.spread([]quarantine.CrashRecord{n.guard.witness(now, call, a)})
+	n.gossip([]quarantine.CrashRecord{n.guard.recordCrash(now, call, a)})
 }
 
-// admissionConfig derives the guard's limits from any instance that covers the
-// service. Workspaces that share an upstream share its guard; the instance of
-// the first workspace in order decides.
+// admissionConfig returns the limits of the guard for the service. Workspaces that share an
+// upstream share its guard: the instance of the first workspace in order decides.
 func (n *Node) admissionConfig(service string, slots int) admission.Config {
 	cfg := admission.DefaultConfig(slots)
 	if eff, ok := instanceFor(n.policy.Load(), service); ok {
