--- a/internal/mesh/adopt.go
+++ b/internal/mesh/adopt.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// adoptFor is how long after its start a node looks for the upstream beside it:
+	// adoptionWindow is how long after its start a node looks for the upstream beside it:
 	// twice the pause between two reports of an upstream, which come every 1.5 s.
-	adoptFor = 3 * time.Second
-	// adoptPause is the pause between two looks. Routes and the node's earlier record
+	adoptionWindow = 3 * time.Second
+	// adoptionPollInterval is the pause between two looks. Routes and the node's earlier record
 	// come from the store some 20 ms after the start.
-	adoptPause = 50 * time.Millisecond
-	// healthTimeout bounds a question for the upstream's health, which waits for a slot
+	adoptionPollInterval = 50 * time.Millisecond
+	// healthCheckTimeout bounds a question for the upstream's health, which waits for a slot
 	// like a request.
-	healthTimeout = 500 * time.Millisecond
+	healthCheckTimeout = 500 * time.Millisecond
 )
 
 // adoptUpstream takes the upstream beside the node into service before it reports.
@@ -30,32 +30,32 @@
 // still that one and takes work. Neither alone would do: a record may be of a process
 // that is gone, and health doesn't tell the slots.
 func (m *Mesh) adoptUpstream(ctx context.Context) {
-	end := time.Now().Add(adoptFor)
-	pause := time.NewTicker(adoptPause)
-	defer pause.Stop()
-	for time.Now().Before(end) && !m.local.heardOf() && !m.stopping.Load() {
-		if record, ok := m.adoptable(); ok && m.identify(ctx) == record.Upstream && m.local.adopt(&record, m.cfg.UpstreamAddress) {
+	deadline := time.Now().Add(adoptionWindow)
+	poll := time.NewTicker(adoptionPollInterval)
+	defer poll.Stop()
+	for time.Now().Before(deadline) && !m.local.isKnown() && !m.stopping.Load() {
+		if record, ok := m.predecessorUpstream(); ok && m.upstreamID(ctx) == record.Upstream && m.local.adopt(&record, m.cfg.UpstreamAddress) {
 			return
 		}
 		select {
-		case <-pause.C:
+		case <-poll.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// adoptable returns the record that the node's earlier process left, if it speaks of an
+// predecessorUpstream returns the record that the node's earlier process left, if it speaks of an
 // upstream at work.
-func (m *Mesh) adoptable() (fleet.Member, bool) {
+func (m *Mesh) predecessorUpstream() (fleet.Member, bool) {
 	record, known := m.members.predecessor(m.cfg.NodeID, m.node.Incarnation())
-	atWork := record.State == fleet.Serving || record.State == fleet.Stopping
-	return record, known && atWork && record.Service == m.cfg.Service && record.Upstream != "" && record.Slots > 0
+	active := record.State == fleet.Serving || record.State == fleet.Stopping
+	return record, known && active && record.Service == m.cfg.Service && record.Upstream != "" && record.Slots > 0
 }
 
-// identify asks the upstream who it is; empty when it can't be asked, doesn't answer or
+// upstreamID asks the upstream who it is; empty when it can't be asked, doesn't answer or
 // takes no work.
-func (m *Mesh) identify(ctx context.Context) string {
+func (m *Mesh) upstreamID(ctx context.Context) string {
 	table := m.proxy.Routes()
 	if table == nil {
 		return ""
@@ -64,7 +64,7 @@
 	if path == "" {
 		return ""
 	}
-	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.cfg.UpstreamAddress+path, nil)
 	if err != nil {
@@ -72,11 +72,11 @@
 		return ""
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
-		m.bounded.Debug().Str("address", m.cfg.UpstreamAddress).Err(err).Msg("upstream not asked for its health")
+		m.rateLimited.Debug().Str("address", m.cfg.UpstreamAddress).Err(err).Msg("upstream not asked for its health")
 		return ""
 	}
-	defer func() { _ = answer.Body.Close() }()
-	return m.platform.Identify(answer.StatusCode, answer.Header)
+	defer func() { _ = resp.Body.Close() }()
+	return m.platform.Identify(resp.StatusCode, resp.Header)
 }
--- a/internal/mesh/callerconn.go
+++ b/internal/mesh/callerconn.go
@@ -12,8 +12,8 @@
 	// while the server runs.
 	idleSentinel   = 1000 * time.Hour
 	headerSentinel = 500 * time.Hour
-	// defaultIdle holds where the routes set no idle timeout.
-	defaultIdle = 60 * time.Second
+	// defaultIdleTimeout holds where the routes set no idle timeout.
+	defaultIdleTimeout = 60 * time.Second
 )
 
 type callerListener struct {
@@ -27,38 +27,38 @@
 	if err != nil {
 		return nil, err
 	}
-	return &callerConn{Conn: c, bounds: l.mesh}, nil
+	return &callerConn{Conn: c, timeouts: l.mesh}, nil
 }
 
-// callerBounds are the times that a caller may take, as they are in force.
-type callerBounds interface {
+// callerTimeouts are the times that a caller may take, as they are in force.
+type callerTimeouts interface {
 	idleTimeout() time.Duration
 	headerTimeout() time.Duration
 }
 
 type callerConn struct {
 	net.Conn
-	bounds callerBounds
-	// unused is set while nothing has come on a new connection. net/http counts the
+	timeouts callerTimeouts
+	// awaitingFirstByte is set while nothing has come on a new connection. net/http counts the
 	// time of its first header from the start, and so would close connections that
 	// callers open in advance.
-	unused atomic.Bool
-	used   bool
+	awaitingFirstByte atomic.Bool
+	firstDeadlineSet  bool
 }
 
 // SetReadDeadline implements net.Conn. A deadline about as far away as a sentinel
 // is net/http's wait for the next request or for a whole header.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
-	away := time.Until(t)
+	remaining := time.Until(t)
 	switch {
-	case away > (idleSentinel+headerSentinel)/2:
-		t = time.Now().Add(c.bounds.idleTimeout())
-	case away > headerSentinel/2 && !c.used:
-		c.used = true
-		c.unused.Store(true)
-		t = time.Now().Add(c.bounds.idleTimeout())
-	case away > headerSentinel/2:
-		t = time.Now().Add(c.bounds.headerTimeout())
+	case remaining > (idleSentinel+headerSentinel)/2:
+		t = time.Now().Add(c.timeouts.idleTimeout())
+	case remaining > headerSentinel/2 && !c.firstDeadlineSet:
+		c.firstDeadlineSet = true
+		c.awaitingFirstByte.Store(true)
+		t = time.Now().Add(c.timeouts.idleTimeout())
+	case remaining > headerSentinel/2:
+		t = time.Now().Add(c.timeouts.headerTimeout())
 	}
 	return c.Conn.SetReadDeadline(t)
 }
@@ -66,8 +66,8 @@
 // Read implements net.Conn.
 func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n > 0 && c.unused.CompareAndSwap(true, false) {
-		if err := c.Conn.SetReadDeadline(time.Now().Add(c.bounds.headerTimeout())); err != nil {
+	if n > 0 && c.awaitingFirstByte.CompareAndSwap(true, false) {
+		if err := c.Conn.SetReadDeadline(time.Now().Add(c.timeouts.headerTimeout())); err != nil {
 			return n, err
 		}
 	}
@@ -78,12 +78,12 @@
 	if t := m.proxy.Routes(); t != nil && t.Config().Limits.IdleTimeout > 0 {
 		return t.Config().Limits.IdleTimeout
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 func (m *Mesh) headerTimeout() time.Duration {
 	if t := m.proxy.Routes(); t != nil && t.Config().Limits.HeaderTimeout > 0 {
 		return t.Config().Limits.HeaderTimeout
 	}
-	return headerTimeout
+	return defaultHeaderTimeout
 }
--- a/internal/mesh/callerconn_test.go
+++ b/internal/mesh/callerconn_test.go
@@ -10,13 +10,13 @@
 	"github.com/shoenig/test/must"
 )
 
-type fixedBounds struct{ idle, header time.Duration }
+type fixedTimeouts struct{ idle, header time.Duration }
 
-func (b fixedBounds) idleTimeout() time.Duration   { return b.idle }
-func (b fixedBounds) headerTimeout() time.Duration { return b.header }
+func (b fixedTimeouts) idleTimeout() time.Duration   { return b.idle }
+func (b fixedTimeouts) headerTimeout() time.Duration { return b.header }
 
 // connPair returns the node's and the caller's end of a connection.
-func connPair(t *testing.T, b callerBounds) (node *callerConn, caller net.Conn) {
+func connPair(t *testing.T, b callerTimeouts) (node *callerConn, caller net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
@@ -25,14 +25,14 @@
 	accepted, err := l.Accept()
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = caller.Close(); _ = accepted.Close() })
-	return &callerConn{Conn: accepted, bounds: b}, caller
+	return &callerConn{Conn: accepted, timeouts: b}, caller
 }
 
 func sentinel(d time.Duration) time.Time { return time.Now().Add(d) }
 
 // Guards against a connection opened in advance being cut as its first request arrives.
 func TestConnectionOpenedInAdvanceIsKept(t *testing.T) {
-	node, caller := connPair(t, fixedBounds{idle: 10 * time.Second, header: 50 * time.Millisecond})
+	node, caller := connPair(t, fixedTimeouts{idle: 10 * time.Second, header: 50 * time.Millisecond})
 	must.NoError(t, node.SetReadDeadline(sentinel(headerSentinel)))
 	time.AfterFunc(150*time.Millisecond, func() { _, _ = caller.Write([]byte("GET")) })
 	buf := make([]byte, 8)
@@ -40,23 +40,23 @@
 	must.NoError(t, err)
 	must.EqOp(t, "GET", string(buf[:n]))
 	// From the first byte on the header has its time and no more.
-	begun := time.Now()
+	started := time.Now()
 	_, err = node.Read(buf)
 	must.True(t, errors.Is(err, os.ErrDeadlineExceeded), must.Sprint(err))
-	must.Less(t, 5*time.Second, time.Since(begun))
+	must.Less(t, 5*time.Second, time.Since(started))
 }
 
 // Guards against an idle connection held to the time that a header may take, or the reverse.
 func TestDeadlinesOfAUsedConnection(t *testing.T) {
 	const short, long = 50 * time.Millisecond, 20 * time.Second
 	for _, x := range []struct {
-		bounds   fixedBounds
+		timeouts fixedTimeouts
 		sentinel time.Duration
 	}{
-		{fixedBounds{idle: short, header: long}, idleSentinel},
-		{fixedBounds{idle: long, header: short}, headerSentinel},
+		{fixedTimeouts{idle: short, header: long}, idleSentinel},
+		{fixedTimeouts{idle: long, header: short}, headerSentinel},
 	} {
-		node, caller := connPair(t, x.bounds)
+		node, caller := connPair(t, x.timeouts)
 		must.NoError(t, node.SetReadDeadline(sentinel(headerSentinel)))
 		_, err := caller.Write([]byte("x"))
 		must.NoError(t, err)
@@ -64,9 +64,9 @@
 		_, err = node.Read(buf)
 		must.NoError(t, err)
 		must.NoError(t, node.SetReadDeadline(sentinel(x.sentinel)))
-		begun := time.Now()
+		started := time.Now()
 		_, err = node.Read(buf)
 		must.True(t, errors.Is(err, os.ErrDeadlineExceeded), must.Sprint(err))
-		must.Between(t, short*9/10, time.Since(begun), long/2)
+		must.Between(t, short*9/10, time.Since(started), long/2)
 	}
 }
--- a/internal/mesh/compare.go
+++ b/internal/mesh/compare.go
@@ -17,10 +17,10 @@
 const (
 	// offsetsPath is where a node says how far it has read the store's topics.
 	offsetsPath = "/offsets"
-	// compareSpacing is the mean time between two comparisons by the nodes of a zone
+	// zoneCompareInterval is the mean time between two comparisons by the nodes of a zone
 	// together, and minComparePause the least of one node.
-	compareSpacing  = 150 * time.Millisecond
-	minComparePause = 500 * time.Millisecond
+	zoneCompareInterval = 150 * time.Millisecond
+	minCompareInterval  = 500 * time.Millisecond
 	// compareTimeout bounds one question.
 	compareTimeout = 500 * time.Millisecond
 	// maxOffsetsBytes bounds its answer.
@@ -35,56 +35,56 @@
 	RoutesVersion int64 `json:"routes_version"`
 }
 
-// compare asks nodes of other zones now and then how far they have read.
+// compareOffsets asks nodes of other zones now and then how far they have read.
 //
 // The failure it guards against: the store answers the reader of a zone no more, but
 // its connection lives. A read that waits for changes then looks like one for which there
 // are none, and the whole zone stays with what it has. Zones read for themselves, so
 // the nodes of another one know better, as long as one of the others is answered.
-func (m *Mesh) compare(ctx context.Context) {
+func (m *Mesh) compareOffsets(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := max(time.Duration(len(m.members.neighbours(m.cfg)))*compareSpacing, minComparePause)
-		wait.For(ctx, time.Duration((0.5+rand.Float64())*float64(pause)))
-		of, known := m.members.elsewhere(m.cfg)
+		interval := max(time.Duration(len(m.members.zoneNeighbours(m.cfg)))*zoneCompareInterval, minCompareInterval)
+		wait.For(ctx, time.Duration((0.5+rand.Float64())*float64(interval)))
+		peer, known := m.members.randomOtherZone(m.cfg)
 		if !known || ctx.Err() != nil {
 			continue
 		}
-		if err := m.compareWith(ctx, &of); err != nil {
-			m.logger.Debug().Str("member", of.Node).Err(err).Msg("not compared with another zone")
+		if err := m.compareOffsetsWith(ctx, &peer); err != nil {
+			m.logger.Debug().Str("member", peer.Node).Err(err).Msg("not compared with another zone")
 		}
 	}
 }
 
-func (m *Mesh) compareWith(ctx context.Context, of *fleet.Member) error {
+func (m *Mesh) compareOffsetsWith(ctx context.Context, peer *fleet.Member) error {
 	ctx, cancel := context.WithTimeout(ctx, compareTimeout)
 	defer cancel()
-	query := url.Values{"of": {of.Node}, "store": {m.Settings().Store.Identity()}}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+of.Address+offsetsPath+"?"+query.Encode(), nil)
+	query := url.Values{"of": {peer.Node}, "store": {m.Settings().Store.Identity()}}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+peer.Address+offsetsPath+"?"+query.Encode(), nil)
 	if err != nil {
 		return err
 	}
-	raw, err := m.askNode(req, maxOffsetsBytes)
+	raw, err := m.sendControl(req, maxOffsetsBytes)
 	if err != nil {
 		return err
 	}
-	var theirs offsets
-	if err := json.Unmarshal(raw, &theirs); err != nil {
+	var remote offsets
+	if err := json.Unmarshal(raw, &remote); err != nil {
 		return errors.Wrap(err, "offsets of another node")
 	}
-	m.routes.ObserveVersion(of.Address, theirs.RoutesVersion)
-	m.routes.follower.heard(theirs.Routes)
-	m.following.heard(theirs.Members)
+	m.routes.ObserveVersion(peer.Address, remote.RoutesVersion)
+	m.routes.follower.observeOffset(remote.Routes)
+	m.membersFollower.observeOffset(remote.Members)
 	return nil
 }
 
 // serveOffsets answers a node that compares itself with this one.
 func (m *Mesh) serveOffsets(w http.ResponseWriter, r *http.Request) {
-	if refusal := m.notMeant(r.URL.Query()); refusal != nil {
-		http.Error(w, refusal.Error(), refusal.status)
+	if mismatch := m.checkRecipient(r.URL.Query()); mismatch != nil {
+		http.Error(w, mismatch.Error(), mismatch.status)
 		return
 	}
 	m.sendJSON(w, &offsets{
-		Members:       m.following.next.Load(),
+		Members:       m.membersFollower.next.Load(),
 		Routes:        m.routes.follower.next.Load(),
 		RoutesVersion: m.routes.Version(),
 	})
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -14,43 +14,43 @@
 	timelineEvents = 1024
 	// timelineSample keeps the events of one good call in so many.
 	timelineSample = 256
-	// reroutes is how many upstreams that were not reached a call may pass by: with a
+	// maxReroutes is how many upstreams that were not reached a call may pass by: with a
 	// third of a service gone, three in a row are rare.
-	reroutes = 3
+	maxReroutes = 3
 )
 
 const (
-	// peerConnect bounds a connection to another node: one way between zones
+	// peerConnectTimeout bounds a connection to another node: one way between zones
 	// takes 1 ms, and a lost opening packet is sent again after a second.
-	peerConnect = 250 * time.Millisecond
-	// peerIdle is how long an unused connection to another node is kept. Nodes
+	peerConnectTimeout = 250 * time.Millisecond
+	// peerIdleTimeout is how long an unused connection to another node is kept. Nodes
 	// keep theirs open for longer, so no call crosses a close.
-	peerIdle = 20 * time.Second
-	// peerSilence is how long a path between nodes may be silent: two lost packets
+	peerIdleTimeout = 20 * time.Second
+	// peerSilenceTimeout is how long a path between nodes may be silent: two lost packets
 	// in a row are sent again within 0.7 s.
-	peerSilence = time.Second
-	// peerReattachMin and peerReattachMax bound the wait for an answer after which a
+	peerSilenceTimeout = time.Second
+	// minPeerReattachWait and peerReattachMax bound the wait for an answer after which a
 	// fresh connection is tried though the path is not silent. The time of calls with
 	// calls of their own varies by a second, so a shorter bound replaces sound
 	// connections.
-	peerReattachMin = 2 * time.Second
-	peerReattachMax = 4 * time.Second
-	// peerKept bounds the idle connections to one node: as many calls as one node
+	minPeerReattachWait = 2 * time.Second
+	maxPeerReattachWait = 4 * time.Second
+	// maxIdlePerPeer bounds the idle connections to one node: as many calls as one node
 	// has out to another at once, with some room.
-	peerKept = 64
-	// leastKept is what is kept to one node however many there are: below it each
+	maxIdlePerPeer = 64
+	// minIdlePerPeer is what is kept to one node however many there are: below it each
 	// call would open a connection.
-	leastKept = 2
-	// peerShare of the descriptors is for connections kept to all other nodes. They
+	minIdlePerPeer = 2
+	// peerDescriptorShare of the descriptors is for connections kept to all other nodes. They
 	// keep as many to this one, and the other half is for callers and the upstream.
-	peerShare = 0.25
+	peerDescriptorShare = 0.25
 )
 
-// keptFor is how many idle connections are kept to each of that many nodes, so that
+// idlePerPeer is how many idle connections are kept to each of that many nodes, so that
 // descriptors are left for callers.
-func keptFor(descriptors, nodes int) int {
-	share := int(peerShare * float64(descriptors) / float64(max(nodes, 1)))
-	return min(max(share, leastKept), peerKept)
+func idlePerPeer(descriptors, nodes int) int {
+	share := int(peerDescriptorShare * float64(descriptors) / float64(max(nodes, 1)))
+	return min(max(share, minIdlePerPeer), maxIdlePerPeer)
 }
 
 // slowStart is how long a fresh upstream takes to its full share; those of today
@@ -65,42 +65,42 @@
 }
 
 const (
-	// minSettle and maxSettle bound the time in which changes of members are gathered
+	// minBatchWindow and maxSettle bound the time in which changes of members are gathered
 	// for one read. When all nodes start, each of them would else read once for each
 	// of the others. A record is old for this long at most; a drain binds at its own
 	// guard before, so what an old record costs is a call that goes on elsewhere.
-	minSettle = 300 * time.Millisecond
-	maxSettle = 2 * time.Second
-	// readsPerSecond is what all nodes together read while members change: a
+	minBatchWindow = 300 * time.Millisecond
+	maxBatchWindow = 2 * time.Second
+	// deploymentReadsPerSecond is what all nodes together read while members change: a
 	// hundredth of what a store of 6,000 reads a second serves.
-	readsPerSecond = 60
+	deploymentReadsPerSecond = 60
 )
 
-// membersBehindGrace is the grace of a node that gathers changes: it is behind until its
+// membersLagGrace is the grace of a node that gathers changes: it is behind until its
 // next read.
-const membersBehindGrace = maxSettle + behindGrace
+const membersLagGrace = maxBatchWindow + lagGrace
 
-// settleFor is how long one of that many nodes gathers changes.
-func settleFor(nodes int) time.Duration {
-	return min(max(minSettle, time.Duration(nodes)*time.Second/readsPerSecond), maxSettle)
+// batchWindowFor is how long one of that many nodes gathers changes.
+func batchWindowFor(nodes int) time.Duration {
+	return min(max(minBatchWindow, time.Duration(nodes)*time.Second/deploymentReadsPerSecond), maxBatchWindow)
 }
 
-// provenRequests is how many requests that succeeded lately each guard remembers,
+// maxProvenRequests is how many requests that succeeded lately each guard remembers,
 // of 8 bytes and a map's place.
-const provenRequests = 8192
+const maxProvenRequests = 8192
 
 const (
-	// keepDone is how long the answer of a finished call is kept for a sender
+	// completedRetention is how long the answer of a finished call is kept for a sender
 	// whose connection went silent: it asks again within a second.
-	keepDone = 3 * time.Second
-	// keepDoneBytes bounds those answers.
-	keepDoneBytes = 2 << 20
+	completedRetention = 3 * time.Second
+	// maxCompletedBytes bounds those answers.
+	maxCompletedBytes = 2 << 20
 )
 
 func guardConfig() node.GuardConfig {
 	cfg := node.DefaultGuardConfig()
-	cfg.Quarantine.Proven = provenRequests
-	cfg.KeepDone = keepDone
-	cfg.KeepDoneBytes = keepDoneBytes
+	cfg.Quarantine.Proven = maxProvenRequests
+	cfg.KeepDone = completedRetention
+	cfg.KeepDoneBytes = maxCompletedBytes
 	return cfg
 }
--- a/internal/mesh/suspects.go
+++ b/internal/mesh/crashrecords.go
@@ -17,16 +17,16 @@
 const (
 	// crashPrefix begins the keys of records of crashes; the node's name follows.
 	crashPrefix = "crash/"
-	// gatherFor is how long records of one crash are gathered for one append: an
+	// batchDelay is how long records of one crash are gathered for one append: an
 	// upstream's death shows on each of its connections within milliseconds.
-	gatherFor = 50 * time.Millisecond
-	// maxSuspects bounds one append: the calls of a large upstream.
-	maxSuspects = 512
+	batchDelay = 50 * time.Millisecond
+	// maxPendingCrashRecords bounds one append: the calls of a large upstream.
+	maxPendingCrashRecords = 512
 )
 
-// suspectRecord is a suspect in the store. Clocks of nodes are close to the true
+// storedCrashRecord is a suspect in the store. Clocks of nodes are close to the true
 // time, which is enough for the seconds in which suspects are held back.
-type suspectRecord struct {
+type storedCrashRecord struct {
 	Fingerprint uint64 `json:"f"`
 	Upstream    string `json:"upstream"`
 	Incarnation uint64 `json:"incarnation"`
@@ -35,33 +35,33 @@
 	Alone       bool   `json:"alone,omitempty"`
 }
 
-// suspects spreads the records of requests that ran when an upstream died, so
+// crashReporter spreads the records of requests that ran when an upstream died, so
 // that no third upstream runs what killed two.
-type suspects struct {
+type crashReporter struct {
 	topic  Topic
 	key    string
 	guard  *node.Guard
 	logger zerolog.Logger
-	calls  callLog
+	calls  storeCallLog
 	wake   chan struct{}
-	// unwritten is called when the store did not take records.
-	unwritten func(Item)
+	// onWriteFailed is called when the store did not take records.
+	onWriteFailed func(Item)
 
 	mu      sync.Mutex
 	pending []quarantine.CrashRecord
 }
 
-func newSuspects(topic Topic, nodeID string, logger, callLines zerolog.Logger, unwritten func(Item)) *suspects {
-	return &suspects{topic: topic, key: crashPrefix + nodeID, logger: logger, calls: callLog{logger: callLines, topic: topic.Name()}, wake: make(chan struct{}, 1), unwritten: unwritten}
+func newCrashReporter(topic Topic, nodeID string, logger, storeCallLogger zerolog.Logger, onWriteFailed func(Item)) *crashReporter {
+	return &crashReporter{topic: topic, key: crashPrefix + nodeID, logger: logger, calls: storeCallLog{logger: storeCallLogger, topic: topic.Name()}, wake: make(chan struct{}, 1), onWriteFailed: onWriteFailed}
 }
 
-// spread takes records to be written; it doesn't block.
-func (s *suspects) spread(list []quarantine.CrashRecord) {
+// enqueue takes records to be written; it doesn't block.
+func (s *crashReporter) enqueue(list []quarantine.CrashRecord) {
 	s.mu.Lock()
 	s.pending = append(s.pending, list...)
-	if over := len(s.pending) - maxSuspects; over > 0 {
-		s.logger.Warn().Int("dropped", over).Msg("more records of a crash than one append holds")
-		s.pending = s.pending[over:]
+	if excess := len(s.pending) - maxPendingCrashRecords; excess > 0 {
+		s.logger.Warn().Int("dropped", excess).Msg("more records of a crash than one append holds")
+		s.pending = s.pending[excess:]
 	}
 	s.mu.Unlock()
 	select {
@@ -70,29 +70,29 @@
 	}
 }
 
-func (s *suspects) run(ctx context.Context) {
+func (s *crashReporter) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
 		case <-s.wake:
 		case <-ctx.Done():
 			return
 		}
-		wait.For(ctx, gatherFor)
+		wait.For(ctx, batchDelay)
 		s.mu.Lock()
-		batch := s.pending
+		records := s.pending
 		s.pending = nil
 		s.mu.Unlock()
-		if err := s.write(ctx, batch); err != nil && ctx.Err() == nil {
-			s.logger.Warn().Int("records", len(batch)).Err(err).Msg("records of a crash not written")
+		if err := s.write(ctx, records); err != nil && ctx.Err() == nil {
+			s.logger.Warn().Int("records", len(records)).Err(err).Msg("records of a crash not written")
 		}
 	}
 }
 
 // write tries once more after a failure: records are of use for seconds only.
-func (s *suspects) write(ctx context.Context, batch []quarantine.CrashRecord) error {
-	records := make([]suspectRecord, len(batch))
-	for i, x := range batch {
-		records[i] = suspectRecord{uint64(x.Fingerprint), x.Upstream, x.Incarnation, x.At.UnixMilli(), x.Cleared, x.Alone}
+func (s *crashReporter) write(ctx context.Context, crashes []quarantine.CrashRecord) error {
+	records := make([]storedCrashRecord, len(crashes))
+	for i, crash := range crashes {
+		records[i] = storedCrashRecord{uint64(crash.Fingerprint), crash.Upstream, crash.Incarnation, crash.At.UnixMilli(), crash.Cleared, crash.Alone}
 	}
 	raw, err := json.Marshal(records)
 	if err != nil {
@@ -102,42 +102,42 @@
 		if err = s.put(ctx, raw); err == nil {
 			return nil
 		}
-		s.unwritten(Item{Key: s.key, Value: raw})
-		wait.For(ctx, minPause)
+		s.onWriteFailed(Item{Key: s.key, Value: raw})
+		wait.For(ctx, minRetryDelay)
 	}
 	return err
 }
 
-func (s *suspects) put(ctx context.Context, raw []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (s *crashReporter) put(ctx context.Context, raw []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	sent := time.Now()
 	err := s.topic.Put(ctx, s.key, raw)
-	s.calls.done(ctx, PurposeCrash, sent, err)
+	s.calls.log(ctx, PurposeCrash, sent, err)
 	return err
 }
 
 // apply takes in what another node wrote.
-func (s *suspects) apply(item Item) {
+func (s *crashReporter) apply(item Item) {
 	if item.Key == s.key {
 		return
 	}
-	var records []suspectRecord
+	var records []storedCrashRecord
 	if err := json.Unmarshal(item.Value, &records); err != nil {
 		s.logger.Warn().Str("key", item.Key).Err(err).Msg("records of a crash unreadable, ignored")
 		return
 	}
 	now := time.Now()
-	list := make([]quarantine.CrashRecord, len(records))
+	crashes := make([]quarantine.CrashRecord, len(records))
 	for i, r := range records {
-		list[i] = quarantine.CrashRecord{
+		crashes[i] = quarantine.CrashRecord{
 			Fingerprint: quarantine.Fingerprint(r.Fingerprint), Upstream: r.Upstream, Incarnation: r.Incarnation,
 			// The monotonic reading of now makes ages immune to steps of the clock.
 			At:      now.Add(-max(0, now.Sub(time.UnixMilli(r.AtMillis)))),
 			Cleared: r.Cleared, Alone: r.Alone,
 		}
 	}
-	if fresh := s.guard.MergeCrashRecords(now, list); len(fresh) > 0 {
+	if fresh := s.guard.MergeCrashRecords(now, crashes); len(fresh) > 0 {
 		s.logger.Info().Str("from", item.Key).Int("records", len(fresh)).Msg("suspects learned")
 	}
 }
--- a/internal/mesh/eventlog.go
+++ b/internal/mesh/eventlog.go
@@ -16,11 +16,11 @@
 // calls takes no line from failures; those of a tree of calls are kept or left out
 // together.
 func (m *Mesh) logEvent(e *timeline.Event) {
-	level := levelOf(e)
-	logger, oneIn := &m.bounded, 1
+	level := eventLevel(e)
+	logger, oneIn := &m.rateLimited, 1
 	if e.RequestID != "" {
 		keep := false
-		if keep, oneIn = m.treesOf(level).Keep(e.Time(), e.RequestID); !keep {
+		if keep, oneIn = m.samplerFor(level).Keep(e.Time(), e.RequestID); !keep {
 			return
 		}
 		logger = &m.logger
@@ -49,14 +49,14 @@
 	line.Int64("routes_version", m.routes.Version()).Msg(eventMessage)
 }
 
-func (m *Mesh) treesOf(level zerolog.Level) *timeline.TreeSampler {
+func (m *Mesh) samplerFor(level zerolog.Level) *timeline.TreeSampler {
 	if level == zerolog.InfoLevel {
-		return &m.good
+		return &m.successTrees
 	}
-	return &m.bad
+	return &m.failureTrees
 }
 
-func levelOf(e *timeline.Event) zerolog.Level {
+func eventLevel(e *timeline.Event) zerolog.Level {
 	switch e.Kind {
 	case timeline.CallReceived, timeline.CallRouted, timeline.CallAdmitted, timeline.CallQueued, timeline.CallStarted, timeline.CallJoined:
 		return zerolog.InfoLevel
--- a/internal/mesh/eventlog_bench_test.go
+++ b/internal/mesh/eventlog_bench_test.go
@@ -27,8 +27,8 @@
 			defer out.Close(0)
 			logger, err := metrics.NewLogger(out, "vm-1", settings.Logging{Level: "info", Burst: burst, Sample: 100})
 			must.NoError(b, err)
-			m := &Mesh{logger: logger.Sample(nil), bounded: logger, routes: &routeKeeper{}}
-			m.bad.Budget = burst
+			m := &Mesh{logger: logger.Sample(nil), rateLimited: logger, routes: &routeKeeper{}}
+			m.failureTrees.Budget = burst
 			b.ReportAllocs()
 			for b.Loop() {
 				m.logEvent(event)
@@ -36,7 +36,7 @@
 		})
 	}
 	b.Run("off", func(b *testing.B) {
-		m := &Mesh{bounded: zerolog.Nop(), routes: &routeKeeper{}}
+		m := &Mesh{rateLimited: zerolog.Nop(), routes: &routeKeeper{}}
 		for b.Loop() {
 			m.logEvent(event)
 		}
--- a/internal/mesh/eventlog_test.go
+++ b/internal/mesh/eventlog_test.go
@@ -13,18 +13,18 @@
 )
 
 // Guards against starts, stops and lost stores left out of the log under a flood of lines.
-func TestSeldomLinesAreNeverLeftOut(t *testing.T) {
+func TestRareLinesAreNeverDropped(t *testing.T) {
 	var out bytes.Buffer
 	logger, err := metrics.NewLogger(&out, "vm-1", settings.Logging{Level: "info", Burst: 2, Sample: 1 << 20})
 	must.NoError(t, err)
-	m := &Mesh{logger: logger.Sample(nil), bounded: logger}
-	records := &members{logger: m.bounded}
+	m := &Mesh{logger: logger.Sample(nil), rateLimited: logger}
+	records := &members{logger: m.rateLimited}
 	for range 100 {
-		records.note(&fleet.Member{Node: "vm-2"}, "store")
+		records.logChange(&fleet.Member{Node: "vm-2"}, "store")
 	}
 	f := newFollower(&busyTopic{}, nil, nil, m.logger)
 	f.noteLost(t.Context(), ErrExpired)
-	f.regained()
+	f.noteRegained()
 	must.Less(t, 10, strings.Count(out.String(), "member changed"))
 	must.StrContains(t, out.String(), "store lost")
 	must.StrContains(t, out.String(), "store regained")
--- a/internal/mesh/exchange.go
+++ b/internal/mesh/exchange.go
@@ -20,8 +20,8 @@
 	introductionPath = "/introduction"
 	// membersPath is where a node gives the records that it knows to others.
 	membersPath = "/members"
-	// introduceTimeout bounds one introduction within the zone.
-	introduceTimeout = 300 * time.Millisecond
+	// introductionTimeout bounds one introduction within the zone.
+	introductionTimeout = 300 * time.Millisecond
 	// maxMembersBytes bounds records taken from another node: 14,000 of some 250
 	// bytes, twice.
 	maxMembersBytes = 8 << 20
@@ -30,7 +30,7 @@
 // exchangeRecords gives the node's own record to another node and returns that
 // one's.
 func (m *Mesh) exchangeRecords(ctx context.Context, address string) (fleet.Member, error) {
-	ctx, cancel := context.WithTimeout(ctx, introduceTimeout)
+	ctx, cancel := context.WithTimeout(ctx, introductionTimeout)
 	defer cancel()
 	own := m.publisher.newest()
 	raw, err := own.Encode()
@@ -41,11 +41,11 @@
 	if err != nil {
 		return fleet.Member{}, err
 	}
-	answer, err := m.askNode(req, fleet.MaxMemberBytes)
+	reply, err := m.sendControl(req, fleet.MaxMemberBytes)
 	if err != nil {
 		return fleet.Member{}, err
 	}
-	return fleet.DecodeMember(answer)
+	return fleet.DecodeMember(reply)
 }
 
 // statusError is an answer of another node that is not the one asked for.
@@ -54,8 +54,8 @@
 // Error implements error.
 func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
 
-// askNode sends a question to another node and returns the answer's body.
-func (m *Mesh) askNode(req *http.Request, most int64) ([]byte, error) {
+// sendControl sends a question to another node and returns the answer's body.
+func (m *Mesh) sendControl(req *http.Request, maxBytes int64) ([]byte, error) {
 	req.Header.Set("User-Agent", "") // omitted then
 	resp, err := m.servers.control.RoundTrip(req)
 	if err != nil {
@@ -65,7 +65,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, &statusError{resp.StatusCode}
 	}
-	return io.ReadAll(io.LimitReader(resp.Body, most))
+	return io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 }
 
 // serveIntroduction takes another node's record and answers with this one's. A
@@ -82,7 +82,7 @@
 		return
 	}
 	m.members.learn(record)
-	if m.routes.Version() == 0 || !m.members.informed() {
+	if m.routes.Version() == 0 || !m.members.isInitialized() {
 		m.routes.fetch(record.Address)
 	}
 	own := m.publisher.newest()
@@ -92,9 +92,9 @@
 // serveMembers gives the records known here to other nodes.
 func (m *Mesh) serveMembers(w http.ResponseWriter, _ *http.Request) { m.sendJSON(w, m.members.all()) }
 
-// omitHeaders leaves out what another node has no use for. Answers that say that nothing
+// omitUnusedHeaders leaves out what another node has no use for. Answers that say that nothing
 // changed are most of what nodes send each other at rest.
-func omitHeaders(w http.ResponseWriter) {
+func omitUnusedHeaders(w http.ResponseWriter) {
 	w.Header()["Date"] = nil
 	w.Header()["Content-Type"] = nil
 }
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	raw, err := m.askNode(req, maxMembersBytes)
+	raw, err := m.sendControl(req, maxMembersBytes)
 	if err != nil {
 		return err
 	}
@@ -123,6 +123,6 @@
 	if err := json.Unmarshal(raw, &records); err != nil {
 		return errors.Wrap(err, "records of another node")
 	}
-	m.members.takeOver(records, address)
+	m.members.mergeRecords(records, address)
 	return nil
 }
--- a/internal/mesh/firststart.go
+++ b/internal/mesh/firststart.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// gatherAtFirstStart is how long the nodes of a deployment that starts for the first
+	// firstStartDelay is how long the nodes of a deployment that starts for the first
 	// time wait before they read who is there: upstreams report every 1.5 s, and until
 	// all have done so there is nobody to read through.
-	gatherAtFirstStart = 2500 * time.Millisecond
-	// firstStartSpread spreads those reads.
-	firstStartSpread = 300 * time.Millisecond
-	// restAtFirstStart is how long a node waits after it: nodes start within 0.3 s of each
+	firstStartDelay = 2500 * time.Millisecond
+	// firstStartJitter spreads those reads.
+	firstStartJitter = 300 * time.Millisecond
+	// firstSnapshotPause is how long a node waits after it: nodes start within 0.3 s of each
 	// other, and one that has not read yet has nothing to pass on.
-	restAtFirstStart = 700 * time.Millisecond
-	// awaitMembers bounds how long a node that starts waits to learn whom it can ask
+	firstSnapshotPause = 700 * time.Millisecond
+	// membersReadTimeout bounds how long a node that starts waits to learn whom it can ask
 	// for routes, before it asks the store.
-	awaitMembers = 500 * time.Millisecond
+	membersReadTimeout = 500 * time.Millisecond
 )
 
 // followMembers follows the records of nodes. Load pattern: all nodes of a deployment
@@ -28,22 +28,22 @@
 // the store, since nobody knows yet whom to read through.
 func (m *Mesh) followMembers(ctx context.Context) {
 	if m.cfg.FirstStart {
-		wait.For(ctx, gatherAtFirstStart+rand.N(firstStartSpread))
-		m.following.restAfterStart = restAtFirstStart
+		wait.For(ctx, firstStartDelay+rand.N(firstStartJitter))
+		m.membersFollower.pauseAfterSnapshot = firstSnapshotPause
 	}
-	m.following.run(ctx)
+	m.membersFollower.run(ctx)
 }
 
 // followRoutes follows the published routes, from a node of the zone if one is known.
 func (m *Mesh) followRoutes(ctx context.Context) {
-	patience := awaitMembers
+	timeout := membersReadTimeout
 	if m.cfg.FirstStart {
-		patience += gatherAtFirstStart + firstStartSpread
+		timeout += firstStartDelay + firstStartJitter
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-m.following.tried:
+	case <-m.membersFollower.firstReadDone:
 	case <-timer.C:
 	case <-ctx.Done():
 		return
--- a/internal/mesh/firststart_test.go
+++ b/internal/mesh/firststart_test.go
@@ -17,23 +17,23 @@
 
 // Guards against a first start at which each node calls the store again and again, since
 // the others have nothing to pass on yet.
-func TestFirstStartReadsOnceForEachNode(t *testing.T) {
+func TestFirstStartReadsOneSnapshotPerNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, startSpread = 35, 300 * time.Millisecond
 		topic := &compactedTopic{growingTopic: &growingTopic{begun: time.Now()}}
 		readers := newReaders(topic, nodes)
-		ctx, end := context.WithTimeout(t.Context(), gatherAtFirstStart+firstStartSpread+startSpread+restAtFirstStart+2*time.Second)
-		defer end()
+		ctx, cancel := context.WithTimeout(t.Context(), firstStartDelay+firstStartJitter+startSpread+firstSnapshotPause+2*time.Second)
+		defer cancel()
 		var running sync.WaitGroup
 		for i, r := range readers {
-			m := &Mesh{cfg: &settings.Mesh{FirstStart: true}, following: r.follower, logger: zerolog.Nop()}
-			r.follower.behindGrace = membersBehindGrace
-			knows := r.follower.relay.sources
-			r.follower.relay.sources = func() []fleet.Member {
-				if r.follower.next.Load() == readAll {
+			m := &Mesh{cfg: &settings.Mesh{FirstStart: true}, membersFollower: r.follower, logger: zerolog.Nop()}
+			r.follower.lagGrace = membersLagGrace
+			sources := r.follower.relay.candidates
+			r.follower.relay.candidates = func() []fleet.Member {
+				if r.follower.next.Load() == snapshotOffset {
 					return nil
 				}
-				return knows()
+				return sources()
 			}
 			running.Go(func() {
 				wait.For(ctx, startSpread*time.Duration(i)/nodes)
@@ -42,6 +42,6 @@
 		}
 		running.Wait()
 		must.EqOp(t, nodes, topic.snapshots.Load())
-		must.LessEq(t, 2+int64(3*time.Second/minSettle), topic.reads.Load())
+		must.LessEq(t, 2+int64(3*time.Second/minBatchWindow), topic.reads.Load())
 	})
 }
--- a/internal/mesh/follow.go
+++ b/internal/mesh/follow.go
@@ -21,32 +21,32 @@
 	// routesReadWait is the same for published routes: the store may leave out a read
 	// that waits when a record comes, and routes have to be in force within two seconds.
 	routesReadWait = time.Second
-	// minPause and maxPause bound the wait after a failed call of the store. An
+	// minRetryDelay and maxPause bound the wait after a failed call of the store. An
 	// entry has to be back about two seconds after the store's return.
-	minPause = 150 * time.Millisecond
-	maxPause = 1200 * time.Millisecond
-	// callTimeout bounds a call of the store that doesn't wait. Slow stores
+	minRetryDelay = 150 * time.Millisecond
+	maxRetryDelay = 1200 * time.Millisecond
+	// storeCallTimeout bounds a call of the store that doesn't wait. Slow stores
 	// answer in some hundred milliseconds.
-	callTimeout = 2 * time.Second
-	// probeSpacing is the mean time between two reads with which the nodes of a zone
+	storeCallTimeout = 2 * time.Second
+	// zoneProbeInterval is the mean time between two reads with which the nodes of a zone
 	// look whether a lost store is back, and maxProbePause bounds what that makes for
 	// one node of a large zone.
-	probeSpacing  = 100 * time.Millisecond
-	maxProbePause = 10 * time.Second
-	// behindGrace is how long another node may be ahead of one that reads as it should.
-	behindGrace = 100 * time.Millisecond
-	// behindTimeout bounds a read of what is known to be there.
-	behindTimeout = 500 * time.Millisecond
+	zoneProbeInterval = 100 * time.Millisecond
+	maxProbeInterval  = 10 * time.Second
+	// lagGrace is how long another node may be ahead of one that reads as it should.
+	lagGrace = 100 * time.Millisecond
+	// catchUpTimeout bounds a read of what is known to be there.
+	catchUpTimeout = 500 * time.Millisecond
 )
 
-// readAll is the offset of a follower that knows nothing yet: it needs all keys.
-const readAll int64 = -1
+// snapshotOffset is the offset of a follower that knows nothing yet: it needs all keys.
+const snapshotOffset int64 = -1
 
-// errTooSoon says that another node of the zone is to look for the lost store.
-var errTooSoon = errors.New("the store was asked a moment ago")
+// errProbeNotDue says that another node of the zone is to look for the lost store.
+var errProbeNotDue = errors.New("the store was asked a moment ago")
 
-// errReadEnded says that a read was ended to begin anew.
-var errReadEnded = errors.New("read ended")
+// errReadCanceled says that a read was ended to begin anew.
+var errReadCanceled = errors.New("read ended")
 
 // follower applies the records of a topic from the first to the newest, for as
 // long as the node runs. It reads them through another node of its zone where it
@@ -55,144 +55,144 @@
 	topic  Topic
 	apply  func([]Item)
 	logger zerolog.Logger
-	calls  callLog
-	// kick makes a pause end at once.
-	kick chan struct{}
+	calls  storeCallLog
+	// wake makes a pause end at once.
+	wake chan struct{}
 	// readWait is how long a read at the store waits for changes.
 	readWait time.Duration
-	// settle is how long to wait after changes from the store before the next read; nil:
+	// batchWindow is how long to wait after changes from the store before the next read; nil:
 	// not at all.
-	settle func() time.Duration
-	// restAfterStart is how long to wait after the first read of all keys.
-	restAfterStart time.Duration
+	batchWindow func() time.Duration
+	// pauseAfterSnapshot is how long to wait after the first read of all keys.
+	pauseAfterSnapshot time.Duration
 	// relay reads through another node of the zone; nil: always the store itself.
 	relay *relay
-	// stopReading ends the read that waits, at another node or at the store.
-	stopReading atomic.Pointer[context.CancelFunc]
-	// next is the offset to go on from, and exists the greatest that other nodes have
+	// readCancel ends the read that waits, at another node or at the store.
+	readCancel atomic.Pointer[context.CancelFunc]
+	// next is the offset to go on from, and peerOffset the greatest that other nodes have
 	// been at for a while.
-	next, exists atomic.Int64
-	// behindGrace is how long another node may be ahead before a read is ended that
+	next, peerOffset atomic.Int64
+	// lagGrace is how long another node may be ahead before a read is ended that
 	// waits for changes.
-	behindGrace time.Duration
+	lagGrace time.Duration
 	// feed is what was read, for the nodes that read through this one.
 	feed feed
-	// purpose is why all keys are read next.
-	purpose Purpose
+	// snapshotPurpose is why all keys are read next.
+	snapshotPurpose Purpose
 
-	// confirmed is when the newest read that succeeded was sent, in Unix
+	// confirmedAt is when the newest read that succeeded was sent, in Unix
 	// milliseconds; 0 means never. What is believed was true then.
-	confirmed atomic.Int64
-	// afresh is set to read everything once more.
-	afresh atomic.Bool
+	confirmedAt atomic.Int64
+	// resync is set to read everything once more.
+	resync atomic.Bool
 	lostAt time.Time
 	// lost is whether the last read failed.
 	lost atomic.Bool
-	// probeAt is when a lost store may be read again.
-	probeAt time.Time
-	// tried is closed when the first read has ended, well or not.
-	tried     chan struct{}
-	triedOnce sync.Once
+	// nextProbe is when a lost store may be read again.
+	nextProbe time.Time
+	// firstReadDone is closed when the first read has ended, well or not.
+	firstReadDone chan struct{}
+	firstReadOnce sync.Once
 }
 
 func newFollower(topic Topic, apply func([]Item), r *relay, logger zerolog.Logger) *follower {
 	f := &follower{
-		topic:       topic,
-		apply:       apply,
-		logger:      logger,
-		calls:       callLog{logger: logger, topic: topic.Name()},
-		kick:        make(chan struct{}, 1),
-		relay:       r,
-		purpose:     PurposeStart,
-		behindGrace: behindGrace,
-		readWait:    readWait,
-		tried:       make(chan struct{}),
+		topic:           topic,
+		apply:           apply,
+		logger:          logger,
+		calls:           storeCallLog{logger: logger, topic: topic.Name()},
+		wake:            make(chan struct{}, 1),
+		relay:           r,
+		snapshotPurpose: PurposeStart,
+		lagGrace:        lagGrace,
+		readWait:        readWait,
+		firstReadDone:   make(chan struct{}),
 	}
-	f.next.Store(readAll)
+	f.next.Store(snapshotOffset)
 	return f
 }
 
 func (f *follower) run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
-		err := f.step(ctx)
+		err := f.readOnce(ctx)
 		if err == nil {
-			f.regained()
+			f.noteRegained()
 			failures = 0
 			continue
 		}
 		if errors.Is(err, ErrExpired) {
 			f.logger.Info().Str("topic", f.topic.Name()).Int64("offset", f.next.Load()).Msg("records expired before they were read; reading the newest of each key")
-			f.readAfresh(PurposeExpired)
+			f.resetToSnapshot(PurposeExpired)
 			continue
 		}
-		if errors.Is(err, errReadEnded) {
+		if errors.Is(err, errReadCanceled) {
 			continue
 		}
-		if errors.Is(err, errTooSoon) {
-			pauseAfter(ctx, 1, f.kick)
+		if errors.Is(err, errProbeNotDue) {
+			backoff(ctx, 1, f.wake)
 			continue
 		}
 		f.noteLost(ctx, err)
 		failures++
-		pauseAfter(ctx, failures, f.kick)
+		backoff(ctx, failures, f.wake)
 	}
 }
 
-// readAfresh lets the next read be one of all keys.
-func (f *follower) readAfresh(why Purpose) {
-	f.purpose = why
-	f.next.Store(readAll)
-	f.exists.Store(0)
+// resetToSnapshot lets the next read be one of all keys.
+func (f *follower) resetToSnapshot(why Purpose) {
+	f.snapshotPurpose = why
+	f.next.Store(snapshotOffset)
+	f.peerOffset.Store(0)
 }
 
-// step reads once.
-func (f *follower) step(ctx context.Context) error {
+// readOnce reads once.
+func (f *follower) readOnce(ctx context.Context) error {
 	readCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f.stopReading.Store(&cancel)
-	if f.afresh.Swap(false) {
-		f.readAfresh(PurposeStart)
+	f.readCancel.Store(&cancel)
+	if f.resync.Swap(false) {
+		f.resetToSnapshot(PurposeStart)
 	}
 	next := f.next.Load()
-	if p, ok := f.ask(readCtx, next); ok {
-		f.take(next, p, time.Now().Add(-time.Duration(p.AgeMillis)*time.Millisecond))
+	if b, ok := f.readRelayed(readCtx, next); ok {
+		f.applyBatch(next, b, time.Now().Add(-time.Duration(b.AgeMillis)*time.Millisecond))
 		return nil
 	}
 	if readCtx.Err() != nil {
-		return errReadEnded
+		return errReadCanceled
 	}
-	if f.lost.Load() && time.Now().Before(f.probeAt) {
-		return errTooSoon
+	if f.lost.Load() && time.Now().Before(f.nextProbe) {
+		return errProbeNotDue
 	}
 	err := f.readStore(readCtx, next)
 	if err != nil && readCtx.Err() != nil && ctx.Err() == nil {
-		return errReadEnded
+		return errReadCanceled
 	}
 	return err
 }
 
-// ask reads through another node of the zone, unless there is none.
-func (f *follower) ask(ctx context.Context, next int64) (page, bool) {
+// readRelayed reads through another node of the zone, unless there is none.
+func (f *follower) readRelayed(ctx context.Context, next int64) (batch, bool) {
 	if f.relay == nil {
-		return page{}, false
+		return batch{}, false
 	}
 	if f.lost.Load() {
-		return f.relay.awaitReturn(ctx, f.topic.Name(), next)
+		return f.relay.awaitStore(ctx, f.topic.Name(), next)
 	}
-	return f.relay.read(ctx, f.topic.Name(), next, f.exists.Load())
+	return f.relay.read(ctx, f.topic.Name(), next, f.peerOffset.Load())
 }
 
 // readStore reads all keys from the store, or waits there for what comes after an offset.
 func (f *follower) readStore(ctx context.Context, next int64) error {
-	if next == readAll {
-		return f.snapshot(ctx)
+	if next == snapshotOffset {
+		return f.readSnapshot(ctx)
 	}
 	switch {
-	case f.exists.Load() > next:
-		return f.readNow(ctx, next, behindTimeout)
+	case f.peerOffset.Load() > next:
+		return f.readNow(ctx, next, catchUpTimeout)
 	case f.lost.Load():
-		return f.readNow(ctx, next, callTimeout)
+		return f.readNow(ctx, next, storeCallTimeout)
 	}
 	return f.readChanges(ctx, next, f.readWait)
 }
@@ -205,77 +205,77 @@
 	defer cancel()
 	err := f.readChanges(ctx, from, 0)
 	if err == nil {
-		f.exists.Store(f.next.Load())
+		f.peerOffset.Store(f.next.Load())
 	}
 	return err
 }
 
-// heard takes in how far another node has read. If this one stays behind, a read that
+// observeOffset takes in how far another node has read. If this one stays behind, a read that
 // waits for changes is ended: its answer may never come.
-func (f *follower) heard(offset int64) {
-	if next := f.next.Load(); next == readAll || offset <= next {
+func (f *follower) observeOffset(offset int64) {
+	if next := f.next.Load(); next == snapshotOffset || offset <= next {
 		return
 	}
-	time.AfterFunc(f.behindGrace, func() {
+	time.AfterFunc(f.lagGrace, func() {
 		next := f.next.Load()
-		if next == readAll || offset <= next {
+		if next == snapshotOffset || offset <= next {
 			return
 		}
-		before := f.exists.Load()
-		f.exists.Store(max(offset, before))
-		if before > next {
+		previous := f.peerOffset.Load()
+		f.peerOffset.Store(max(offset, previous))
+		if previous > next {
 			return // no read waits for changes now
 		}
 		f.logger.Info().Str("topic", f.topic.Name()).Int64("offset", next).Int64("exists", offset).Msg("behind other nodes; reading anew")
-		f.endRead()
+		f.cancelRead()
 	})
 }
 
-func (f *follower) endRead() {
-	if cancel := f.stopReading.Load(); cancel != nil {
+func (f *follower) cancelRead() {
+	if cancel := f.readCancel.Load(); cancel != nil {
 		(*cancel)()
 	}
 }
 
-// take puts a page in force that was read from an offset and was true then.
-func (f *follower) take(from int64, p page, then time.Time) {
-	f.confirmed.Store(then.UnixMilli())
-	f.feed.add(from, p)
-	f.next.Store(p.Next)
-	if len(p.Items) > 0 {
-		f.apply(p.Items)
+// applyBatch puts a page in force that was read from an offset and was true then.
+func (f *follower) applyBatch(from int64, b batch, validAt time.Time) {
+	f.confirmedAt.Store(validAt.UnixMilli())
+	f.feed.add(from, b)
+	f.next.Store(b.Next)
+	if len(b.Items) > 0 {
+		f.apply(b.Items)
 	}
-	f.noteTried()
+	f.markFirstReadDone()
 }
 
 // readChanges reads what comes after an offset and waits for it.
-func (f *follower) readChanges(ctx context.Context, from int64, most time.Duration) error {
+func (f *follower) readChanges(ctx context.Context, from int64, maxWait time.Duration) error {
 	sent := time.Now()
-	items, next, err := f.topic.Read(ctx, from, most)
-	f.calls.done(ctx, PurposeChanges, sent, err)
+	items, next, err := f.topic.Read(ctx, from, maxWait)
+	f.calls.log(ctx, PurposeChanges, sent, err)
 	if err != nil {
 		return err
 	}
-	f.take(from, page{Items: items, Next: next}, asOf(sent, len(items) > 0))
-	if len(items) > 0 && f.settle != nil {
-		wait.For(ctx, f.settle())
+	f.applyBatch(from, batch{Items: items, Next: next}, asOf(sent, len(items) > 0))
+	if len(items) > 0 && f.batchWindow != nil {
+		wait.For(ctx, f.batchWindow())
 	}
 	return nil
 }
 
-// snapshot reads all keys.
-func (f *follower) snapshot(ctx context.Context) error {
-	callCtx, cancel := context.WithTimeout(ctx, 2*callTimeout)
+// readSnapshot reads all keys.
+func (f *follower) readSnapshot(ctx context.Context) error {
+	callCtx, cancel := context.WithTimeout(ctx, 2*storeCallTimeout)
 	defer cancel()
 	sent := time.Now()
 	items, next, err := f.topic.Newest(callCtx)
-	f.calls.done(ctx, f.purpose, sent, err)
+	f.calls.log(ctx, f.snapshotPurpose, sent, err)
 	if err != nil {
 		return err
 	}
-	f.take(readAll, page{Items: items, Next: next, Whole: true}, sent)
-	wait.For(ctx, f.restAfterStart)
-	f.restAfterStart = 0
+	f.applyBatch(snapshotOffset, batch{Items: items, Next: next, Snapshot: true}, sent)
+	wait.For(ctx, f.pauseAfterSnapshot)
+	f.pauseAfterSnapshot = 0
 	return nil
 }
 
@@ -291,19 +291,19 @@
 // age returns how long ago what is believed was true; negative when nothing was
 // read yet.
 func (f *follower) age(now time.Time) time.Duration {
-	at := f.confirmed.Load()
+	at := f.confirmedAt.Load()
 	if at == 0 {
 		return -time.Millisecond
 	}
 	return max(0, now.Sub(time.UnixMilli(at)))
 }
 
-// restart reads everything once more, at once.
-func (f *follower) restart() {
-	f.afresh.Store(true)
-	f.endRead()
+// resyncNow reads everything once more, at once.
+func (f *follower) resyncNow() {
+	f.resync.Store(true)
+	f.cancelRead()
 	select {
-	case f.kick <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
@@ -314,29 +314,29 @@
 // pace of one. The zone's reader goes on at that pace; the others look so seldom that
 // together they are some ten a second, and hear from each other.
 func (f *follower) noteLost(ctx context.Context, err error) {
-	f.probeAt = time.Now().Add(f.probePause())
+	f.nextProbe = time.Now().Add(f.probeInterval())
 	if !f.lostAt.IsZero() || ctx.Err() != nil {
 		return
 	}
 	f.lostAt = time.Now()
 	f.lost.Store(true)
-	f.feed.lose()
-	f.noteTried()
+	f.feed.markStoreLost()
+	f.markFirstReadDone()
 	f.logger.Warn().Str("topic", f.topic.Name()).Err(err).Msg("store lost")
 }
 
-// probePause is how long this node leaves a lost store to the others of its zone.
-func (f *follower) probePause() time.Duration {
-	if f.relay == nil || f.relay.reads {
+// probeInterval is how long this node leaves a lost store to the others of its zone.
+func (f *follower) probeInterval() time.Duration {
+	if f.relay == nil || f.relay.readsStore {
 		return 0
 	}
-	mean := min(time.Duration(f.relay.others())*probeSpacing, maxProbePause)
+	mean := min(time.Duration(f.relay.neighbourCount())*zoneProbeInterval, maxProbeInterval)
 	return time.Duration((0.5 + rand.Float64()) * float64(mean))
 }
 
-func (f *follower) noteTried() { f.triedOnce.Do(func() { close(f.tried) }) }
+func (f *follower) markFirstReadDone() { f.firstReadOnce.Do(func() { close(f.firstReadDone) }) }
 
-func (f *follower) regained() {
+func (f *follower) noteRegained() {
 	if f.lostAt.IsZero() {
 		return
 	}
@@ -345,11 +345,11 @@
 	f.lost.Store(false)
 }
 
-// pauseAfter waits longer with each failure, by a random part, so that the nodes
+// backoff waits longer with each failure, by a random part, so that the nodes
 // of a deployment don't all ask in the moment of the store's return.
-func pauseAfter(ctx context.Context, failures int, wake <-chan struct{}) {
-	bound := min(maxPause, minPause<<min(failures-1, 5))
-	t := time.NewTimer(bound/2 + rand.N(bound/2))
+func backoff(ctx context.Context, failures int, wake <-chan struct{}) {
+	maxDelay := min(maxRetryDelay, minRetryDelay<<min(failures-1, 5))
+	t := time.NewTimer(maxDelay/2 + rand.N(maxDelay/2))
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/internal/mesh/follow_test.go
+++ b/internal/mesh/follow_test.go
@@ -24,20 +24,20 @@
 
 // Guards against calls of the store that grow with nodes times restarts where each node
 // reads for itself.
-func TestReadsOfMembersAreBoundedForTheDeployment(t *testing.T) {
+func TestMemberReadsOfAllNodesAreBounded(t *testing.T) {
 	for _, nodes := range []int{1, 17, 76, 14000} {
-		settle := settleFor(nodes)
-		must.Between(t, minSettle, settle, maxSettle)
+		settle := batchWindowFor(nodes)
+		must.Between(t, minBatchWindow, settle, maxBatchWindow)
 		synctest.Test(t, func(t *testing.T) {
 			topic := &busyTopic{}
 			f := newFollower(topic, func([]Item) {}, nil, zerolog.Nop())
-			f.settle = func() time.Duration { return settle }
+			f.batchWindow = func() time.Duration { return settle }
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			f.run(ctx)
-			const mostThatHold = 120
-			perSecond := float64(topic.reads.Load()) / 20 * float64(min(nodes, mostThatHold))
-			must.LessEq(t, readsPerSecond*1.2, perSecond, must.Sprintf("%d nodes", nodes))
+			const maxNodesWithinBound = 120
+			perSecond := float64(topic.reads.Load()) / 20 * float64(min(nodes, maxNodesWithinBound))
+			must.LessEq(t, deploymentReadsPerSecond*1.2, perSecond, must.Sprintf("%d nodes", nodes))
 		})
 	}
 }
--- /dev/null
+++ b/internal/mesh/gossip.go
@@ -0,0 +1,203 @@
+package mesh
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"maps"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"github.com/galenagrade/galenagrade/internal/fleet"
+)
+
+const (
+	// unstoredPath is where a node takes records that the store did not take.
+	unstoredPath = "/unstored"
+	// gossipFanOut is how many nodes of the zone are told of a record at once; one in 400
+	// is missed by all that pass it on, and told at later turns.
+	gossipFanOut = 6
+	// gossipRoundFanOut is how many are told at each later turn.
+	gossipRoundFanOut = 2
+	// gossipDuration is how long a record is passed on.
+	gossipDuration = 8 * time.Second
+	// maxGossipRecords bounds the records that are passed on, and maxUnstoredBytes one message.
+	maxGossipRecords = 64
+	maxGossipBytes   = 64 << 10
+	// gossipTimeout bounds one message within the zone.
+	gossipTimeout = 300 * time.Millisecond
+)
+
+// unstoredItem is a record that the store did not take.
+type unstoredItem struct {
+	Item
+	// AtMillis is when its node wrote it, in Unix milliseconds: of two records of a key
+	// the later one holds.
+	AtMillis int64 `json:"at_ms"`
+}
+
+// gossipMessage is a message with such records.
+type gossipMessage struct {
+	Items []unstoredItem `json:"items"`
+	// Address and RoutesVersion say where newer routes are to be had.
+	Address       string `json:"address"`
+	RoutesVersion int64  `json:"routes_version"`
+}
+
+// gossiper passes records on within the zone while the store takes none.
+//
+// Load pattern: a zone is cut off from the store and from the others, and its upstreams
+// leave, crash and come back. With each node telling a few others of its own record alone,
+// a zone of hundreds takes minutes to learn of one. Whoever learns of a record passes it on
+// to some others at once, and to a few more each turn, so it reaches all in a logarithm of
+// their number.
+type gossiper struct {
+	neighbours func() []fleet.Member
+	// apply takes in records of other nodes.
+	apply func([]Item)
+	send  func(ctx context.Context, to *fleet.Member, items []unstoredItem) error
+	// ctx is done when the node ends.
+	ctx context.Context
+
+	mu      sync.Mutex
+	records map[string]gossipRecord
+	// forwardScheduled is whether records are gathered to be passed on together.
+	forwardScheduled bool
+}
+
+// gossipRecord is a record on its way.
+type gossipRecord struct {
+	unstoredItem
+	expires time.Time
+}
+
+func newGossiper(ctx context.Context, neighbours func() []fleet.Member, apply func([]Item)) *gossiper {
+	return &gossiper{ctx: ctx, neighbours: neighbours, apply: apply, records: map[string]gossipRecord{}}
+}
+
+// publish passes on a record of this node.
+func (g *gossiper) publish(item Item) {
+	g.merge([]unstoredItem{{item, time.Now().UnixMilli()}})
+	g.forward(gossipFanOut)
+}
+
+// receive takes records from another node and passes on those that are new.
+func (g *gossiper) receive(items []unstoredItem) {
+	fresh := g.merge(items)
+	if len(fresh) == 0 {
+		return
+	}
+	g.apply(fresh)
+	g.scheduleForward()
+}
+
+// scheduleForward passes on what comes within a moment together: after a loss of power in the
+// zone there are as many records as nodes.
+func (g *gossiper) scheduleForward() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.forwardScheduled {
+		return
+	}
+	g.forwardScheduled = true
+	time.AfterFunc(batchDelay, func() {
+		g.mu.Lock()
+		g.forwardScheduled = false
+		g.mu.Unlock()
+		g.forward(gossipFanOut)
+	})
+}
+
+// round passes on what is known; called twice a second while the store is lost.
+func (g *gossiper) round() { g.forward(gossipRoundFanOut) }
+
+// merge returns those of some records that were not known.
+func (g *gossiper) merge(items []unstoredItem) (fresh []Item) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := time.Now()
+	maps.DeleteFunc(g.records, func(_ string, x gossipRecord) bool { return now.After(x.expires) })
+	for _, item := range items {
+		existing, known := g.records[item.Key]
+		if known && existing.AtMillis >= item.AtMillis || !known && len(g.records) >= maxGossipRecords {
+			continue
+		}
+		g.records[item.Key] = gossipRecord{item, now.Add(gossipDuration)}
+		fresh = append(fresh, item.Item)
+	}
+	return fresh
+}
+
+// forward sends what is known to some nodes of the zone, any of them.
+func (g *gossiper) forward(fanOut int) {
+	items := g.pendingItems()
+	if len(items) == 0 {
+		return
+	}
+	neighbours := g.neighbours()
+	var group errgroup.Group
+	for _, i := range rand.Perm(len(neighbours))[:min(fanOut, len(neighbours))] {
+		group.Go(func() error {
+			ctx, cancel := context.WithTimeout(g.ctx, gossipTimeout)
+			defer cancel()
+			return g.send(ctx, &neighbours[i], items)
+		})
+	}
+	_ = group.Wait() // who was not reached is told by others
+}
+
+func (g *gossiper) pendingItems() []unstoredItem {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	now := time.Now()
+	var items []unstoredItem
+	size := 0
+	for _, x := range g.records {
+		size += len(x.Key) + len(x.Value)
+		if now.After(x.expires) || size > maxGossipBytes/2 {
+			continue
+		}
+		items = append(items, x.unstoredItem)
+	}
+	return items
+}
+
+func (m *Mesh) newGossiper() *gossiper {
+	neighbours := func() []fleet.Member { return m.members.zoneNeighbours(m.cfg) }
+	g := newGossiper(m.ctx, neighbours, func(items []Item) { m.members.apply(items) })
+	g.send = m.sendGossip
+	return g
+}
+
+// sendGossip gives records that the store did not take to another node.
+func (m *Mesh) sendGossip(ctx context.Context, to *fleet.Member, items []unstoredItem) error {
+	own := m.publisher.newest()
+	raw, err := json.Marshal(gossipMessage{Items: items, Address: own.Address, RoutesVersion: m.routes.Version()})
+	if err != nil {
+		return err
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.Address+unstoredPath, bytes.NewReader(raw))
+	if err != nil {
+		return err
+	}
+	_, err = m.sendControl(req, fleet.MaxMemberBytes)
+	if err != nil {
+		m.logger.Debug().Str("member", to.Node).Err(err).Msg("unstored records not given to another node")
+	}
+	return err
+}
+
+// serveGossip takes records that the store did not take.
+func (m *Mesh) serveGossip(w http.ResponseWriter, r *http.Request) {
+	var message gossipMessage
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxGossipBytes)).Decode(&message); err != nil {
+		http.Error(w, "records unreadable", http.StatusBadRequest)
+		return
+	}
+	m.routes.ObserveVersion(message.Address, message.RoutesVersion)
+	m.gossiper.receive(message.Items)
+}
--- /dev/null
+++ b/internal/mesh/gossip_test.go
@@ -0,0 +1,117 @@
+package mesh
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/shoenig/test/must"
+
+	"github.com/galenagrade/galenagrade/internal/fleet"
+	"github.com/galenagrade/galenagrade/internal/wait"
+)
+
+// gossipNode is one node of a zone without the store.
+type gossipNode struct {
+	*gossiper
+	receivedAt atomic.Int64 // when, Unix nanoseconds
+	messages   atomic.Int64 // sent
+	bytes      atomic.Int64
+}
+
+// newGossipZone returns nodes that reach each other in a millisecond.
+func newGossipZone(ctx context.Context, nodes int) []*gossipNode {
+	zone := make([]*gossipNode, nodes)
+	members := make([]fleet.Member, nodes)
+	for i := range zone {
+		members[i] = fleet.Member{Node: fmt.Sprint(i)}
+	}
+	for i := range zone {
+		n := &gossipNode{}
+		n.gossiper = newGossiper(ctx, func() []fleet.Member { return members }, func([]Item) { n.receivedAt.Store(time.Now().UnixNano()) })
+		n.send = func(ctx context.Context, to *fleet.Member, items []unstoredItem) error {
+			n.messages.Add(1)
+			for _, item := range items {
+				n.bytes.Add(int64(len(item.Key) + len(item.Value)))
+			}
+			wait.For(ctx, time.Millisecond)
+			var j int
+			_, _ = fmt.Sscan(to.Node, &j)
+			zone[j].receive(items)
+			return nil
+		}
+		zone[i] = n
+	}
+	return zone
+}
+
+// Guards against a zone without the store in which each record is spread by its own node
+// alone, so that the last of hundreds learns of it after minutes.
+func TestGossipReachesAZoneWithoutTheStore(t *testing.T) {
+	const maxDelay, maxMessages = 3 * time.Second, 40
+	for _, nodes := range []int{10, 50, 400} {
+		synctest.Test(t, func(t *testing.T) {
+			ctx, cancel := context.WithTimeout(t.Context(), gossipDuration)
+			defer cancel()
+			zone := newGossipZone(ctx, nodes)
+			var rounds sync.WaitGroup
+			for _, n := range zone {
+				rounds.Go(func() {
+					for ctx.Err() == nil {
+						wait.For(ctx, introductionInterval)
+						n.round()
+					}
+				})
+			}
+			started := time.Now()
+			record := Item{Key: "node/x", Value: make([]byte, 250)}
+			zone[0].publish(record)
+			rounds.Wait()
+			last := time.Duration(0)
+			for _, n := range zone[1:] {
+				must.NotEq(t, 0, n.receivedAt.Load())
+				last = max(last, time.Unix(0, n.receivedAt.Load()).Sub(started))
+				must.LessEq(t, maxMessages, n.messages.Load())
+				must.LessEq(t, maxMessages*(int64(len(record.Key)+len(record.Value))), n.bytes.Load())
+			}
+			t.Logf("%d nodes: the last after %v", nodes, last)
+			must.LessEq(t, maxDelay, last)
+		})
+	}
+}
+
+// Guards against memory that grows with the records of a long outage.
+func TestGossipRecordsAreBounded(t *testing.T) {
+	g := newGossiper(t.Context(), func() []fleet.Member { return nil }, func([]Item) {})
+	for i := range 10 * maxGossipRecords {
+		g.publish(Item{Key: fmt.Sprint(i), Value: make([]byte, 1<<10)})
+	}
+	must.LessEq(t, maxGossipRecords, len(g.records))
+	size := 0
+	for _, item := range g.pendingItems() {
+		size += len(item.Value)
+	}
+	must.LessEq(t, maxGossipBytes, size)
+}
+
+// Guards against two records of a key that push each other out, node by node, for as long
+// as both are passed on.
+func TestLaterRecordOfAKeyWins(t *testing.T) {
+	var applied []string
+	g := newGossiper(t.Context(), func() []fleet.Member { return nil }, func(items []Item) {
+		for _, item := range items {
+			applied = append(applied, string(item.Value))
+		}
+	})
+	record := func(value string, at int64) unstoredItem {
+		return unstoredItem{Item{Key: "node/x", Value: []byte(value)}, at}
+	}
+	for _, item := range []unstoredItem{record("second", 2), record("first", 1), record("second", 2), record("third", 3)} {
+		g.receive([]unstoredItem{item})
+	}
+	must.Eq(t, []string{"second", "third"}, applied)
+}
--- a/internal/mesh/introduce.go
+++ b/internal/mesh/introduce.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// introduceEvery is how often absent members are looked for. A node that starts
+	// introductionInterval is how often absent members are looked for. A node that starts
 	// without the store serves after about this time.
-	introduceEvery = 500 * time.Millisecond
-	// introducers is how many nodes of a zone look for one at each turn, on average: with
+	introductionInterval = 500 * time.Millisecond
+	// introducersPerRound is how many nodes of a zone look for one at each turn, on average: with
 	// three a turn without any is rare.
-	introducers = 3
-	// introduceAtOnce bounds the introductions that wait at a time: with a third of
+	introducersPerRound = 3
+	// maxConcurrentIntroductions bounds the introductions that wait at a time: with a third of
 	// 412 nodes of a zone gone, a turn asks one or two.
-	introduceAtOnce = 8
+	maxConcurrentIntroductions = 8
 )
 
 // introducer looks for members of its zone that may have started without the
@@ -32,34 +32,34 @@
 }
 
 func (i *introducer) run(ctx context.Context) {
-	turn := time.NewTicker(introduceEvery)
-	defer turn.Stop()
+	ticker := time.NewTicker(introductionInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-turn.C:
-			i.turn(ctx)
+		case <-ticker.C:
+			i.round(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (i *introducer) turn(ctx context.Context) {
-	neighbours := i.mesh.members.neighbours(i.mesh.cfg)
-	share := introducers / float64(max(len(neighbours), 1))
+func (i *introducer) round(ctx context.Context) {
+	neighbours := i.mesh.members.zoneNeighbours(i.mesh.cfg)
+	share := introducersPerRound / float64(max(len(neighbours), 1))
 	var group errgroup.Group
-	group.SetLimit(introduceAtOnce)
-	meet := func(m *fleet.Member) {
+	group.SetLimit(maxConcurrentIntroductions)
+	start := func(m *fleet.Member) {
 		group.Go(func() error { i.introduce(ctx, m); return nil })
 	}
-	for _, m := range i.absent.Due(time.Now(), neighbours, i.mesh.unreached) {
+	for _, m := range i.absent.Due(time.Now(), neighbours, i.mesh.unreachable) {
 		if rand.Float64() < share {
-			meet(&m)
+			start(&m)
 		}
 	}
 	if i.mesh.storeLost() && len(neighbours) > 0 {
-		meet(&neighbours[rand.IntN(len(neighbours))])
-		i.mesh.spread.turn()
+		start(&neighbours[rand.IntN(len(neighbours))])
+		i.mesh.gossiper.round()
 	}
 	_ = group.Wait()
 }
@@ -78,10 +78,12 @@
 	i.mesh.members.learn(record)
 }
 
-// unreached reports whether calls to a node failed to reach it lately.
-func (m *Mesh) unreached(name string) bool {
+// unreachable reports whether calls to a node failed to reach it lately.
+func (m *Mesh) unreachable(name string) bool {
 	t := m.node.Table().ByNode(name)
 	return t != nil && (t.Ejected() || t.Stats().ConsecutiveFailures > 0)
 }
 
-func (m *Mesh) storeLost() bool { return m.following.lost.Load() || m.routes.follower.lost.Load() }
+func (m *Mesh) storeLost() bool {
+	return m.membersFollower.lost.Load() || m.routes.follower.lost.Load()
+}
--- a/internal/mesh/listen.go
+++ b/internal/mesh/listen.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// headerTimeout bounds the time in which a request's header must arrive where
+	// defaultHeaderTimeout bounds the time in which a request's header must arrive where
 	// the routes set no bound. Three lost packets in a row delay a header by about
 	// a second.
-	headerTimeout = 10 * time.Second
-	// headerBytes bounds a request's header where the routes set no bound:
+	defaultHeaderTimeout = 10 * time.Second
+	// defaultHeaderBytes bounds a request's header where the routes set no bound:
 	// eight times what web servers commonly take.
-	headerBytes = 64 << 10
-	// mostHeaderBytes bounds it whatever the routes say: a thousand callers may
+	defaultHeaderBytes = 64 << 10
+	// maxHeaderBytes bounds it whatever the routes say: a thousand callers may
 	// send headers at a time.
-	mostHeaderBytes = 256 << 10
-	// innerIdle outlasts peerIdle, so that the node that sends calls is the one
+	maxHeaderBytes = 256 << 10
+	// innerIdleTimeout outlasts peerIdle, so that the node that sends calls is the one
 	// that closes.
-	innerIdle = 60 * time.Second
+	innerIdleTimeout = 60 * time.Second
 )
 
 type listeners struct {
@@ -86,52 +86,52 @@
 	inner.Handle(proxy.CallPath, m.proxy.CallHandler())
 	inner.Handle(routesPath, m.routes)
 	inner.HandleFunc("POST "+introductionPath, m.serveIntroduction)
-	inner.HandleFunc("POST "+unstoredPath, m.serveUnstored)
+	inner.HandleFunc("POST "+unstoredPath, m.serveGossip)
 	inner.HandleFunc("GET "+membersPath, m.serveMembers)
 	inner.HandleFunc("GET "+watchPath, m.serveWatch)
 	inner.HandleFunc("POST "+quotaPath, m.serveQuota)
 	inner.HandleFunc("GET "+offsetsPath, m.serveOffsets)
-	s.callers = m.newServer(m.closing(callers))
+	s.callers = m.newServer(m.withConnectionClose(callers))
 	s.callers.IdleTimeout = idleSentinel
 	s.callers.ReadHeaderTimeout = headerSentinel
-	s.callers.MaxHeaderBytes = mostHeaderBytes
+	s.callers.MaxHeaderBytes = maxHeaderBytes
 	s.inner = m.newServer(inner)
-	s.inner.IdleTimeout = innerIdle
+	s.inner.IdleTimeout = innerIdleTimeout
 	s.ready = m.newServer(http.HandlerFunc(m.serveReady))
 	s.announce = m.newServer(m.platform.AnnounceHandler(m.local))
-	m.start(s.callers, &callerListener{Listener: m.listeners.callers, mesh: m})
-	m.start(s.inner, m.listeners.inner)
-	m.start(s.ready, m.listeners.ready)
-	m.start(s.announce, m.listeners.announce)
+	m.startServer(s.callers, &callerListener{Listener: m.listeners.callers, mesh: m})
+	m.startServer(s.inner, m.listeners.inner)
+	m.startServer(s.ready, m.listeners.ready)
+	m.startServer(s.announce, m.listeners.announce)
 	if m.listeners.metrics != nil {
-		s.metrics = m.newServer(m.observing())
-		m.start(s.metrics, m.listeners.metrics)
+		s.metrics = m.newServer(m.stateHandler())
+		m.startServer(s.metrics, m.listeners.metrics)
 	}
 }
 
 func (m *Mesh) newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headerTimeout,
-		MaxHeaderBytes:    headerBytes,
-		ErrorLog:          log.New(errorLines{m.bounded}, "", 0),
+		ReadHeaderTimeout: defaultHeaderTimeout,
+		MaxHeaderBytes:    defaultHeaderBytes,
+		ErrorLog:          log.New(serverErrorLog{m.rateLimited}, "", 0),
 		BaseContext:       func(net.Listener) context.Context { return context.Background() },
 	}
 }
 
-func (m *Mesh) start(srv *http.Server, l net.Listener) {
-	m.loop(func() {
+func (m *Mesh) startServer(srv *http.Server, l net.Listener) {
+	m.spawn(func() {
 		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			m.logger.Error().Err(err).Str("address", l.Addr().String()).Msg("listener failed")
 		}
 	})
 }
 
-// errorLines turns the lines of net/http's servers into log lines.
-type errorLines struct{ logger zerolog.Logger }
+// serverErrorLog turns the lines of net/http's servers into log lines.
+type serverErrorLog struct{ logger zerolog.Logger }
 
 // Write implements io.Writer.
-func (e errorLines) Write(line []byte) (int, error) {
+func (e serverErrorLog) Write(line []byte) (int, error) {
 	e.logger.Debug().Str("detail", string(line)).Msg("http server")
 	return len(line), nil
 }
@@ -144,10 +144,10 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// closing tells callers of a stopping node to open their next connection
+// withConnectionClose tells callers of a stopping node to open their next connection
 // elsewhere: an idle connection that is closed under a caller loses what the
 // caller sends at that moment.
-func (m *Mesh) closing(next http.Handler) http.Handler {
+func (m *Mesh) withConnectionClose(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if m.stopping.Load() {
 			w.Header().Set("Connection", "close")
--- a/internal/mesh/local.go
+++ b/internal/mesh/local.go
@@ -30,9 +30,9 @@
 	change := l.known.Apply(r)
 	switch change {
 	case fleet.Started:
-		l.started(r, served)
+		l.onStarted(r, served)
 	case fleet.Left:
-		l.left(r, "reported")
+		l.onLeft(r, "reported")
 	case fleet.Updated:
 		if r.Address != l.mesh.upstream.Addr() {
 			l.mesh.upstream.SetAddr(r.Address)
@@ -41,7 +41,7 @@
 	case fleet.Outdated:
 		l.mesh.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Int64("born", r.Born).Msg("outdated report ignored")
 	case fleet.Unchanged:
-		l.revive(r)
+		l.resumeServing(r)
 	}
 }
 
@@ -58,14 +58,14 @@
 	m.platform.SetUpstream(r.ID)
 	m.upstream.SetAddr(r.Address)
 	m.node.UpstreamReplaced(m.node.Now(), node.Announcement{Service: r.Service, Address: r.Address, Slots: r.Slots})
-	l.publishSince(r, fleet.Serving, record.ServesSince)
+	l.publishServingSince(r, fleet.Serving, record.ServesSince)
 	m.logger.Info().Str("upstream", r.ID).Str("address", r.Address).Int("slots", r.Slots).
 		Uint64("record_incarnation", record.Incarnation).Msg("upstream found at work")
 	return true
 }
 
-// heardOf is whether anything is known of the upstream.
-func (l *localUpstream) heardOf() bool {
+// isKnown is whether anything is known of the upstream.
+func (l *localUpstream) isKnown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, _ := l.known.Current()
@@ -78,13 +78,13 @@
 	defer l.mu.Unlock()
 	if l.known.Departed(id, born) == fleet.Left {
 		r, _ := l.known.Current()
-		l.left(r, "departed")
+		l.onLeft(r, "departed")
 	}
 }
 
-// started takes a new process into service. If another one served until now and
+// onStarted takes a new process into service. If another one served until now and
 // never said that it left, it died.
-func (l *localUpstream) started(r fleet.Report, served bool) {
+func (l *localUpstream) onStarted(r fleet.Report, served bool) {
 	m := l.mesh
 	now := m.node.Now()
 	if served {
@@ -98,9 +98,9 @@
 		Str("version", r.Version).Dur("cold_ms", r.ColdFor).Bool("predecessor_died", served).Msg("upstream started")
 }
 
-// revive takes the upstream back that was taken for dead: its process goes on to
+// resumeServing takes the upstream back that was taken for dead: its process goes on to
 // report, so what refused a connection was not its end.
-func (l *localUpstream) revive(r fleet.Report) {
+func (l *localUpstream) resumeServing(r fleet.Report) {
 	m := l.mesh
 	if _, serving := l.known.Current(); !serving || m.node.Guard().Serving() {
 		return
@@ -109,7 +109,7 @@
 	m.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Msg("upstream goes on reporting and is taken back")
 }
 
-func (l *localUpstream) left(r fleet.Report, how string) {
+func (l *localUpstream) onLeft(r fleet.Report, how string) {
 	m := l.mesh
 	m.node.Guard().Drain(m.node.Now())
 	l.publish(r, fleet.Leaving)
@@ -127,10 +127,10 @@
 
 // publish writes the node's own record, and puts it in force here at once.
 func (l *localUpstream) publish(r fleet.Report, state fleet.State) {
-	l.publishSince(r, state, servesSince(r, l.mesh.node.Now()))
+	l.publishServingSince(r, state, servesSince(r, l.mesh.node.Now()))
 }
 
-func (l *localUpstream) publishSince(r fleet.Report, state fleet.State, since int64) {
+func (l *localUpstream) publishServingSince(r fleet.Report, state fleet.State, since int64) {
 	if l.mesh.stopping.Load() && state == fleet.Serving {
 		state = fleet.Stopping
 	}
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -17,35 +17,35 @@
 // members follows the records of all nodes and puts them in force for routing.
 type members struct {
 	logger zerolog.Logger
-	// changed takes the registry after a change, with the lock held.
-	changed  func(*fleet.Registry)
-	suspects *suspects
+	// onChange takes the registry after a change, with the lock held.
+	onChange      func(*fleet.Registry)
+	crashReporter *crashReporter
 
 	mu       sync.Mutex
 	registry *fleet.Registry
-	// told is whether the records of the deployment were read once, from the
+	// initialized is whether the records of the deployment were read once, from the
 	// store or from another node.
-	told bool
-	// near are the neighbours as of that many changes of the registry: they are
+	initialized bool
+	// sameZone are the neighbours as of that many changes of the registry: they are
 	// asked for twice a second, and 14,000 nodes take milliseconds to look through.
-	near   []fleet.Member
-	nearAt int
-	// far are the serving nodes of other zones, as of that many changes.
-	far   []fleet.Member
-	farAt int
+	sameZone         []fleet.Member
+	sameZoneRevision int
+	// otherZones are the serving nodes of other zones, as of that many changes.
+	otherZones         []fleet.Member
+	otherZonesRevision int
 }
 
 func (m *members) apply(items []Item) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.told = true
+	m.initialized = true
 	updated := false
 	for _, item := range items {
 		if len(item.Value) == 0 {
 			continue
 		}
 		if strings.HasPrefix(item.Key, crashPrefix) {
-			m.suspects.apply(item)
+			m.crashReporter.apply(item)
 			continue
 		}
 		record, err := fleet.DecodeMember(item.Value)
@@ -55,11 +55,11 @@
 		}
 		if m.registry.Apply(record) {
 			updated = true
-			m.note(&record, "store")
+			m.logChange(&record, "store")
 		}
 	}
 	if updated {
-		m.changed(m.registry)
+		m.onChange(m.registry)
 	}
 }
 
@@ -68,12 +68,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.registry.Apply(record) {
-		m.note(&record, "node")
-		m.changed(m.registry)
+		m.logChange(&record, "node")
+		m.onChange(m.registry)
 	}
 }
 
-func (m *members) note(record *fleet.Member, source string) {
+func (m *members) logChange(record *fleet.Member, source string) {
 	m.logger.Info().Str("member", record.Node).Str("service", record.Service).Str("upstream", record.Upstream).
 		Str("state", string(record.State)).Str("address", record.Address).Int("slots", record.Slots).
 		Uint64("revision", record.Revision).Str("source", source).Msg("member changed")
@@ -83,18 +83,18 @@
 func (m *members) refresh() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.changed(m.registry)
+	m.onChange(m.registry)
 }
 
 // ApplyMember takes in a record that did not come from the store, unless a newer one is
 // known.
 func (m *Mesh) ApplyMember(record fleet.Member) { m.members.learn(record) }
 
-// takeOver folds records that another node knows; unsound ones are left out.
-func (m *members) takeOver(records []fleet.Member, from string) {
+// mergeRecords folds records that another node knows; unsound ones are left out.
+func (m *members) mergeRecords(records []fleet.Member, from string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.told = true
+	m.initialized = true
 	updated := 0
 	for i := range records {
 		if err := records[i].Validate(); err != nil {
@@ -107,15 +107,15 @@
 	}
 	m.logger.Info().Str("from", from).Int("members", len(records)).Int("changed", updated).Msg("members taken over from another node")
 	if updated > 0 {
-		m.changed(m.registry)
+		m.onChange(m.registry)
 	}
 }
 
-// informed reports whether the records of the deployment were read once.
-func (m *members) informed() bool {
+// isInitialized reports whether the records of the deployment were read once.
+func (m *members) isInitialized() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.told
+	return m.initialized
 }
 
 // predecessor returns the record that an earlier process of the node left.
@@ -140,29 +140,29 @@
 	return m.registry.Members()
 }
 
-// elsewhere returns a serving node of another zone, any of them; known is false where
+// randomOtherZone returns a serving node of another zone, any of them; known is false where
 // there is none.
-func (m *members) elsewhere(cfg *settings.Mesh) (of fleet.Member, known bool) {
+func (m *members) randomOtherZone(cfg *settings.Mesh) (member fleet.Member, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.farAt != m.registry.Changes() {
-		m.far = m.registry.OtherZones(cfg.Region, cfg.Zone)
-		m.farAt = m.registry.Changes()
+	if m.otherZonesRevision != m.registry.Changes() {
+		m.otherZones = m.registry.OtherZones(cfg.Region, cfg.Zone)
+		m.otherZonesRevision = m.registry.Changes()
 	}
-	if len(m.far) == 0 {
+	if len(m.otherZones) == 0 {
 		return fleet.Member{}, false
 	}
-	return m.far[rand.IntN(len(m.far))], true
+	return m.otherZones[rand.IntN(len(m.otherZones))], true
 }
 
-// neighbours returns the records of the other nodes of the zone; they must not be
+// zoneNeighbours returns the records of the other nodes of the zone; they must not be
 // changed.
-func (m *members) neighbours(cfg *settings.Mesh) []fleet.Member {
+func (m *members) zoneNeighbours(cfg *settings.Mesh) []fleet.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.nearAt != m.registry.Changes() {
-		m.near = m.registry.Neighbours(cfg.NodeID, cfg.Region, cfg.Zone)
-		m.nearAt = m.registry.Changes()
+	if m.sameZoneRevision != m.registry.Changes() {
+		m.sameZone = m.registry.Neighbours(cfg.NodeID, cfg.Region, cfg.Zone)
+		m.sameZoneRevision = m.registry.Changes()
 	}
-	return m.near
+	return m.sameZone
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -34,34 +34,34 @@
 	// logger is for what happens seldom, and bounded for lines of which there are as
 	// many as requests or records: it keeps to so many a second and leaves the rest
 	// out. A start, a stop or a lost store must not be among those.
-	logger  zerolog.Logger
-	bounded zerolog.Logger
-	// good and bad choose the trees of calls whose lines are written, those of good
+	logger      zerolog.Logger
+	rateLimited zerolog.Logger
+	// successTrees and failureTrees choose the trees of calls whose lines are written, those of successTrees
 	// calls and those of failures.
-	good, bad timeline.TreeSampler
-	metrics   *metrics.Set
-	node      *node.Node
-	proxy     *proxy.Proxy
-	peers     *proxy.Peers
-	upstream  *proxy.Upstream
-
-	members   *members
-	following *follower
-	publisher *publisher
-	spread    *spreader
-	suspects  *suspects
-	routes    *routeKeeper
-	quotas    *quotas
-	local     *localUpstream
-	pace      *pace
+	successTrees, failureTrees timeline.TreeSampler
+	metrics                    *metrics.Set
+	node                       *node.Node
+	proxy                      *proxy.Proxy
+	peers                      *proxy.Peers
+	upstream                   *proxy.Upstream
+
+	members         *members
+	membersFollower *follower
+	publisher       *publisher
+	gossiper        *gossiper
+	crashReporter   *crashReporter
+	routes          *routeKeeper
+	quotas          *quotas
+	local           *localUpstream
+	guardTicker     *guardTicker
 
 	listeners listeners
 	servers   servers
 	stopping  atomic.Bool
-	// down is done when the node ends.
-	down   context.Context
-	cancel context.CancelFunc
-	loops  sync.WaitGroup
+	// ctx is done when the node ends.
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 type systemClock struct{}
@@ -69,29 +69,29 @@
 // Now implements node.Clock.
 func (systemClock) Now() time.Time { return time.Now() }
 
-// noKeys is the authority over idempotency keys where callers send none.
-type noKeys struct{}
+// noIdempotencyKeys is the authority over idempotency keys where callers send none.
+type noIdempotencyKeys struct{}
 
 // MayStart implements node.Authority.
-func (noKeys) MayStart(time.Time, *node.Call) (time.Time, *result.Refusal) {
+func (noIdempotencyKeys) MayStart(time.Time, *node.Call) (time.Time, *result.Refusal) {
 	return time.Time{}, nil
 }
 
 // NeedsClaim implements node.Authority.
-func (noKeys) NeedsClaim(*node.Call) bool { return false }
+func (noIdempotencyKeys) NeedsClaim(*node.Call) bool { return false }
 
 // Claim implements proxy.Claimer.
-func (noKeys) Claim(context.Context, *node.Call) *result.Refusal { return nil }
+func (noIdempotencyKeys) Claim(context.Context, *node.Call) *result.Refusal { return nil }
 
 // Start opens the listeners of a node and begins to serve. The settings are copied: the
 // caller may change its own for the next start.
-func Start(given *settings.Mesh, platform Platform, logger zerolog.Logger) (*Mesh, error) {
-	own := *given
+func Start(initial *settings.Mesh, platform Platform, logger zerolog.Logger) (*Mesh, error) {
+	own := *initial
 	cfg := &own
-	m := &Mesh{cfg: cfg, platform: platform, logger: logger.Sample(nil), bounded: logger, metrics: metrics.New(timerSample)}
-	m.good.Budget, m.bad.Budget = cfg.Logging.Burst, cfg.Logging.Burst
+	m := &Mesh{cfg: cfg, platform: platform, logger: logger.Sample(nil), rateLimited: logger, metrics: metrics.New(timerSample)}
+	m.successTrees.Budget, m.failureTrees.Budget = cfg.Logging.Burst, cfg.Logging.Burst
 	m.tunable.Store(cfg)
-	m.down, m.cancel = context.WithCancel(context.Background())
+	m.ctx, m.cancel = context.WithCancel(context.Background())
 	if err := m.listeners.open(cfg); err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
@@ -110,22 +110,22 @@
 	}
 	m.peers = proxy.NewPeers(nil)
 	m.peers.SetConnections(proxy.Connections{
-		Connect:      peerConnect,
-		Idle:         peerIdle,
-		MaxIdleConns: peerKept,
-		Silence:      peerSilence,
-		Reattach:     proxy.WaitBounds{Min: peerReattachMin, Max: peerReattachMax},
+		Connect:      peerConnectTimeout,
+		Idle:         peerIdleTimeout,
+		MaxIdleConns: maxIdlePerPeer,
+		Silence:      peerSilenceTimeout,
+		Reattach:     proxy.WaitBounds{Min: minPeerReattachWait, Max: maxPeerReattachWait},
 	})
-	m.spread = m.newSpreader()
-	m.suspects = newSuspects(m.platform.Members(), m.cfg.NodeID, m.bounded, m.logger, m.spread.tell)
-	m.upstream = proxy.NewUpstream(noKeys{})
+	m.gossiper = m.newGossiper()
+	m.crashReporter = newCrashReporter(m.platform.Members(), m.cfg.NodeID, m.rateLimited, m.logger, m.gossiper.publish)
+	m.upstream = proxy.NewUpstream(noIdempotencyKeys{})
 	m.upstream.Speak(m.platform)
 	m.upstream.SetAddr(m.cfg.UpstreamAddress)
 	m.node = node.New(node.Config{
 		Identity:       id,
 		Clock:          systemClock{},
 		Runner:         m.upstream,
-		Authority:      noKeys{},
+		Authority:      noIdempotencyKeys{},
 		Ring:           timeline.NewRing(m.cfg.NodeID, timelineEvents, &timeline.Clock{}),
 		Routing:        routingConfig(),
 		Retry:          retry.DefaultPolicy(),
@@ -133,24 +133,24 @@
 		Guard:          guardConfig(),
 		Seed:           newSeed(),
 		Sample:         timelineSample,
-		Reroutes:       reroutes,
+		Reroutes:       maxReroutes,
 		Metrics:        m.metrics,
 		OnEvent:        m.logEvent,
-		OnCrashRecords: m.suspects.spread,
+		OnCrashRecords: m.crashReporter.enqueue,
 	})
-	m.suspects.guard = m.node.Guard()
+	m.crashReporter.guard = m.node.Guard()
 	m.peers.Bind(m.node)
 	m.upstream.Bind(m.node)
 	m.proxy = proxy.New(m.node, m.peers, m.upstream)
 	m.proxy.AcceptPredecessorCalls(m.cfg.Service)
 	m.quotas = newQuotas(m)
-	m.pace = newPace(m.node.Guard())
-	m.upstream.OnQueued(m.pace.kick)
-	m.members = &members{logger: m.bounded, registry: fleet.NewRegistry(), suspects: m.suspects, changed: m.setEndpoints}
-	m.following = newFollower(m.platform.Members(), m.members.apply, m.newRelay(membersWait), m.logger)
-	m.following.settle = m.settle
-	m.following.behindGrace = membersBehindGrace
-	m.publisher = newPublisher(m.platform.Members(), m.logger, m.ownRecord(id), m.spread.tell)
+	m.guardTicker = newGuardTicker(m.node.Guard())
+	m.upstream.OnQueued(m.guardTicker.wakeIfQueued)
+	m.members = &members{logger: m.rateLimited, registry: fleet.NewRegistry(), crashReporter: m.crashReporter, onChange: m.setEndpoints}
+	m.membersFollower = newFollower(m.platform.Members(), m.members.apply, m.newRelay(membersWatchWait), m.logger)
+	m.membersFollower.batchWindow = m.membersBatchWindow
+	m.membersFollower.lagGrace = membersLagGrace
+	m.publisher = newPublisher(m.platform.Members(), m.logger, m.ownRecord(id), m.gossiper.publish)
 	m.local = &localUpstream{mesh: m}
 	m.routes = newRouteKeeper(m)
 	m.peers.SetVersions(m.routes)
@@ -177,14 +177,14 @@
 		addrs[e.Addr] = true
 	}
 	m.peers.Retain(addrs)
-	m.peers.SetMaxIdleConns(keptFor(m.Settings().Resources.Descriptors, len(endpoints)))
-	m.node.Guard().SetRetryBudget(m.repeatBudget(endpoints))
+	m.peers.SetMaxIdleConns(idlePerPeer(m.Settings().Resources.Descriptors, len(endpoints)))
+	m.node.Guard().SetRetryBudget(m.retryBudget(endpoints))
 	m.quotas.setEndpoints(endpoints)
 }
 
-// repeatBudget is this guard's part of what its service may get: the floor is
+// retryBudget is this guard's part of what its service may get: the floor is
 // shared by the guards of the service.
-func (m *Mesh) repeatBudget(endpoints []routing.Endpoint) retry.BudgetConfig {
+func (m *Mesh) retryBudget(endpoints []routing.Endpoint) retry.BudgetConfig {
 	guards := 0
 	for _, e := range endpoints {
 		if e.Service == m.cfg.Service {
@@ -204,23 +204,23 @@
 }
 
 func (m *Mesh) run() {
-	ctx := m.down
+	ctx := m.ctx
 	m.serve()
-	m.loop(func() { m.pace.run(ctx) })
-	m.loop(func() { m.followRoutes(ctx) })
-	m.loop(func() { m.publisher.run(ctx) })
-	m.loop(func() { m.suspects.run(ctx) })
-	m.loop(func() { m.followMembers(ctx) })
-	m.loop(func() { (&introducer{mesh: m, absent: fleet.NewAbsent(), logger: m.logger}).run(ctx) })
-	m.loop(func() { m.adoptUpstream(ctx) })
-	m.loop(func() { m.compare(ctx) })
+	m.spawn(func() { m.guardTicker.run(ctx) })
+	m.spawn(func() { m.followRoutes(ctx) })
+	m.spawn(func() { m.publisher.run(ctx) })
+	m.spawn(func() { m.crashReporter.run(ctx) })
+	m.spawn(func() { m.followMembers(ctx) })
+	m.spawn(func() { (&introducer{mesh: m, absent: fleet.NewAbsent(), logger: m.logger}).run(ctx) })
+	m.spawn(func() { m.adoptUpstream(ctx) })
+	m.spawn(func() { m.compareOffsets(ctx) })
 	m.node.Event(m.node.Now(), timeline.Event{Kind: timeline.NodeStarted})
 }
 
-func (m *Mesh) loop(f func()) {
-	m.loops.Add(1)
+func (m *Mesh) spawn(f func()) {
+	m.goroutines.Add(1)
 	go func() {
-		defer m.loops.Done()
+		defer m.goroutines.Done()
 		f()
 	}()
 }
--- a/internal/mesh/observe.go
+++ b/internal/mesh/observe.go
@@ -64,8 +64,8 @@
 	Unreached bool `json:"unreached"`
 }
 
-// observing serves metrics as text and the node's state.
-func (m *Mesh) observing() http.Handler {
+// stateHandler serves metrics as text and the node's state.
+func (m *Mesh) stateHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+StatePath, func(w http.ResponseWriter, _ *http.Request) { m.sendJSON(w, m.State()) })
 	mux.Handle("/", m.metrics.TextHandler(m.refreshMetrics))
@@ -78,8 +78,8 @@
 	s := &NodeState{
 		Node: m.cfg.NodeID, Incarnation: m.node.Incarnation(), Zone: m.cfg.Zone, Service: m.cfg.Service,
 		Ready: m.ready(), Stopping: m.stopping.Load(),
-		Routes:  beliefOf(m.routes.follower, now),
-		Members: beliefOf(m.following, now),
+		Routes:  freshnessOf(m.routes.follower, now),
+		Members: freshnessOf(m.membersFollower, now),
 		Guard:   m.guardState(),
 		Store:   m.platform.StoreStats(),
 		Quotas:  m.quotas.states(),
@@ -89,7 +89,7 @@
 		s.Config = t.Config()
 	}
 	for _, record := range m.members.all() {
-		s.Records = append(s.Records, MemberState{Member: record, Unreached: m.unreached(record.Node)})
+		s.Records = append(s.Records, MemberState{Member: record, Unreached: m.unreachable(record.Node)})
 	}
 	return s
 }
@@ -97,8 +97,8 @@
 // Events returns those of the node's time line that pass the filter.
 func (m *Mesh) Events(f timeline.Filter) []timeline.Event { return m.node.Ring().Events(f) }
 
-func beliefOf(f *follower, now time.Time) Freshness {
-	return Freshness{AgeMillis: f.age(now).Milliseconds(), Lost: f.lost.Load(), Relay: f.relay.Through()}
+func freshnessOf(f *follower, now time.Time) Freshness {
+	return Freshness{AgeMillis: f.age(now).Milliseconds(), Lost: f.lost.Load(), Relay: f.relay.source()}
 }
 
 func (m *Mesh) guardState() Guard {
@@ -126,7 +126,7 @@
 		metrics.MembersAgeMillis:   s.Members.AgeMillis,
 		metrics.UpstreamsKnown:     int64(known),
 		metrics.UpstreamsLive:      int64(live),
-		metrics.IsDraining:         flag(s.Stopping || !s.Guard.Serving),
+		metrics.IsDraining:         boolGauge(s.Stopping || !s.Guard.Serving),
 		metrics.AdmissionLimit:     int64(s.Guard.Limit),
 		metrics.RetryBudgetLeft:    s.Guard.RetryBudgetLeft,
 		metrics.StoreCalls:         s.Store.Calls,
@@ -138,7 +138,7 @@
 	}
 }
 
-func flag(on bool) int64 {
+func boolGauge(on bool) int64 {
 	if on {
 		return 1
 	}
--- a/internal/mesh/publisher.go
+++ b/internal/mesh/publisher.go
@@ -15,25 +15,25 @@
 type publisher struct {
 	topic  Topic
 	logger zerolog.Logger
-	calls  callLog
+	calls  storeCallLog
 	wake   chan struct{}
-	// unwritten is called when the store did not take the record.
-	unwritten func(Item)
+	// onWriteFailed is called when the store did not take the record.
+	onWriteFailed func(Item)
 
 	mu     sync.Mutex
 	record fleet.Member
-	// written is the revision that the store has confirmed.
-	written uint64
+	// writtenRevision is the revision that the store has confirmed.
+	writtenRevision uint64
 }
 
-func newPublisher(topic Topic, logger zerolog.Logger, record fleet.Member, unwritten func(Item)) *publisher {
+func newPublisher(topic Topic, logger zerolog.Logger, record fleet.Member, onWriteFailed func(Item)) *publisher {
 	return &publisher{
-		topic:     topic,
-		logger:    logger,
-		calls:     callLog{logger: logger, topic: topic.Name()},
-		wake:      make(chan struct{}, 1),
-		record:    record,
-		unwritten: unwritten,
+		topic:         topic,
+		logger:        logger,
+		calls:         storeCallLog{logger: logger, topic: topic.Name()},
+		wake:          make(chan struct{}, 1),
+		record:        record,
+		onWriteFailed: onWriteFailed,
 	}
 }
 
@@ -61,7 +61,7 @@
 func (p *publisher) pending() (fleet.Member, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.record, p.record.Revision > p.written
+	return p.record, p.record.Revision > p.writtenRevision
 }
 
 func (p *publisher) run(ctx context.Context) {
@@ -79,7 +79,7 @@
 		if err := p.write(ctx, record); err != nil {
 			p.logger.Warn().Uint64("revision", record.Revision).Err(err).Msg("own record not written yet")
 			failures++
-			pauseAfter(ctx, failures, p.wake)
+			backoff(ctx, failures, p.wake)
 			continue
 		}
 		failures = 0
@@ -87,7 +87,7 @@
 }
 
 func (p *publisher) write(ctx context.Context, record fleet.Member) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	raw, err := record.Encode()
 	if err != nil {
@@ -95,13 +95,13 @@
 	}
 	sent := time.Now()
 	err = p.topic.Put(ctx, nodePrefix+record.Node, raw)
-	p.calls.done(ctx, PurposeOwnRecord, sent, err)
+	p.calls.log(ctx, PurposeOwnRecord, sent, err)
 	if err != nil {
-		p.unwritten(Item{Key: nodePrefix + record.Node, Value: raw})
+		p.onWriteFailed(Item{Key: nodePrefix + record.Node, Value: raw})
 		return err
 	}
 	p.mu.Lock()
-	p.written = max(p.written, record.Revision)
+	p.writtenRevision = max(p.writtenRevision, record.Revision)
 	p.mu.Unlock()
 	p.logger.Info().Uint64("revision", record.Revision).Str("state", string(record.State)).Str("upstream", record.Upstream).Msg("own record written")
 	return nil
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -23,10 +23,10 @@
 const (
 	// quotaPath is where a node asks another one for a token of a workspace's quota.
 	quotaPath = "/quota"
-	// quotaTimeout bounds such a question: a holder answers from memory.
-	quotaTimeout = 150 * time.Millisecond
-	// quotaUnknownPause is when a caller may come back where no holder answered.
-	quotaUnknownPause = 500 * time.Millisecond
+	// quotaRequestTimeout bounds such a question: a holder answers from memory.
+	quotaRequestTimeout = 150 * time.Millisecond
+	// quotaUnknownRetryAfter is when a caller may come back where no holder answered.
+	quotaUnknownRetryAfter = 500 * time.Millisecond
 )
 
 // quotas spends the quotas of workspaces. It implements proxy.Quota.
@@ -82,13 +82,13 @@
 
 // Take implements proxy.Quota.
 func (q *quotas) Take(ctx context.Context, workspace string) *result.Refusal {
-	got := q.ledger.Take(time.Now(), workspace, rand.Float64(), q.mesh.unreached)
-	if got.Granted {
+	decision := q.ledger.Take(time.Now(), workspace, rand.Float64(), q.mesh.unreachable)
+	if decision.Granted {
 		return nil
 	}
 	answered := 0
-	for i := range got.Ask {
-		granted, err := q.askOne(ctx, &got.Ask[i], workspace)
+	for i := range decision.Ask {
+		granted, err := q.requestToken(ctx, &decision.Ask[i], workspace)
 		if granted {
 			return nil
 		}
@@ -96,50 +96,50 @@
 			answered++
 		}
 	}
-	if got.Unknown || len(got.Ask) > 0 && answered == 0 {
-		return result.Refuse(result.QuotaUnknown, "no node with a part of the quota of %s answers", workspace).After(quotaUnknownPause)
+	if decision.Unknown || len(decision.Ask) > 0 && answered == 0 {
+		return result.Refuse(result.QuotaUnknown, "no node with a part of the quota of %s answers", workspace).After(quotaUnknownRetryAfter)
 	}
-	pause := q.ledger.Refuse(time.Now(), workspace, rand.Float64())
-	return result.Refuse(result.QuotaExceeded, "the quota of %s is spent here and at %d nodes asked now", workspace, answered).After(pause)
+	retryAfter := q.ledger.Refuse(time.Now(), workspace, rand.Float64())
+	return result.Refuse(result.QuotaExceeded, "the quota of %s is spent here and at %d nodes asked now", workspace, answered).After(retryAfter)
 }
 
-// askOne asks a holder for a token. An error says that it gave no answer.
-func (q *quotas) askOne(ctx context.Context, of *quota.Node, workspace string) (granted bool, err error) {
+// requestToken asks a holder for a token. An error says that it gave no answer.
+func (q *quotas) requestToken(ctx context.Context, holder *quota.Node, workspace string) (granted bool, err error) {
 	q.mesh.metrics.Inc(metrics.QuotaAsked, 1)
-	got, err := q.mesh.askQuota(ctx, of, workspace)
+	response, err := q.mesh.sendTokenRequest(ctx, holder, workspace)
 	now := time.Now()
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return false, err
 	case err != nil:
-		q.ledger.MarkUnresponsive(now, of.Name)
-		q.mesh.bounded.Warn().Str("member", of.Name).Str("workspace", workspace).Err(err).Msg("node gave no answer for a quota")
+		q.ledger.MarkUnresponsive(now, holder.Name)
+		q.mesh.rateLimited.Warn().Str("member", holder.Name).Str("workspace", workspace).Err(err).Msg("node gave no answer for a quota")
 		return false, err
-	case got.Granted:
+	case response.Granted:
 		q.ledger.Granted(workspace)
 		return true, nil
 	}
-	q.ledger.Empty(now, workspace, of.Name, time.Duration(got.NextMillis)*time.Millisecond)
+	q.ledger.Empty(now, workspace, holder.Name, time.Duration(response.NextMillis)*time.Millisecond)
 	return false, nil
 }
 
 // Return implements proxy.Quota.
 func (q *quotas) Return(workspace string) { q.ledger.Return(time.Now(), workspace) }
 
-// askQuota asks another node for a token.
-func (m *Mesh) askQuota(ctx context.Context, of *quota.Node, workspace string) (grant, error) {
-	ctx, cancel := context.WithTimeout(ctx, quotaTimeout)
+// sendTokenRequest asks another node for a token.
+func (m *Mesh) sendTokenRequest(ctx context.Context, holder *quota.Node, workspace string) (grant, error) {
+	ctx, cancel := context.WithTimeout(ctx, quotaRequestTimeout)
 	defer cancel()
-	query := url.Values{"of": {of.Name}, "workspace": {workspace}}
-	got, err := m.peers.Query(ctx, of.Address, quotaPath+"?"+query.Encode())
+	query := url.Values{"of": {holder.Name}, "workspace": {workspace}}
+	response, err := m.peers.Query(ctx, holder.Address, quotaPath+"?"+query.Encode())
 	if err != nil {
 		return grant{}, err
 	}
-	if got.Status != http.StatusOK {
-		return grant{}, &statusError{got.Status}
+	if response.Status != http.StatusOK {
+		return grant{}, &statusError{response.Status}
 	}
 	var g grant
-	if err := json.Unmarshal(got.Body, &g); err != nil {
+	if err := json.Unmarshal(response.Body, &g); err != nil {
 		return grant{}, errors.Wrap(err, "grant of another node")
 	}
 	return g, nil
@@ -156,7 +156,7 @@
 	if granted {
 		m.metrics.Inc(metrics.QuotaGranted, 1)
 	}
-	omitHeaders(w)
+	omitUnusedHeaders(w)
 	m.sendJSON(w, &grant{Granted: granted, NextMillis: next.Milliseconds()})
 }
 
--- a/internal/mesh/relay_test.go
+++ b/internal/mesh/relay_test.go
@@ -56,12 +56,12 @@
 
 // reader is one node of a zone of readers of a growing topic.
 type reader struct {
-	follower *follower
-	seen     map[string]bool
-	newest   atomic.Int64 // when it was current last, Unix nanoseconds
-	cut      atomic.Bool  // nobody reaches it
-	still    atomic.Bool  // it answers nothing
-	silence  atomic.Int64 // how long it takes to notice that the store is silent to it
+	follower     *follower
+	seen         map[string]bool
+	lastUpdate   atomic.Int64 // when it was current last, Unix nanoseconds
+	unreachable  atomic.Bool  // nobody reaches it
+	paused       atomic.Bool  // it answers nothing
+	storeTimeout atomic.Int64 // how long it takes to notice that the store is silent to it
 }
 
 func newReaders(topic Topic, n int) []*reader {
@@ -72,46 +72,46 @@
 		readers[i] = &reader{seen: map[string]bool{}}
 		zone = append(zone, fleet.Member{Node: name, State: fleet.Serving, Address: fmt.Sprint(i)})
 	}
-	ask := func(ctx context.Context, of *fleet.Member, q question) (page, error) {
+	fetch := func(ctx context.Context, source *fleet.Member, req watchRequest) (batch, error) {
 		var i int
-		_, _ = fmt.Sscan(of.Address, &i)
-		if readers[i].cut.Load() {
+		_, _ = fmt.Sscan(source.Address, &i)
+		if readers[i].unreachable.Load() {
 			wait.For(ctx, time.Second)
-			return page{}, errors.New("silent")
+			return batch{}, errors.New("silent")
 		}
-		if readers[i].still.Load() {
+		if readers[i].paused.Load() {
 			<-ctx.Done()
-			return page{}, ctx.Err()
+			return batch{}, ctx.Err()
 		}
-		readers[i].follower.heard(q.from)
-		p, err := readers[i].follower.feed.after(ctx, q.from, q.wait, q.patient)
+		readers[i].follower.observeOffset(req.from)
+		b, err := readers[i].follower.feed.readFrom(ctx, req.from, req.wait, req.waitForStore)
 		if err != nil && ctx.Err() == nil {
-			return page{}, &statusError{http.StatusServiceUnavailable}
+			return batch{}, &statusError{http.StatusServiceUnavailable}
 		}
-		return p, err
+		return b, err
 	}
 	for i, r := range readers {
-		others := append(append([]fleet.Member{}, zone[:i]...), zone[i+1:]...)
+		neighbours := append(append([]fleet.Member{}, zone[:i]...), zone[i+1:]...)
 		apply := func(items []Item) {
 			for _, item := range items {
 				r.seen[item.Key] = true
 			}
-			r.newest.Store(time.Now().UnixNano())
+			r.lastUpdate.Store(time.Now().UnixNano())
 		}
 		rel := &relay{
-			sources: func() []fleet.Member { return fleet.Sources(zone[i].Node, others) },
-			others:  func() int { return len(others) },
-			ask:     ask,
-			wait:    membersWait,
+			candidates:     func() []fleet.Member { return fleet.Sources(zone[i].Node, neighbours) },
+			neighbourCount: func() int { return len(neighbours) },
+			fetch:          fetch,
+			wait:           membersWatchWait,
 		}
-		r.follower = newFollower(&silentTopic{topic, &r.silence}, apply, rel, zerolog.Nop())
-		r.follower.settle = func() time.Duration { return minSettle }
+		r.follower = newFollower(&unresponsiveTopic{topic, &r.storeTimeout}, apply, rel, zerolog.Nop())
+		r.follower.batchWindow = func() time.Duration { return minBatchWindow }
 	}
 	return readers
 }
 
 // readsForZone reports whether a node reads the store for the others.
-func (r *reader) readsForZone() bool { return len(r.follower.relay.sources()) == 0 }
+func (r *reader) readsForZone() bool { return len(r.follower.relay.candidates()) == 0 }
 
 func runReaders(t *testing.T, readers []*reader, d time.Duration) {
 	ctx, cancel := context.WithTimeout(t.Context(), d)
@@ -128,7 +128,7 @@
 	}
 }
 
-func gaps(r *reader, from, to int64) (missed int) {
+func missedRecords(r *reader, from, to int64) (missed int) {
 	for i := from; i < to; i++ {
 		if !r.seen[fmt.Sprint(i)] {
 			missed++
@@ -138,123 +138,123 @@
 }
 
 // Guards against every node of a zone reading the store for itself, or a record that one misses.
-func TestZoneReadsOnceAndMissesNothing(t *testing.T) {
+func TestZoneReadsOnceAndMissesNoRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
 		readers := newReaders(topic, 40)
 		runReaders(t, readers, 20*time.Second)
 		// The first reads come before anybody has something to pass on.
-		must.LessEq(t, 2*40+int64(20*time.Second/minSettle), topic.reads.Load())
+		must.LessEq(t, 2*40+int64(20*time.Second/minBatchWindow), topic.reads.Load())
 		for _, r := range readers {
-			must.LessEq(t, 1, gaps(r, 1, topic.end()-10))
+			must.LessEq(t, 1, missedRecords(r, 1, topic.end()-10))
 		}
 	})
 }
 
 // The node that reads for a zone goes silent, without its connections ending. What it
 // should have passed on must reach the others within two seconds, by themselves.
-func TestZoneReadsOnWithoutItsReader(t *testing.T) {
+func TestZoneContinuesWhenItsReaderIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
 		readers := newReaders(topic, 20)
 		for _, r := range readers {
 			if r.readsForZone() {
-				time.AfterFunc(5*time.Second, func() { r.cut.Store(true) })
+				time.AfterFunc(5*time.Second, func() { r.unreachable.Store(true) })
 			}
 		}
 		runReaders(t, readers, 20*time.Second)
 		for _, r := range readers {
-			must.Less(t, 2*time.Second, time.Since(time.Unix(0, r.newest.Load())))
-			must.LessEq(t, 1, gaps(r, 1, topic.end()-20))
+			must.Less(t, 2*time.Second, time.Since(time.Unix(0, r.lastUpdate.Load())))
+			must.LessEq(t, 1, missedRecords(r, 1, topic.end()-20))
 		}
 	})
 }
 
 // The process that reads for a zone stands still, while its VM's kernel acknowledges all
 // that comes. The others must not know less than the wait of one question ago.
-func TestZoneReadsOnWhileItsReaderStandsStill(t *testing.T) {
+func TestZoneContinuesWhileItsReaderIsPaused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
 		readers := newReaders(topic, 20)
 		for _, r := range readers {
 			if r.readsForZone() {
-				time.AfterFunc(5*time.Second, func() { r.still.Store(true) })
+				time.AfterFunc(5*time.Second, func() { r.paused.Store(true) })
 			}
 		}
-		time.AfterFunc(5*time.Second+membersWait+watchSlack+2*minSettle, func() {
+		time.AfterFunc(5*time.Second+membersWatchWait+watchMargin+2*minBatchWindow, func() {
 			for _, r := range readers {
-				must.Less(t, time.Second, time.Since(time.Unix(0, r.newest.Load())))
+				must.Less(t, time.Second, time.Since(time.Unix(0, r.lastUpdate.Load())))
 			}
 		})
 		runReaders(t, readers, 20*time.Second)
 	})
 }
 
-// routesInForce is how long a node may go without what was published.
-const routesInForce = 2 * time.Second
+// maxRoutesDelay is how long a node may go without what was published.
+const maxRoutesDelay = 2 * time.Second
 
-// failRoutesReader runs a zone that reads routes through its reader, and lets the reader
+// runZoneWithFailingReader runs a zone that reads routes through its reader, and lets the reader
 // fail in some way. No other node may be without changes for longer than routes may take.
-func failRoutesReader(t *testing.T, fail func(*reader)) {
+func runZoneWithFailingReader(t *testing.T, fail func(*reader)) {
 	synctest.Test(t, func(t *testing.T) {
 		const end = 20 * time.Second
-		luck := rand.New(rand.NewPCG(1, 2))
+		rng := rand.New(rand.NewPCG(1, 2))
 		topic := &growingTopic{begun: time.Now()}
 		readers := newReaders(topic, 20)
 		for _, r := range readers {
-			r.follower.relay.wait, r.follower.settle = routesWait, nil
+			r.follower.relay.wait, r.follower.batchWindow = routesWatchWait, nil
 			if r.readsForZone() {
 				time.AfterFunc(5*time.Second, func() { fail(r) })
 				continue
 			}
 			for at := 3 * time.Second; at < end; at += 100 * time.Millisecond {
 				time.AfterFunc(at, func() {
-					must.Less(t, routesInForce, time.Since(time.Unix(0, r.newest.Load())))
+					must.Less(t, maxRoutesDelay, time.Since(time.Unix(0, r.lastUpdate.Load())))
 				})
 			}
 		}
-		for at := 3 * time.Second; at < end; at += compareSpacing {
-			r := readers[luck.IntN(len(readers))]
-			time.AfterFunc(at, func() { r.follower.heard(topic.end()) })
+		for at := 3 * time.Second; at < end; at += zoneCompareInterval {
+			r := readers[rng.IntN(len(readers))]
+			time.AfterFunc(at, func() { r.follower.observeOffset(topic.end()) })
 		}
 		runReaders(t, readers, end)
 	})
 }
 
 // Guards against routes that are late because the zone's reader was paused.
-func TestRoutesInForceWhileTheReaderStandsStill(t *testing.T) {
-	failRoutesReader(t, func(r *reader) { r.still.Store(true) })
+func TestRoutesInForceWhileTheReaderIsPaused(t *testing.T) {
+	runZoneWithFailingReader(t, func(r *reader) { r.paused.Store(true) })
 }
 
 // Guards against routes that are late because the zone's reader was cut off.
-func TestRoutesInForceWhileTheReaderIsCutOff(t *testing.T) {
-	failRoutesReader(t, func(r *reader) { r.cut.Store(true) })
+func TestRoutesInForceWhileTheReaderIsUnreachable(t *testing.T) {
+	runZoneWithFailingReader(t, func(r *reader) { r.unreachable.Store(true) })
 }
 
 // Guards against routes that are late because the zone's reader is behind: its path to
 // the store went silent, which it learns after a while only.
 func TestRoutesInForceWhileTheReaderIsBehind(t *testing.T) {
-	failRoutesReader(t, func(r *reader) { r.silence.Store(int64(1500 * time.Millisecond)) })
+	runZoneWithFailingReader(t, func(r *reader) { r.storeTimeout.Store(int64(1500 * time.Millisecond)) })
 }
 
 // Guards against a zone that stays with old routes because the store is silent to its reader alone.
-func TestRoutesInForceWhileTheStoreIsSilentToTheReader(t *testing.T) {
-	failRoutesReader(t, func(r *reader) {
-		r.silence.Store(int64(readWait + 3*time.Second))
-		r.follower.endRead()
+func TestRoutesInForceWhileTheStoreIgnoresTheReader(t *testing.T) {
+	runZoneWithFailingReader(t, func(r *reader) {
+		r.storeTimeout.Store(int64(readWait + 3*time.Second))
+		r.follower.cancelRead()
 	})
 }
 
-// silentTopic is a topic as a node sees it whose path to the store may go silent.
-type silentTopic struct {
+// unresponsiveTopic is a topic as a node sees it whose path to the store may go silent.
+type unresponsiveTopic struct {
 	Topic
-	// silence is how long it takes to notice, 0 while the path is sound.
-	silence *atomic.Int64
+	// timeout is how long it takes to notice, 0 while the path is sound.
+	timeout *atomic.Int64
 }
 
-func (s *silentTopic) Read(ctx context.Context, from int64, d time.Duration) ([]Item, int64, error) {
-	if noticedAfter := time.Duration(s.silence.Load()); noticedAfter > 0 {
-		wait.For(ctx, noticedAfter)
+func (s *unresponsiveTopic) Read(ctx context.Context, from int64, d time.Duration) ([]Item, int64, error) {
+	if timeout := time.Duration(s.timeout.Load()); timeout > 0 {
+		wait.For(ctx, timeout)
 		return nil, 0, errors.New("silent")
 	}
 	return s.Topic.Read(ctx, from, d)
@@ -274,7 +274,7 @@
 		runReaders(t, readers, 20*time.Second)
 		must.LessEq(t, 8, topic.snapshots.Load()-before.Load())
 		for _, r := range readers {
-			must.Less(t, time.Second, time.Since(time.Unix(0, r.newest.Load())))
+			must.Less(t, time.Second, time.Since(time.Unix(0, r.lastUpdate.Load())))
 		}
 	})
 }
@@ -299,30 +299,30 @@
 
 // Guards against a zone of which every node looks for a store that is away: together
 // they may ask some ten times a second, and all go on soon after its return.
-func TestLostStoreIsLookedForByTheZone(t *testing.T) {
+func TestZoneSharesProbesOfALostStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
 		readers := newReaders(topic, 40)
 		const down, back = 5 * time.Second, 25 * time.Second
-		var before, asked atomic.Int64
+		var previousReads, reads atomic.Int64
 		time.AfterFunc(down, func() { topic.down.Store(true) })
-		time.AfterFunc(down+2*time.Second, func() { before.Store(topic.reads.Load()) })
+		time.AfterFunc(down+2*time.Second, func() { previousReads.Store(topic.reads.Load()) })
 		time.AfterFunc(back, func() {
-			asked.Store(topic.reads.Load() - before.Load())
+			reads.Store(topic.reads.Load() - previousReads.Load())
 			topic.down.Store(false)
 		})
 		time.AfterFunc(back+2*time.Second, func() {
 			for _, r := range readers {
-				must.Less(t, time.Second, time.Since(time.Unix(0, r.newest.Load())))
+				must.Less(t, time.Second, time.Since(time.Unix(0, r.lastUpdate.Load())))
 			}
 		})
 		runReaders(t, readers, 30*time.Second)
-		must.LessEq(t, int64((back-down)/probeSpacing)*3/2, asked.Load())
+		must.LessEq(t, int64((back-down)/zoneProbeInterval)*3/2, reads.Load())
 	})
 }
 
 // Guards against a node that starts and calls the store for what its zone knows.
-func TestStartingNodeIsToldByItsZone(t *testing.T) {
+func TestStartingNodeReadsFromItsZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &compactedTopic{growingTopic: &growingTopic{begun: time.Now()}}
 		readers := newReaders(topic, 10)
@@ -342,14 +342,14 @@
 		running.Wait()
 		must.EqOp(t, before.Load(), topic.snapshots.Load())
 		for _, r := range readers {
-			must.Less(t, time.Second, time.Since(time.Unix(0, r.newest.Load())))
+			must.Less(t, time.Second, time.Since(time.Unix(0, r.lastUpdate.Load())))
 		}
 	})
 }
 
 // The store goes down for five seconds. Who reads through another node must not take
 // what that one knew for the present: its belief would look fresh while it grows old.
-func TestReaderWithoutStorePassesNothingOn(t *testing.T) {
+func TestReaderWithoutStoreServesNoBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
 		readers := newReaders(topic, 5)
@@ -364,19 +364,19 @@
 		runReaders(t, readers, 14*time.Second)
 		for _, r := range readers {
 			must.False(t, r.follower.lost.Load())
-			must.LessEq(t, 1, gaps(r, 1, topic.end()-20))
+			must.LessEq(t, 1, missedRecords(r, 1, topic.end()-20))
 		}
 	})
 }
 
-// refusedTopic is the topic as a node sees it that the store turns away for a while.
-type refusedTopic struct {
+// rejectingTopic is the topic as a node sees it that the store turns away for a while.
+type rejectingTopic struct {
 	*growingTopic
-	refused atomic.Bool
+	rejecting atomic.Bool
 }
 
-func (r *refusedTopic) Read(ctx context.Context, from int64, wait time.Duration) ([]Item, int64, error) {
-	if r.refused.Load() {
+func (r *rejectingTopic) Read(ctx context.Context, from int64, wait time.Duration) ([]Item, int64, error) {
+	if r.rejecting.Load() {
 		return nil, 0, errors.New("rejected")
 	}
 	return r.growingTopic.Read(ctx, from, wait)
@@ -384,7 +384,7 @@
 
 // The store turns away one node, which happens to read for its zone. It says so to who
 // reads through it, and the zone must not be behind for longer than one read.
-func TestReaderThatTheStoreTurnsAway(t *testing.T) {
+func TestStoreRejectsTheZoneReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
 		readers := newReaders(topic, 20)
@@ -394,14 +394,14 @@
 				reader = r
 			}
 		}
-		turned := &refusedTopic{growingTopic: topic}
-		reader.follower.topic = turned
-		time.AfterFunc(5*time.Second, func() { turned.refused.Store(true) })
+		topicOfReader := &rejectingTopic{growingTopic: topic}
+		reader.follower.topic = topicOfReader
+		time.AfterFunc(5*time.Second, func() { topicOfReader.rejecting.Store(true) })
 		time.AfterFunc(12*time.Second, func() {
 			for _, r := range readers {
 				if r != reader {
 					must.False(t, r.follower.lost.Load())
-					must.Less(t, time.Second, time.Since(time.Unix(0, r.newest.Load())))
+					must.Less(t, time.Second, time.Since(time.Unix(0, r.lastUpdate.Load())))
 				}
 			}
 		})
@@ -412,51 +412,51 @@
 
 // A node that is about to end lets go of those who wait for changes from it at once: its
 // stop would wait for them else, and they for it.
-func TestClosedFeedLetsGo(t *testing.T) {
+func TestClosedFeedReleasesWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var f feed
-		f.add(7, page{Next: 7})
+		f.add(7, batch{Next: 7})
 		time.AfterFunc(time.Second, f.close)
-		begun := time.Now()
-		_, err := f.after(t.Context(), 7, membersWait, false)
-		must.ErrorIs(t, err, errNotCurrent)
-		must.EqOp(t, time.Second, time.Since(begun))
-		f.add(7, page{Next: 8})
-		_, err = f.after(t.Context(), 7, membersWait, false)
-		must.ErrorIs(t, err, errNotCurrent)
+		started := time.Now()
+		_, err := f.readFrom(t.Context(), 7, membersWatchWait, false)
+		must.ErrorIs(t, err, errFeedNotCurrent)
+		must.EqOp(t, time.Second, time.Since(started))
+		f.add(7, batch{Next: 8})
+		_, err = f.readFrom(t.Context(), 7, membersWatchWait, false)
+		must.ErrorIs(t, err, errFeedNotCurrent)
 	})
 }
 
 // A feed holds so many bytes and no more. Who comes for older records must not be told
 // that nothing came.
-func TestFeedForgetsInOrder(t *testing.T) {
+func TestFeedDropsOldestRecords(t *testing.T) {
 	var f feed
 	const size = 250
-	last := int64(3 * feedBytes / size)
+	last := int64(3 * maxFeedBytes / size)
 	for i := range last {
-		f.add(i, page{Items: []Item{{Key: fmt.Sprint(i), Value: make([]byte, size)}}, Next: i + 1})
+		f.add(i, batch{Items: []Item{{Key: fmt.Sprint(i), Value: make([]byte, size)}}, Next: i + 1})
 	}
-	_, err := f.after(t.Context(), 0, 0, false)
-	must.ErrorIs(t, err, errNotHeld)
-	p, err := f.after(t.Context(), last-2, 0, false)
+	_, err := f.readFrom(t.Context(), 0, 0, false)
+	must.ErrorIs(t, err, errNotBuffered)
+	b, err := f.readFrom(t.Context(), last-2, 0, false)
 	must.NoError(t, err)
-	must.Len(t, 2, p.Items)
-	must.EqOp(t, last, p.Next)
+	must.Len(t, 2, b.Items)
+	must.EqOp(t, last, b.Next)
 }
 
 // Operators publish 1,000 routes at a time, again and again. What is held for others
 // must not grow with it, and one publication above the bound is not held at all.
-func TestFeedOfLargeRecordsStaysSmall(t *testing.T) {
+func TestFeedOfLargeRecordsIsBounded(t *testing.T) {
 	var f feed
 	for i := range int64(200) {
-		f.add(i, page{Items: []Item{{Key: "config", Value: make([]byte, 100<<10)}}, Next: i + 1})
-		must.LessEq(t, feedBytes, f.held)
+		f.add(i, batch{Items: []Item{{Key: "config", Value: make([]byte, 100<<10)}}, Next: i + 1})
+		must.LessEq(t, maxFeedBytes, f.bufferedBytes)
 	}
-	f.add(200, page{Items: []Item{{Key: "config", Value: make([]byte, 2*feedBytes)}}, Next: 201})
-	must.EqOp(t, 0, f.held)
-	_, err := f.after(t.Context(), 200, 0, false)
-	must.ErrorIs(t, err, errNotHeld)
-	p, err := f.after(t.Context(), 201, 0, false)
+	f.add(200, batch{Items: []Item{{Key: "config", Value: make([]byte, 2*maxFeedBytes)}}, Next: 201})
+	must.EqOp(t, 0, f.bufferedBytes)
+	_, err := f.readFrom(t.Context(), 200, 0, false)
+	must.ErrorIs(t, err, errNotBuffered)
+	b, err := f.readFrom(t.Context(), 201, 0, false)
 	must.NoError(t, err)
-	must.EqOp(t, 201, p.Next)
+	must.EqOp(t, 201, b.Next)
 }
--- a/internal/mesh/relaybytes_test.go
+++ b/internal/mesh/relaybytes_test.go
@@ -50,55 +50,55 @@
 
 // watchedNode is a node that others read through, at rest. Names and offsets are as long as
 // those of a large deployment.
-func watchedNode(t *testing.T) (m *Mesh, of fleet.Member, served *countingListener) {
+func watchedNode(t *testing.T) (m *Mesh, source fleet.Member, listener *countingListener) {
 	cfg := &settings.Mesh{NodeID: "sidecar-yanagawa-412"}
 	cfg.Store.Address = "10.200.100.100:18223"
 	m = &Mesh{cfg: cfg, logger: zerolog.Nop()}
 	m.tunable.Store(cfg)
-	m.following = newFollower(quietTopic("members"), func([]Item) {}, nil, zerolog.Nop())
-	m.routes = &routeKeeper{follower: newFollower(quietTopic("routes"), func([]Item) {}, nil, zerolog.Nop())}
-	for _, f := range []*follower{m.following, m.routes.follower} {
-		f.take(readAll, page{Next: 12_345_678, Whole: true}, time.Now())
+	m.membersFollower = newFollower(emptyTopic("members"), func([]Item) {}, nil, zerolog.Nop())
+	m.routes = &routeKeeper{follower: newFollower(emptyTopic("routes"), func([]Item) {}, nil, zerolog.Nop())}
+	for _, f := range []*follower{m.membersFollower, m.routes.follower} {
+		f.applyBatch(snapshotOffset, batch{Next: 12_345_678, Snapshot: true}, time.Now())
 	}
 	m.servers.control = proxy.NewPeers(nil).ControlTransport()
 	t.Cleanup(m.servers.control.CloseIdleConnections)
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(m.serveWatch))
-	served = &countingListener{Listener: srv.Listener}
-	srv.Listener = served
+	listener = &countingListener{Listener: srv.Listener}
+	srv.Listener = listener
 	srv.Start()
 	t.Cleanup(srv.Close)
-	return m, fleet.Member{Node: cfg.NodeID, Address: srv.Listener.Addr().String()}, served
+	return m, fleet.Member{Node: cfg.NodeID, Address: srv.Listener.Addr().String()}, listener
 }
 
 // Guards against a node whose children in the zone cost it more than a node may spend on
 // control.
-func TestQuestionsOfAllChildrenFitTheBytesOfANode(t *testing.T) {
-	const bytesPerSecond = 2000
-	m, of, served := watchedNode(t)
-	ask := func(topic string) float64 {
-		before := served.bytes.Load()
-		_, err := m.watch(t.Context(), &of, question{topic: topic, from: 12_345_678, wait: time.Millisecond})
+func TestWatchRequestsOfAllChildrenFitTheByteBudget(t *testing.T) {
+	const maxBytesPerSecond = 2000
+	m, source, listener := watchedNode(t)
+	bytesOf := func(topic string) float64 {
+		before := listener.bytes.Load()
+		_, err := m.watch(t.Context(), &source, watchRequest{topic: topic, from: 12_345_678, wait: time.Millisecond})
 		must.NoError(t, err)
-		return float64(served.bytes.Load() - before)
+		return float64(listener.bytes.Load() - before)
 	}
-	child := ask("routes")/routesWait.Seconds() + ask("members")/membersWait.Seconds()
-	t.Logf("%.0f bytes a second for each child", child)
-	must.LessEq(t, bytesPerSecond, child*(fleet.RelayFanOut+1), must.Sprint("a node asks as well, once of each"))
+	bytesPerChild := bytesOf("routes")/routesWatchWait.Seconds() + bytesOf("members")/membersWatchWait.Seconds()
+	t.Logf("%.0f bytes a second for each child", bytesPerChild)
+	must.LessEq(t, maxBytesPerSecond, bytesPerChild*(fleet.RelayFanOut+1), must.Sprint("a node asks as well, once of each"))
 }
 
-// quietTopic has no records, and is never read.
-type quietTopic string
+// emptyTopic has no records, and is never read.
+type emptyTopic string
 
 // Name implements Topic.
-func (q quietTopic) Name() string { return string(q) }
+func (q emptyTopic) Name() string { return string(q) }
 
 // Put implements Topic.
-func (quietTopic) Put(context.Context, string, []byte) error { return nil }
+func (emptyTopic) Put(context.Context, string, []byte) error { return nil }
 
 // Newest implements Topic.
-func (quietTopic) Newest(context.Context) ([]Item, int64, error) { return nil, 0, nil }
+func (emptyTopic) Newest(context.Context) ([]Item, int64, error) { return nil, 0, nil }
 
 // Read implements Topic.
-func (quietTopic) Read(context.Context, int64, time.Duration) ([]Item, int64, error) {
+func (emptyTopic) Read(context.Context, int64, time.Duration) ([]Item, int64, error) {
 	return nil, 0, nil
 }
--- a/internal/mesh/reload.go
+++ b/internal/mesh/reload.go
@@ -6,18 +6,18 @@
 // retries, the grace of a stop, the store's address. next must be valid. It
 // returns the fields that differ and need a restart; those stay as they were.
 func (m *Mesh) Reload(next *settings.Mesh) []string {
-	before := m.tunable.Swap(next)
-	if before.Store.Address != next.Store.Address || before.Store.Name != next.Store.Name {
+	previous := m.tunable.Swap(next)
+	if previous.Store.Address != next.Store.Address || previous.Store.Name != next.Store.Name {
 		m.platform.SetStore(next.Store.Address)
-		m.routes.follower.restart()
-		m.following.restart()
+		m.routes.follower.resyncNow()
+		m.membersFollower.resyncNow()
 	}
 	m.members.refresh()
 	m.routes.refresh()
-	fixed := m.cfg.NeedRestart(next)
-	m.logger.Info().Strs("need_restart", fixed).Float64("retry_ratio", next.Retries.Ratio).Int("retry_floor", next.Retries.Floor).
+	needRestart := m.cfg.NeedRestart(next)
+	m.logger.Info().Strs("need_restart", needRestart).Float64("retry_ratio", next.Retries.Ratio).Int("retry_floor", next.Retries.Floor).
 		Dur("grace_ms", next.Stop.Grace.Std()).Str("store", next.Store.Address).Msg("settings reloaded")
-	return fixed
+	return needRestart
 }
 
 // Settings returns the settings in force; they must not be changed.
--- a/internal/mesh/routekeeper.go
+++ b/internal/mesh/routekeeper.go
@@ -19,8 +19,8 @@
 	// maxRoutesBytes bounds routes taken from another node: 16,384 routes of some
 	// 300 bytes.
 	maxRoutesBytes = 8 << 20
-	// askPause is the least time between two questions to other nodes.
-	askPause = 200 * time.Millisecond
+	// failedFetchPause is the least time between two questions to other nodes.
+	failedFetchPause = 200 * time.Millisecond
 )
 
 // routeKeeper holds the routes in force. A version is never replaced by an older
@@ -29,14 +29,14 @@
 	mesh     *Mesh
 	follower *follower
 	version  atomic.Int64
-	asking   atomic.Bool
+	fetching atomic.Bool
 
 	mu sync.Mutex
 }
 
 func newRouteKeeper(m *Mesh) *routeKeeper {
 	k := &routeKeeper{mesh: m}
-	k.follower = newFollower(m.platform.RoutesTopic(), k.apply, m.newRelay(routesWait), m.logger)
+	k.follower = newFollower(m.platform.RoutesTopic(), k.apply, m.newRelay(routesWatchWait), m.logger)
 	k.follower.readWait = routesReadWait
 	return k
 }
@@ -56,22 +56,22 @@
 // fetch gets the routes of another node, and the records of members where none
 // were read yet. It doesn't block; one is under way at a time.
 func (k *routeKeeper) fetch(addr string) {
-	if !k.asking.CompareAndSwap(false, true) {
+	if !k.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer k.asking.Store(false)
-		if err := k.ask(addr); err != nil {
+		defer k.fetching.Store(false)
+		if err := k.fetchFrom(addr); err != nil {
 			k.mesh.logger.Warn().Str("address", addr).Int64("version", k.Version()).Err(err).Msg("routes not fetched from another node")
-			time.Sleep(askPause)
+			time.Sleep(failedFetchPause)
 		}
 	}()
 }
 
-func (k *routeKeeper) ask(addr string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+func (k *routeKeeper) fetchFrom(addr string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), storeCallTimeout)
 	defer cancel()
-	if !k.mesh.members.informed() {
+	if !k.mesh.members.isInitialized() {
 		if err := k.mesh.fetchMembers(ctx, addr); err != nil {
 			return err
 		}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return err
 	}
-	raw, err := k.mesh.askNode(req, maxRoutesBytes)
+	raw, err := k.mesh.sendControl(req, maxRoutesBytes)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 	if err := json.Unmarshal(raw, &config); err != nil {
 		return errors.Wrap(err, "routes of another node")
 	}
-	return k.put(&config, "node "+addr)
+	return k.install(&config, "node "+addr)
 }
 
 func (k *routeKeeper) apply(items []Item) {
@@ -101,7 +101,7 @@
 		if !ok {
 			continue
 		}
-		if err := k.put(config, "store"); err != nil {
+		if err := k.install(config, "store"); err != nil {
 			k.mesh.logger.Error().Int64("version", config.Version).Err(err).Msg("published routes refused; those before stay in force")
 		}
 	}
@@ -109,10 +109,10 @@
 
 // PutRoutes puts routes in force here that did not come from the store, unless
 // they are older than those in force.
-func (m *Mesh) PutRoutes(config *routes.Config) error { return m.routes.put(config, "given") }
+func (m *Mesh) PutRoutes(config *routes.Config) error { return m.routes.install(config, "given") }
 
-// put puts routes in force unless they are older than those that are.
-func (k *routeKeeper) put(config *routes.Config, source string) error {
+// install puts routes in force unless they are older than those that are.
+func (k *routeKeeper) install(config *routes.Config, source string) error {
 	if err := config.Validate(); err != nil {
 		return err
 	}
@@ -124,8 +124,8 @@
 	seed := k.mesh.node.Incarnation()
 	k.mesh.quotas.setRoutes(config)
 	k.mesh.proxy.SetRoutes(routes.NewTable(k.mesh.proxy.Routes(), config, seed))
-	old := k.version.Swap(config.Version)
-	k.mesh.logger.Info().Int64("version", config.Version).Int64("before", old).Str("source", source).Int("routes", len(config.Routes)).Int("workspaces", len(config.Workspaces)).Msg("routes in force")
+	previous := k.version.Swap(config.Version)
+	k.mesh.logger.Info().Int64("version", config.Version).Int64("before", previous).Str("source", source).Int("routes", len(config.Routes)).Int("workspaces", len(config.Workspaces)).Msg("routes in force")
 	return nil
 }
 
--- a/internal/mesh/stop.go
+++ b/internal/mesh/stop.go
@@ -19,10 +19,10 @@
 	// stopReserve of the grace is kept for the end of the process: twice what the
 	// last log lines may take.
 	stopReserve = 400 * time.Millisecond
-	// stopPoll is how often a stopping node looks whether callers wait.
-	stopPoll = 20 * time.Millisecond
-	// quietFor is how long no caller may have waited before the node ends.
-	quietFor = 300 * time.Millisecond
+	// stopPollInterval is how often a stopping node looks whether callers wait.
+	stopPollInterval = 20 * time.Millisecond
+	// quietPeriod is how long no caller may have waited before the node ends.
+	quietPeriod = 300 * time.Millisecond
 )
 
 // Stop ends the node without cutting a call: it says that it isn't ready, goes on
@@ -34,16 +34,16 @@
 // a fixed bound they would be refused for seconds beside an idle upstream, where several
 // nodes of a service are stopped in turn.
 func (m *Mesh) Stop() int {
-	begun := time.Now()
+	started := time.Now()
 	m.stopping.Store(true)
 	m.node.Event(m.node.Now(), timeline.Event{Kind: timeline.DrainStarted, Upstream: m.cfg.NodeID})
-	m.leave()
+	m.announceStop()
 	grace := m.Settings().Stop.Grace.Std()
-	end := begun.Add(grace - stopReserve)
+	end := started.Add(grace - stopReserve)
 	m.node.Guard().EndBy(end)
-	m.awaitQuiet(begun, begun.Add(time.Duration((1-answerShare)*float64(grace))))
+	m.awaitNoCallers(started, started.Add(time.Duration((1-answerShare)*float64(grace))))
 	m.node.Guard().Drain(m.node.Now())
-	cut := m.finish(end)
+	cut := m.shutdownServers(end)
 	m.close()
 	return cut
 }
@@ -54,35 +54,35 @@
 	m.close()
 }
 
-// leave tells the other nodes to send their calls elsewhere if they can.
-func (m *Mesh) leave() {
+// announceStop tells the other nodes to send their calls elsewhere if they can.
+func (m *Mesh) announceStop() {
 	record := m.publisher.update(func(own *fleet.Member) {
 		if own.State == fleet.Serving {
 			own.State = fleet.Stopping
 		}
 	})
 	m.members.learn(record)
-	m.following.feed.close()
+	m.membersFollower.feed.close()
 	m.routes.follower.feed.close()
 }
 
-// awaitQuiet returns once no caller has waited for a while, or at end.
-func (m *Mesh) awaitQuiet(begun, end time.Time) {
-	quietSince := begun
-	for now := begun; now.Before(end); now = time.Now() {
+// awaitNoCallers returns once no caller has waited for a while, or at end.
+func (m *Mesh) awaitNoCallers(started, end time.Time) {
+	quietSince := started
+	for now := started; now.Before(end); now = time.Now() {
 		if m.proxy.Roots() > 0 {
 			quietSince = now
 		}
-		if now.Sub(begun) >= stopNotice && now.Sub(quietSince) >= quietFor {
+		if now.Sub(started) >= stopNotice && now.Sub(quietSince) >= quietPeriod {
 			return
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 }
 
-// finish takes no more connections and lets what was read end. It returns how
+// shutdownServers takes no more connections and lets what was read end. It returns how
 // many calls are left.
-func (m *Mesh) finish(end time.Time) int {
+func (m *Mesh) shutdownServers(end time.Time) int {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	for _, srv := range []*http.Server{m.servers.callers, m.servers.inner} {
@@ -105,5 +105,5 @@
 	m.upstream.Close()
 	m.servers.control.CloseIdleConnections()
 	m.platform.Close()
-	m.loops.Wait()
+	m.goroutines.Wait()
 }
--- a/internal/mesh/storecalls.go
+++ b/internal/mesh/storecalls.go
@@ -41,15 +41,15 @@
 // StoreCallMessage is the message of the line that each call of the store writes.
 const StoreCallMessage = "store called"
 
-// callLog writes a line for each call of the store through one topic. The pauses between
+// storeCallLog writes a line for each call of the store through one topic. The pauses between
 // calls bound their number, so none is left out.
-type callLog struct {
+type storeCallLog struct {
 	logger zerolog.Logger
 	topic  string
 }
 
-// done notes a call that was sent then.
-func (l callLog) done(ctx context.Context, purpose Purpose, sent time.Time, err error) {
+// log notes a call that was sent then.
+func (l storeCallLog) log(ctx context.Context, purpose Purpose, sent time.Time, err error) {
 	l.logger.Info().Str("topic", l.topic).Str("purpose", string(purpose)).Str("outcome", string(outcomeOf(ctx, err))).
 		Dur("took_ms", time.Since(sent)).Msg("store called")
 }
--- a/internal/mesh/storecalls_test.go
+++ b/internal/mesh/storecalls_test.go
@@ -27,7 +27,7 @@
 		{t.Context(), errors.New("refused"), OutcomeFailed},
 	} {
 		var out bytes.Buffer
-		callLog{zerolog.New(&out), "routes"}.done(x.ctx, PurposeChanges, time.Now(), x.err)
+		storeCallLog{zerolog.New(&out), "routes"}.log(x.ctx, PurposeChanges, time.Now(), x.err)
 		var line struct {
 			Message, Topic string
 			Purpose        Purpose
