--- a/internal/mesh/adopt.go
+++ b/internal/mesh/adopt.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// adoptionWindow is how long after its start a node looks for the upstream beside it:
-	// twice the pause between two reports of an upstream, which come every 1.5 s.
+	// adoptionWindow is how long after its start a node tries to adopt the upstream beside it: 2
+	// times the interval between two reports of an upstream, which is 1.5 s.
 	adoptionWindow = 3 * time.Second
-	// adoptionPollInterval is the pause between two looks. Routes and the node's earlier record
-	// come from the store some 20 ms after the start.
+	// adoptionPollInterval is the pause between two attempts. Routes and the record of the
+	// node's previous process arrive from the store some 20 ms after the start.
 	adoptionPollInterval = 50 * time.Millisecond
-	// healthCheckTimeout bounds a question for the upstream's health, which waits for a slot
-	// like a request.
+	// healthCheckTimeout bounds a health check of the upstream, which waits for a slot like any
+	// request.
 	healthCheckTimeout = 500 * time.Millisecond
 )
 
-// adoptUpstream takes the upstream beside the node into service before it reports.
+// adoptUpstream takes the upstream beside the node into service before its first report.
 //
-// The failure it guards against: a node is restarted while its upstream goes on. Until
-// the upstream's next report, up to 1.5 s later, every call for it was refused ("no
-// upstream is announced to this node") though it was idle; where several nodes of a
-// service are restarted in turn, there was none left. The node's earlier process has
-// left a record of the upstream, and the upstream says by its health whether it is
-// still that one and takes work. Neither alone would do: a record may be of a process
-// that is gone, and health doesn't tell the slots.
+// It covers a node that is restarted while its upstream keeps running. Without adoption, every
+// call for that upstream is refused ("no upstream is announced to this node") until its next
+// report, up to 1.5 s later, although it is idle; where several nodes of a service are restarted
+// in turn, no upstream of the service is left. The node's previous process has left a record of
+// the upstream, and a health check tells whether the upstream is still that process and accepts
+// work. Both are needed: the record may describe a process that is gone, and the health check
+// does not report the number of slots.
 func (m *Mesh) adoptUpstream(ctx context.Context) {
 	deadline := time.Now().Add(adoptionWindow)
 	poll := time.NewTicker(adoptionPollInterval)
@@ -45,16 +45,16 @@
 	}
 }
 
-// predecessorUpstream returns the record that the node's earlier process left, if it speaks of an
-// upstream at work.
+// predecessorUpstream returns the record of the node's previous process if it describes an
+// upstream in service.
 func (m *Mesh) predecessorUpstream() (fleet.Member, bool) {
 	record, known := m.members.predecessor(m.cfg.NodeID, m.node.Incarnation())
 	active := record.State == fleet.Serving || record.State == fleet.Stopping
 	return record, known && active && record.Service == m.cfg.Service && record.Upstream != "" && record.Slots > 0
 }
 
-// upstreamID asks the upstream who it is; empty when it can't be asked, doesn't answer or
-// takes no work.
+// upstreamID returns the ID that the upstream reports in a health check. It is empty when the
+// check can't be sent, gets no response, or the upstream accepts no work.
 func (m *Mesh) upstreamID(ctx context.Context) string {
 	table := m.proxy.Routes()
 	if table == nil {
--- a/internal/mesh/callerconn.go
+++ b/internal/mesh/callerconn.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// idleSentinel and headerSentinel are the timeouts that net/http is given;
-	// callerConn replaces them by those of the routes in force, which may change
-	// while the server runs.
+	// idleSentinel and headerSentinel are the timeouts that net/http is configured with.
+	// callerConn replaces them by the timeouts of the routes in force, which may change while
+	// the server runs.
 	idleSentinel   = 1000 * time.Hour
 	headerSentinel = 500 * time.Hour
-	// defaultIdleTimeout holds where the routes set no idle timeout.
+	// defaultIdleTimeout applies where the routes set no idle timeout.
 	defaultIdleTimeout = 60 * time.Second
 )
 
+// callerListener accepts the connections of callers.
 type callerListener struct {
 	net.Listener
 	mesh *Mesh
@@ -30,24 +31,26 @@
 	return &callerConn{Conn: c, timeouts: l.mesh}, nil
 }
 
-// callerTimeouts are the times that a caller may take, as they are in force.
+// callerTimeouts returns the timeouts for caller connections that are currently in force.
 type callerTimeouts interface {
 	idleTimeout() time.Duration
 	headerTimeout() time.Duration
 }
 
+// callerConn applies the timeouts in force to the connection of a caller.
 type callerConn struct {
 	net.Conn
 	timeouts callerTimeouts
-	// awaitingFirstByte is set while nothing has come on a new connection. net/http counts the
-	// time of its first header from the start, and so would close connections that
-	// callers open in advance.
+	// awaitingFirstByte is set on a new connection until its first byte arrives. net/http starts
+	// the header timeout of the first request when the connection opens, and so would close
+	// connections that callers open in advance.
 	awaitingFirstByte atomic.Bool
 	firstDeadlineSet  bool
 }
 
-// SetReadDeadline implements net.Conn. A deadline about as far away as a sentinel
-// is net/http's wait for the next request or for a whole header.
+// SetReadDeadline implements net.Conn. A deadline about as far away as a sentinel is the one
+// that net/http sets for the next request (idle timeout) or for a complete header (header
+// timeout).
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	remaining := time.Until(t)
 	switch {
--- a/internal/mesh/compare.go
+++ b/internal/mesh/compare.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// offsetsPath is where a node says how far it has read the store's topics.
+	// offsetsPath is where a node serves the offsets up to which it has read the store's topics.
 	offsetsPath = "/offsets"
-	// zoneCompareInterval is the mean time between two comparisons by the nodes of a zone
-	// together, and minComparePause the least of one node.
+	// zoneCompareInterval is the mean time between two comparisons by all nodes of a zone
+	// together. minCompareInterval bounds the interval of a single node from below.
 	zoneCompareInterval = 150 * time.Millisecond
 	minCompareInterval  = 500 * time.Millisecond
-	// compareTimeout bounds one question.
+	// compareTimeout bounds one request for offsets.
 	compareTimeout = 500 * time.Millisecond
-	// maxOffsetsBytes bounds its answer.
+	// maxOffsetsBytes bounds the response.
 	maxOffsetsBytes = 1 << 10
 )
 
@@ -35,12 +35,12 @@
 	RoutesVersion int64 `json:"routes_version"`
 }
 
-// compareOffsets asks nodes of other zones now and then how far they have read.
+// compareOffsets periodically asks a random node of another zone how far it has read.
 //
-// The failure it guards against: the store answers the reader of a zone no more, but
-// its connection lives. A read that waits for changes then looks like one for which there
-// are none, and the whole zone stays with what it has. Zones read for themselves, so
-// the nodes of another one know better, as long as one of the others is answered.
+// It detects a store that no longer responds to the reader of a zone while the connection stays
+// open. A read that waits for changes then looks the same as one for which there are none, and
+// the whole zone keeps outdated data. Each zone reads the store on its own, so nodes of another
+// zone are ahead as long as the store responds to one of them.
 func (m *Mesh) compareOffsets(ctx context.Context) {
 	for ctx.Err() == nil {
 		interval := max(time.Duration(len(m.members.zoneNeighbours(m.cfg)))*zoneCompareInterval, minCompareInterval)
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// serveOffsets answers a node that compares itself with this one.
+// serveOffsets serves the offsets of this node to a node that compares its own with them.
 func (m *Mesh) serveOffsets(w http.ResponseWriter, r *http.Request) {
 	if mismatch := m.checkRecipient(r.URL.Query()); mismatch != nil {
 		http.Error(w, mismatch.Error(), mismatch.status)
--- a/internal/mesh/crashrecords.go
+++ b/internal/mesh/crashrecords.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// crashPrefix begins the keys of records of crashes; the node's name follows.
+	// crashPrefix is the prefix of the keys of crash records; the node's name follows.
 	crashPrefix = "crash/"
-	// batchDelay is how long records of one crash are gathered for one append: an
-	// upstream's death shows on each of its connections within milliseconds.
+	// batchDelay is how long the records of one crash are collected for one append: the crash of
+	// an upstream shows on each of its connections within milliseconds.
 	batchDelay = 50 * time.Millisecond
 	// maxPendingCrashRecords bounds one append: the calls of a large upstream.
 	maxPendingCrashRecords = 512
 )
 
-// storedCrashRecord is a suspect in the store. Clocks of nodes are close to the true
-// time, which is enough for the seconds in which suspects are held back.
+// storedCrashRecord is a crash record as stored. The clocks of nodes are close enough to the
+// true time for the seconds during which suspect requests are held back.
 type storedCrashRecord struct {
 	Fingerprint uint64 `json:"f"`
 	Upstream    string `json:"upstream"`
@@ -35,8 +35,8 @@
 	Alone       bool   `json:"alone,omitempty"`
 }
 
-// crashReporter spreads the records of requests that ran when an upstream died, so
-// that no third upstream runs what killed two.
+// crashReporter writes the records of requests that ran when an upstream crashed to the store,
+// and applies those of other nodes, so that no third upstream runs a request that crashed 2.
 type crashReporter struct {
 	topic  Topic
 	key    string
@@ -44,7 +44,7 @@
 	logger zerolog.Logger
 	calls  storeCallLog
 	wake   chan struct{}
-	// onWriteFailed is called when the store did not take records.
+	// onWriteFailed is called when the store did not accept the records.
 	onWriteFailed func(Item)
 
 	mu      sync.Mutex
@@ -55,7 +55,7 @@
 	return &crashReporter{topic: topic, key: crashPrefix + nodeID, logger: logger, calls: storeCallLog{logger: storeCallLogger, topic: topic.Name()}, wake: make(chan struct{}, 1), onWriteFailed: onWriteFailed}
 }
 
-// enqueue takes records to be written; it doesn't block.
+// enqueue adds records to the next write; it doesn't block.
 func (s *crashReporter) enqueue(list []quarantine.CrashRecord) {
 	s.mu.Lock()
 	s.pending = append(s.pending, list...)
@@ -88,7 +88,8 @@
 	}
 }
 
-// write tries once more after a failure: records are of use for seconds only.
+// write writes the records, with one retry after a failure: crash records are useful for seconds
+// only.
 func (s *crashReporter) write(ctx context.Context, crashes []quarantine.CrashRecord) error {
 	records := make([]storedCrashRecord, len(crashes))
 	for i, crash := range crashes {
@@ -117,7 +118,7 @@
 	return err
 }
 
-// apply takes in what another node wrote.
+// apply applies the crash records that another node wrote.
 func (s *crashReporter) apply(item Item) {
 	if item.Key == s.key {
 		return
@@ -132,7 +133,7 @@
 	for i, r := range records {
 		crashes[i] = quarantine.CrashRecord{
 			Fingerprint: quarantine.Fingerprint(r.Fingerprint), Upstream: r.Upstream, Incarnation: r.Incarnation,
-			// The monotonic reading of now makes ages immune to steps of the clock.
+			// The monotonic clock reading of now makes ages immune to steps of the wall clock.
 			At:      now.Add(-max(0, now.Sub(time.UnixMilli(r.AtMillis)))),
 			Cleared: r.Cleared, Alone: r.Alone,
 		}
--- a/internal/mesh/doc.go
+++ b/internal/mesh/doc.go
@@ -1,6 +1,5 @@
-// Package mesh runs one node of a deployment whose requests come by routes: its
-// listeners, the followers of the store's topics, the node's own record among
-// the members, and the planned stop. Decisions are in packages node, routing,
-// routes and fleet; the words of a platform are in the adapter that is given in
-// as Platform.
+// Package mesh runs one node of a deployment that routes calls by published routes. It holds the
+// node's listeners, the followers of the store's topics, the publisher of the node's own member
+// record, and the planned stop. Decisions are made in packages node, routing, routes and fleet;
+// everything specific to a platform is in the adapter that is passed in as Platform.
 package mesh
--- a/internal/mesh/eventlog.go
+++ b/internal/mesh/eventlog.go
@@ -7,14 +7,13 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// eventMessage marks the log lines that are events of the time line.
+// eventMessage is the message of log lines that are timeline events.
 const eventMessage = "event"
 
-// logEvent writes an event as a log line, under the names that it has on the time
-// line, so that galenactl reads both. Failures, and what changes the node's beliefs,
-// are warnings. Lines of calls are bounded for each level by itself, and a flood of good
-// calls takes no line from failures; those of a tree of calls are kept or left out
-// together.
+// logEvent writes an event as a log line with the field names that it has on the timeline, so
+// that galenactl reads both. Failures and changes of the node's view of the deployment are
+// warnings. The lines of calls are limited per level, so a flood of successful calls displaces
+// no line of a failure. The lines of one tree of calls are kept or dropped together.
 func (m *Mesh) logEvent(e *timeline.Event) {
 	level := eventLevel(e)
 	logger, oneIn := &m.rateLimited, 1
@@ -49,6 +48,7 @@
 	line.Int64("routes_version", m.routes.Version()).Msg(eventMessage)
 }
 
+// samplerFor returns the sampler of call trees for the lines of a level.
 func (m *Mesh) samplerFor(level zerolog.Level) *timeline.TreeSampler {
 	if level == zerolog.InfoLevel {
 		return &m.successTrees
--- a/internal/mesh/exchange.go
+++ b/internal/mesh/exchange.go
@@ -15,20 +15,18 @@
 )
 
 const (
-	// introductionPath is where a node takes another one's record and answers with
-	// its own.
+	// introductionPath is where a node receives another node's record and responds with its own.
 	introductionPath = "/introduction"
-	// membersPath is where a node gives the records that it knows to others.
+	// membersPath is where a node serves all member records that it has.
 	membersPath = "/members"
 	// introductionTimeout bounds one introduction within the zone.
 	introductionTimeout = 300 * time.Millisecond
-	// maxMembersBytes bounds records taken from another node: 14,000 of some 250
-	// bytes, twice.
+	// maxMembersBytes bounds the records fetched from another node: 14,000 of some 250 bytes,
+	// doubled.
 	maxMembersBytes = 8 << 20
 )
 
-// exchangeRecords gives the node's own record to another node and returns that
-// one's.
+// exchangeRecords sends the node's own record to another node and returns that node's record.
 func (m *Mesh) exchangeRecords(ctx context.Context, address string) (fleet.Member, error) {
 	ctx, cancel := context.WithTimeout(ctx, introductionTimeout)
 	defer cancel()
@@ -48,15 +46,16 @@
 	return fleet.DecodeMember(reply)
 }
 
-// statusError is an answer of another node that is not the one asked for.
+// statusError is a response of another node with a status other than 200.
 type statusError struct{ status int }
 
 // Error implements error.
 func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
 
-// sendControl sends a question to another node and returns the answer's body.
+// sendControl sends a control request to another node and returns the body of the response, cut
+// at maxBytes. A status other than 200 is a *statusError.
 func (m *Mesh) sendControl(req *http.Request, maxBytes int64) ([]byte, error) {
-	req.Header.Set("User-Agent", "") // omitted then
+	req.Header.Set("User-Agent", "") // an empty value omits the header
 	resp, err := m.servers.control.RoundTrip(req)
 	if err != nil {
 		return nil, err
@@ -68,8 +67,8 @@
 	return io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 }
 
-// serveIntroduction takes another node's record and answers with this one's. A
-// node that lacks routes or records fetches them there.
+// serveIntroduction receives another node's record and responds with this node's. A node that
+// has no routes or no member records fetches them from the sender.
 func (m *Mesh) serveIntroduction(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, fleet.MaxMemberBytes))
 	if err != nil {
@@ -89,11 +88,11 @@
 	m.sendJSON(w, &own)
 }
 
-// serveMembers gives the records known here to other nodes.
+// serveMembers serves all member records of this node.
 func (m *Mesh) serveMembers(w http.ResponseWriter, _ *http.Request) { m.sendJSON(w, m.members.all()) }
 
-// omitUnusedHeaders leaves out what another node has no use for. Answers that say that nothing
-// changed are most of what nodes send each other at rest.
+// omitUnusedHeaders omits response headers that other nodes don't use. Responses that report no
+// change make up most of the traffic between idle nodes.
 func omitUnusedHeaders(w http.ResponseWriter) {
 	w.Header()["Date"] = nil
 	w.Header()["Content-Type"] = nil
@@ -108,8 +107,8 @@
 	}
 }
 
-// fetchMembers takes over what another node knows. Records are folded: older
-// ones change nothing.
+// fetchMembers fetches the member records of another node and merges them; records older than
+// the known ones change nothing.
 func (m *Mesh) fetchMembers(ctx context.Context, address string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+membersPath, nil)
 	if err != nil {
--- a/internal/mesh/feed.go
+++ b/internal/mesh/feed.go
@@ -8,62 +8,63 @@
 	"github.com/pkg/errors"
 )
 
-// batch is what one read of a topic brought.
+// batch is the result of one read of a topic.
 type batch struct {
 	Items []Item `json:"items,omitempty"`
-	// Next is the offset from which to read on.
+	// Next is the offset of the next read.
 	Next int64 `json:"next"`
-	// AgeMillis is how long ago the sender of a page last knew that nothing newer was
-	// in the store.
+	// AgeMillis is how long ago the sender last knew that the store had nothing newer, in
+	// milliseconds.
 	AgeMillis int64 `json:"age_ms"`
-	// Snapshot says that Items are the newest record of each key, and not what came after
+	// Snapshot is whether Items are the newest record of each key rather than the records after
 	// an offset.
 	Snapshot bool `json:"whole,omitempty"`
 }
 
-// maxFeedBytes bounds the records that a feed holds, keys and values: two of some 250 bytes
-// for each of 412 nodes of a zone that are restarted within seconds. Counted in bytes,
-// since one publication of many routes is some 100 KB: a thousand of them would fill the
-// memory of a VM within a day of changes.
+// maxFeedBytes bounds the keys and values of the records that a feed buffers: 2 records of some
+// 250 bytes for each of the 412 nodes of a zone that restart within seconds. The bound is in
+// bytes rather than records because one publication of many routes takes some 100 KB: 1,000 of
+// them would fill the memory of a VM within a day of changes.
 const maxFeedBytes = 256 << 10
 
 var (
-	// errFeedNotCurrent matches a question to a node that doesn't know what the store has
-	// now: it lost the store, or is about to end.
+	// errFeedNotCurrent is returned by a feed that does not know the current state of the store:
+	// the store is lost, or the node is about to stop.
 	errFeedNotCurrent = errors.New("what the store has is not known here")
-	// errNotBuffered matches a question for records that the feed holds no more.
+	// errNotBuffered is returned for an offset whose records the feed no longer buffers.
 	errNotBuffered = errors.New("records from this offset on are not held here")
 )
 
-// feed holds what the node read of a topic, for the nodes that read through it: the
-// last records in their order, and the newest of each key for those that are behind or
-// know nothing yet. Safe for concurrent use; the zero value has begun nothing.
+// feed buffers what the node has read of a topic for the nodes that read through it: the latest
+// records in order, and the newest record of each key for nodes that are behind or start from
+// nothing. It is safe for concurrent use; the zero value is a feed whose first read is under
+// way.
 type feed struct {
 	mu            sync.Mutex
 	batches       []feedBatch
-	bufferedBytes int // bytes
-	// start and next bound the offsets that are held.
+	bufferedBytes int
+	// start and next bound the buffered offsets.
 	start, next int64
-	// latest is the latest record of each key; nil where not all keys are known.
+	// latest is the newest record of each key; nil unless all keys are known.
 	latest map[string][]byte
 	state  feedState
-	// changed is closed at the next change.
+	// changed is closed at the next change; nil while no reader waits.
 	changed chan struct{}
 }
 
-// feedState is what a feed knows of the store.
+// feedState is how current a feed is with respect to the store.
 type feedState int
 
 const (
-	// feedStarting is that of a node whose first read is under way.
+	// feedStarting is the state until the first read succeeds.
 	feedStarting feedState = iota
 	feedCurrent
 	feedStoreLost
-	// feedClosed is that of a node that is about to end.
+	// feedClosed is the final state, set when the node is about to stop.
 	feedClosed
 )
 
-// feedBatch is a page and the offset that it was read from.
+// feedBatch is a batch with the offset that it was read from.
 type feedBatch struct {
 	from int64
 	batch
@@ -76,7 +77,7 @@
 	return n
 }
 
-// add takes what was read from offset from on.
+// add appends a batch that was read from offset from.
 func (f *feed) add(from int64, b batch) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +98,7 @@
 	}
 }
 
-// resetLocked begins anew, with all keys where the page has them.
+// resetLocked drops the buffer and restarts it after b, with all keys if b is a snapshot.
 func (f *feed) resetLocked(b batch) {
 	f.batches, f.bufferedBytes, f.latest = nil, 0, nil
 	f.start = b.Next
@@ -130,11 +131,11 @@
 	}
 }
 
-// markStoreLost says that the store is not known any more; who waits is told at once, so that it
-// asks elsewhere.
+// markStoreLost marks the store as lost. Waiting readers fail at once, so that they read from
+// another node.
 func (f *feed) markStoreLost() { f.setUnavailable(feedStoreLost) }
 
-// close loses the store for good.
+// close marks the store as lost for good.
 func (f *feed) close() { f.setUnavailable(feedClosed) }
 
 func (f *feed) setUnavailable(state feedState) {
@@ -153,11 +154,11 @@
 	}
 }
 
-// readFrom returns what came readFrom offset from, or the newest record of each key where the
-// records from there on are not held. With nothing there it waits up to wait, as for a
-// first read that is under way; one that is patient waits for a lost store as well. Records
-// before from may be among them. Who is ahead for
-// all of the wait must ask the store: it may have begun its offsets anew.
+// readFrom returns the records from offset from on, or the newest record of each key if those
+// records are no longer buffered. The batch may include records before from. If there are none,
+// it waits up to wait, also for a first read that is under way; with waitForStore it also waits
+// for a lost store to return. A reader that is ahead of this feed for the whole wait gets
+// errNotBuffered and must read the store: the store may have restarted its offsets.
 func (f *feed) readFrom(ctx context.Context, from int64, wait time.Duration, waitForStore bool) (batch, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -176,7 +177,7 @@
 	}
 }
 
-// tryRead returns what came after an offset, or what to wait for.
+// tryRead returns the records from an offset on, or a channel that is closed at the next change.
 func (f *feed) tryRead(from int64, waitForStore bool) (b batch, changed <-chan struct{}, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -214,8 +215,8 @@
 	return b
 }
 
-// timeoutResult is the answer to a question that waited so long for nothing. One that did
-// not wait may be ahead for a moment.
+// timeoutResult is the result of a read during whose wait nothing arrived. A reader that did not
+// wait may be ahead of the feed for a moment, so it gets no error.
 func (f *feed) timeoutResult(from int64, waited time.Duration) (batch, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/mesh/firststart.go
+++ b/internal/mesh/firststart.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// firstStartDelay is how long the nodes of a deployment that starts for the first
-	// time wait before they read who is there: upstreams report every 1.5 s, and until
-	// all have done so there is nobody to read through.
+	// firstStartDelay is how long the nodes of a deployment that starts for the first time wait
+	// before they read the members: upstreams report every 1.5 s, and until all have reported
+	// there is no node to read through.
 	firstStartDelay = 2500 * time.Millisecond
 	// firstStartJitter spreads those reads.
 	firstStartJitter = 300 * time.Millisecond
-	// firstSnapshotPause is how long a node waits after it: nodes start within 0.3 s of each
-	// other, and one that has not read yet has nothing to pass on.
+	// firstSnapshotPause is how long a node waits after its first read: nodes start within 0.3 s
+	// of each other, and a node that has not read yet has nothing to serve to others.
 	firstSnapshotPause = 700 * time.Millisecond
-	// membersReadTimeout bounds how long a node that starts waits to learn whom it can ask
-	// for routes, before it asks the store.
+	// membersReadTimeout bounds how long a starting node waits for the member records, which
+	// list the nodes it can read routes through, before it reads the store.
 	membersReadTimeout = 500 * time.Millisecond
 )
 
-// followMembers follows the records of nodes. Load pattern: all nodes of a deployment
-// start within a second. Each would read all records, and then each one that comes, from
-// the store, since nobody knows yet whom to read through.
+// followMembers follows the member records. Load pattern: all nodes of a deployment start within
+// 1 s. Without the delays each would read all records, and then each new one, from the store,
+// since no node knows yet which node to read through.
 func (m *Mesh) followMembers(ctx context.Context) {
 	if m.cfg.FirstStart {
 		wait.For(ctx, firstStartDelay+rand.N(firstStartJitter))
@@ -34,7 +34,7 @@
 	m.membersFollower.run(ctx)
 }
 
-// followRoutes follows the published routes, from a node of the zone if one is known.
+// followRoutes follows the published routes, through a node of the zone if one is known.
 func (m *Mesh) followRoutes(ctx context.Context) {
 	timeout := membersReadTimeout
 	if m.cfg.FirstStart {
--- a/internal/mesh/follow.go
+++ b/internal/mesh/follow.go
@@ -14,83 +14,85 @@
 )
 
 const (
-	// readWait is how long a read at the end of a topic waits for changes. A read
-	// costs the same however long it waits; whether its connection lives is
-	// shown by keep-alive probes, not by its end.
+	// readWait is how long a read at the end of a topic waits for changes. A read costs the same
+	// however long it waits; keep-alive probes rather than the end of the read detect a dead
+	// connection.
 	readWait = 25 * time.Second
-	// routesReadWait is the same for published routes: the store may leave out a read
-	// that waits when a record comes, and routes have to be in force within two seconds.
+	// routesReadWait is the same for published routes: the store may skip a waiting read when a
+	// record arrives, and routes have to be in force within 2 s.
 	routesReadWait = time.Second
-	// minRetryDelay and maxPause bound the wait after a failed call of the store. An
-	// entry has to be back about two seconds after the store's return.
+	// minRetryDelay and maxRetryDelay bound the delay after a failed call of the store. The node's record
+	// has to be in the store again about 2 s after the store returns.
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = 1200 * time.Millisecond
-	// storeCallTimeout bounds a call of the store that doesn't wait. Slow stores
-	// answer in some hundred milliseconds.
+	// storeCallTimeout bounds a call of the store that doesn't wait. Slow stores respond within
+	// some hundred milliseconds.
 	storeCallTimeout = 2 * time.Second
-	// zoneProbeInterval is the mean time between two reads with which the nodes of a zone
-	// look whether a lost store is back, and maxProbePause bounds what that makes for
-	// one node of a large zone.
+	// zoneProbeInterval is the mean time between two reads by which all nodes of a zone together
+	// probe a lost store. maxProbeInterval bounds the resulting interval of one node in a large
+	// zone.
 	zoneProbeInterval = 100 * time.Millisecond
 	maxProbeInterval  = 10 * time.Second
-	// lagGrace is how long another node may be ahead of one that reads as it should.
+	// lagGrace is how long another node may be ahead of a node that reads normally.
 	lagGrace = 100 * time.Millisecond
-	// catchUpTimeout bounds a read of what is known to be there.
+	// catchUpTimeout bounds a read of records that are known to exist.
 	catchUpTimeout = 500 * time.Millisecond
 )
 
-// snapshotOffset is the offset of a follower that knows nothing yet: it needs all keys.
+// snapshotOffset is the offset of a follower that has no records yet and has to read all keys.
 const snapshotOffset int64 = -1
 
-// errProbeNotDue says that another node of the zone is to look for the lost store.
+// errProbeNotDue is returned while the next probe of the lost store is left to other nodes of
+// the zone.
 var errProbeNotDue = errors.New("the store was asked a moment ago")
 
-// errReadCanceled says that a read was ended to begin anew.
+// errReadCanceled is returned for a read that was canceled to start a new one.
 var errReadCanceled = errors.New("read ended")
 
-// follower applies the records of a topic from the first to the newest, for as
-// long as the node runs. It reads them through another node of its zone where it
-// can, and else from the store.
+// follower applies the records of a topic from the first to the newest for as long as the node
+// runs. It reads them through another node of its zone where possible, and otherwise from the
+// store.
 type follower struct {
 	topic  Topic
 	apply  func([]Item)
 	logger zerolog.Logger
 	calls  storeCallLog
-	// wake makes a pause end at once.
+	// wake ends a retry delay at once.
 	wake chan struct{}
-	// readWait is how long a read at the store waits for changes.
+	// readWait is how long a read of the store waits for changes.
 	readWait time.Duration
-	// batchWindow is how long to wait after changes from the store before the next read; nil:
-	// not at all.
+	// batchWindow returns how long to wait after changes from the store before the next read;
+	// nil means no wait.
 	batchWindow func() time.Duration
 	// pauseAfterSnapshot is how long to wait after the first read of all keys.
 	pauseAfterSnapshot time.Duration
-	// relay reads through another node of the zone; nil: always the store itself.
+	// relay reads through another node of the zone; nil means that the follower always reads the
+	// store itself.
 	relay *relay
-	// readCancel ends the read that waits, at another node or at the store.
+	// readCancel cancels the read under way, from another node or from the store.
 	readCancel atomic.Pointer[context.CancelFunc]
-	// next is the offset to go on from, and peerOffset the greatest that other nodes have
-	// been at for a while.
+	// next is the offset of the next read. peerOffset is the greatest offset that another node
+	// has reported and this node has not reached within lagGrace.
 	next, peerOffset atomic.Int64
-	// lagGrace is how long another node may be ahead before a read is ended that
-	// waits for changes.
+	// lagGrace is how long another node may be ahead before a read that waits for changes is
+	// canceled.
 	lagGrace time.Duration
-	// feed is what was read, for the nodes that read through this one.
+	// feed buffers the records for the nodes that read through this one.
 	feed feed
-	// snapshotPurpose is why all keys are read next.
+	// snapshotPurpose is the purpose logged for the next read of all keys.
 	snapshotPurpose Purpose
 
-	// confirmedAt is when the newest read that succeeded was sent, in Unix
-	// milliseconds; 0 means never. What is believed was true then.
+	// confirmedAt is the time at which the applied records were last known to be current, in
+	// Unix milliseconds; 0 means never.
 	confirmedAt atomic.Int64
-	// resync is set to read everything once more.
+	// resync requests a new read of all keys.
 	resync atomic.Bool
 	lostAt time.Time
 	// lost is whether the last read failed.
 	lost atomic.Bool
-	// nextProbe is when a lost store may be read again.
+	// nextProbe is when this node may probe a lost store again.
 	nextProbe time.Time
-	// firstReadDone is closed when the first read has ended, well or not.
+	// firstReadDone is closed when the first read has ended, successful or not.
 	firstReadDone chan struct{}
 	firstReadOnce sync.Once
 }
@@ -112,6 +114,7 @@
 	return f
 }
 
+// run reads the topic until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -139,14 +142,14 @@
 	}
 }
 
-// resetToSnapshot lets the next read be one of all keys.
+// resetToSnapshot makes the next read one of all keys.
 func (f *follower) resetToSnapshot(why Purpose) {
 	f.snapshotPurpose = why
 	f.next.Store(snapshotOffset)
 	f.peerOffset.Store(0)
 }
 
-// readOnce reads once.
+// readOnce does one read, through another node or from the store.
 func (f *follower) readOnce(ctx context.Context) error {
 	readCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -172,7 +175,7 @@
 	return err
 }
 
-// readRelayed reads through another node of the zone, unless there is none.
+// readRelayed reads through another node of the zone; it reports false if that is not possible.
 func (f *follower) readRelayed(ctx context.Context, next int64) (batch, bool) {
 	if f.relay == nil {
 		return batch{}, false
@@ -183,7 +186,8 @@
 	return f.relay.read(ctx, f.topic.Name(), next, f.peerOffset.Load())
 }
 
-// readStore reads all keys from the store, or waits there for what comes after an offset.
+// readStore reads from the store: all keys, the records that are known to exist, or the next
+// changes, for which it waits.
 func (f *follower) readStore(ctx context.Context, next int64) error {
 	if next == snapshotOffset {
 		return f.readSnapshot(ctx)
@@ -197,9 +201,9 @@
 	return f.readChanges(ctx, next, f.readWait)
 }
 
-// readNow reads what is there without a wait for more, where an answer that does not come
-// soon is none: a lost store would seem lost until its next change, and one that is silent
-// to this node alone would seem to have none.
+// readNow reads the existing records without waiting for new ones; a response later than timeout
+// counts as a failure. With a waiting read, a lost store would seem lost until its next change,
+// and a store that ignores this node alone would seem to have no changes.
 func (f *follower) readNow(ctx context.Context, from int64, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -210,8 +214,8 @@
 	return err
 }
 
-// observeOffset takes in how far another node has read. If this one stays behind, a read that
-// waits for changes is ended: its answer may never come.
+// observeOffset records how far another node has read. If this node stays behind, a read that
+// waits for changes is canceled: its response may never arrive.
 func (f *follower) observeOffset(offset int64) {
 	if next := f.next.Load(); next == snapshotOffset || offset <= next {
 		return
@@ -231,13 +235,14 @@
 	})
 }
 
+// cancelRead cancels the read under way.
 func (f *follower) cancelRead() {
 	if cancel := f.readCancel.Load(); cancel != nil {
 		(*cancel)()
 	}
 }
 
-// applyBatch puts a page in force that was read from an offset and was true then.
+// applyBatch applies a batch that was read from an offset and was current at validAt.
 func (f *follower) applyBatch(from int64, b batch, validAt time.Time) {
 	f.confirmedAt.Store(validAt.UnixMilli())
 	f.feed.add(from, b)
@@ -248,7 +253,7 @@
 	f.markFirstReadDone()
 }
 
-// readChanges reads what comes after an offset and waits for it.
+// readChanges reads the records from an offset on and waits up to maxWait for one.
 func (f *follower) readChanges(ctx context.Context, from int64, maxWait time.Duration) error {
 	sent := time.Now()
 	items, next, err := f.topic.Read(ctx, from, maxWait)
@@ -279,8 +284,8 @@
 	return nil
 }
 
-// asOf is when what a read brought was true. One that waited and brought nothing says
-// that nothing came until its answer.
+// asOf returns the time at which the result of a read was current. A read that waited and
+// returned nothing proves that nothing arrived until its response.
 func asOf(sent time.Time, changed bool) time.Time {
 	if changed {
 		return sent
@@ -288,8 +293,8 @@
 	return time.Now()
 }
 
-// age returns how long ago what is believed was true; negative when nothing was
-// read yet.
+// age returns how long ago the applied records were known to be current; negative before the
+// first read.
 func (f *follower) age(now time.Time) time.Duration {
 	at := f.confirmedAt.Load()
 	if at == 0 {
@@ -298,7 +303,7 @@
 	return max(0, now.Sub(time.UnixMilli(at)))
 }
 
-// resyncNow reads everything once more, at once.
+// resyncNow reads all keys again at once.
 func (f *follower) resyncNow() {
 	f.resync.Store(true)
 	f.cancelRead()
@@ -308,11 +313,11 @@
 	}
 }
 
-// noteLost notes that the store did not answer a read.
+// noteLost records that the store did not respond to a read.
 //
-// Load pattern: the store is away, and all nodes of a zone would look for it at the
-// pace of one. The zone's reader goes on at that pace; the others look so seldom that
-// together they are some ten a second, and hear from each other.
+// Load pattern: the store is down, and each node of a zone would probe it at the pace of a
+// single node. The reader of the zone keeps that pace; the others probe so rarely that together
+// they send some 10 requests per second, and they learn of the store's return from each other.
 func (f *follower) noteLost(ctx context.Context, err error) {
 	f.nextProbe = time.Now().Add(f.probeInterval())
 	if !f.lostAt.IsZero() || ctx.Err() != nil {
@@ -325,7 +330,8 @@
 	f.logger.Warn().Str("topic", f.topic.Name()).Err(err).Msg("store lost")
 }
 
-// probeInterval is how long this node leaves a lost store to the others of its zone.
+// probeInterval is how long this node leaves probing a lost store to the other nodes of its
+// zone.
 func (f *follower) probeInterval() time.Duration {
 	if f.relay == nil || f.relay.readsStore {
 		return 0
@@ -345,8 +351,8 @@
 	f.lost.Store(false)
 }
 
-// backoff waits longer with each failure, by a random part, so that the nodes
-// of a deployment don't all ask in the moment of the store's return.
+// backoff waits with a delay that grows with each failure and has a random part, so that the
+// nodes of a deployment don't all call the store at the moment of its return.
 func backoff(ctx context.Context, failures int, wake <-chan struct{}) {
 	maxDelay := min(maxRetryDelay, minRetryDelay<<min(failures-1, 5))
 	t := time.NewTimer(maxDelay/2 + rand.N(maxDelay/2))
--- a/internal/mesh/gossip.go
+++ b/internal/mesh/gossip.go
@@ -16,60 +16,61 @@
 )
 
 const (
-	// unstoredPath is where a node takes records that the store did not take.
+	// unstoredPath is where a node receives records that the store did not accept.
 	unstoredPath = "/unstored"
-	// gossipFanOut is how many nodes of the zone are told of a record at once; one in 400
-	// is missed by all that pass it on, and told at later turns.
+	// gossipFanOut is how many nodes of the zone a new record is sent to at once; one node
+	// in 400 is chosen by no sender and receives the record in a later round.
 	gossipFanOut = 6
-	// gossipRoundFanOut is how many are told at each later turn.
+	// gossipRoundFanOut is how many nodes the records are sent to in each later round.
 	gossipRoundFanOut = 2
 	// gossipDuration is how long a record is passed on.
 	gossipDuration = 8 * time.Second
-	// maxGossipRecords bounds the records that are passed on, and maxUnstoredBytes one message.
+	// maxGossipRecords bounds the records that are passed on, and maxGossipBytes the size of one
+	// message.
 	maxGossipRecords = 64
 	maxGossipBytes   = 64 << 10
 	// gossipTimeout bounds one message within the zone.
 	gossipTimeout = 300 * time.Millisecond
 )
 
-// unstoredItem is a record that the store did not take.
+// unstoredItem is a record that the store did not accept.
 type unstoredItem struct {
 	Item
-	// AtMillis is when its node wrote it, in Unix milliseconds: of two records of a key
-	// the later one holds.
+	// AtMillis is when its node wrote it, in Unix milliseconds; of two records of a key the
+	// later one wins.
 	AtMillis int64 `json:"at_ms"`
 }
 
-// gossipMessage is a message with such records.
+// gossipMessage is the message that carries such records.
 type gossipMessage struct {
 	Items []unstoredItem `json:"items"`
-	// Address and RoutesVersion say where newer routes are to be had.
+	// Address and RoutesVersion are where newer routes can be fetched and their version.
 	Address       string `json:"address"`
 	RoutesVersion int64  `json:"routes_version"`
 }
 
-// gossiper passes records on within the zone while the store takes none.
+// gossiper passes records on within the zone while the store accepts none.
 //
-// Load pattern: a zone is cut off from the store and from the others, and its upstreams
-// leave, crash and come back. With each node telling a few others of its own record alone,
-// a zone of hundreds takes minutes to learn of one. Whoever learns of a record passes it on
-// to some others at once, and to a few more each turn, so it reaches all in a logarithm of
-// their number.
+// Load pattern: a zone is cut off from the store and from the other zones, and its upstreams
+// leave, crash and come back. If each node sent only its own record to a few others, a record
+// would take minutes to reach all nodes of a zone of hundreds. A node that receives a new record
+// sends it to some others at once, and to a few more each round, so it reaches all nodes in a
+// time logarithmic in their number.
 type gossiper struct {
 	neighbours func() []fleet.Member
-	// apply takes in records of other nodes.
+	// apply applies records of other nodes.
 	apply func([]Item)
 	send  func(ctx context.Context, to *fleet.Member, items []unstoredItem) error
-	// ctx is done when the node ends.
+	// ctx is canceled when the node stops.
 	ctx context.Context
 
 	mu      sync.Mutex
 	records map[string]gossipRecord
-	// forwardScheduled is whether records are gathered to be passed on together.
+	// forwardScheduled is whether records are being collected to be sent together.
 	forwardScheduled bool
 }
 
-// gossipRecord is a record on its way.
+// gossipRecord is a record that is passed on until it expires.
 type gossipRecord struct {
 	unstoredItem
 	expires time.Time
@@ -79,13 +80,13 @@
 	return &gossiper{ctx: ctx, neighbours: neighbours, apply: apply, records: map[string]gossipRecord{}}
 }
 
-// publish passes on a record of this node.
+// publish sends a record of this node to other nodes.
 func (g *gossiper) publish(item Item) {
 	g.merge([]unstoredItem{{item, time.Now().UnixMilli()}})
 	g.forward(gossipFanOut)
 }
 
-// receive takes records from another node and passes on those that are new.
+// receive applies records from another node and passes on those that are new.
 func (g *gossiper) receive(items []unstoredItem) {
 	fresh := g.merge(items)
 	if len(fresh) == 0 {
@@ -95,8 +96,8 @@
 	g.scheduleForward()
 }
 
-// scheduleForward passes on what comes within a moment together: after a loss of power in the
-// zone there are as many records as nodes.
+// scheduleForward sends the records that arrive within batchDelay together: after a power loss
+// in the zone there are as many records as nodes.
 func (g *gossiper) scheduleForward() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,10 +113,11 @@
 	})
 }
 
-// round passes on what is known; called twice a second while the store is lost.
+// round sends the known records to a few nodes; it is called twice a second while the store is
+// lost.
 func (g *gossiper) round() { g.forward(gossipRoundFanOut) }
 
-// merge returns those of some records that were not known.
+// merge adds the records that are new or later than the known ones, and returns them.
 func (g *gossiper) merge(items []unstoredItem) (fresh []Item) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -132,7 +134,7 @@
 	return fresh
 }
 
-// forward sends what is known to some nodes of the zone, any of them.
+// forward sends the known records to fanOut random nodes of the zone.
 func (g *gossiper) forward(fanOut int) {
 	items := g.pendingItems()
 	if len(items) == 0 {
@@ -147,7 +149,7 @@
 			return g.send(ctx, &neighbours[i], items)
 		})
 	}
-	_ = group.Wait() // who was not reached is told by others
+	_ = group.Wait() // nodes that were not reached get the records from others
 }
 
 func (g *gossiper) pendingItems() []unstoredItem {
@@ -173,7 +175,7 @@
 	return g
 }
 
-// sendGossip gives records that the store did not take to another node.
+// sendGossip sends records that the store did not accept to another node.
 func (m *Mesh) sendGossip(ctx context.Context, to *fleet.Member, items []unstoredItem) error {
 	own := m.publisher.newest()
 	raw, err := json.Marshal(gossipMessage{Items: items, Address: own.Address, RoutesVersion: m.routes.Version()})
@@ -191,7 +193,7 @@
 	return err
 }
 
-// serveGossip takes records that the store did not take.
+// serveGossip receives records that the store did not accept.
 func (m *Mesh) serveGossip(w http.ResponseWriter, r *http.Request) {
 	var message gossipMessage
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxGossipBytes)).Decode(&message); err != nil {
--- a/internal/mesh/guardticker.go
+++ b/internal/mesh/guardticker.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// waitingTickInterval is how often waits are checked while calls wait: a tenth of the
-	// shortest useful wait.
+	// waitingTickInterval is how often the guard checks wait times while calls are queued: a
+	// tenth of the shortest useful wait.
 	waitingTickInterval = 10 * time.Millisecond
-	// idleTickInterval is how often the guard forgets what is over while none wait.
+	// idleTickInterval is how often the guard drops expired state while no calls are queued.
 	idleTickInterval = 2 * time.Second
 )
 
-// guardTicker ticks the guard often while calls wait there, and hardly at all while
-// none do, so that an idle node is hardly woken.
+// guardTicker ticks the guard often while calls are queued and rarely otherwise, so that an idle
+// node causes few wakeups.
 type guardTicker struct {
 	guard     *node.Guard
 	wake      chan struct{}
@@ -28,7 +28,8 @@
 	return &guardTicker{guard: g, wake: make(chan struct{}, 1)}
 }
 
-// wakeIfQueued says that a call may have begun to wait.
+// wakeIfQueued switches to frequent ticks if a call is queued; it is called when a call may have
+// been queued.
 func (t *guardTicker) wakeIfQueued() {
 	if t.ticksFast.Load() || t.guard.Load().Queued == 0 {
 		return
--- a/internal/mesh/introduce.go
+++ b/internal/mesh/introduce.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// introductionInterval is how often absent members are looked for. A node that starts
-	// without the store serves after about this time.
+	// introductionInterval is how often absent members are contacted. A node that starts without
+	// the store serves calls after about this time.
 	introductionInterval = 500 * time.Millisecond
-	// introducersPerRound is how many nodes of a zone look for one at each turn, on average: with
-	// three a turn without any is rare.
+	// introducersPerRound is how many nodes of a zone contact an absent member per round, on
+	// average: with 3, a round without any is rare.
 	introducersPerRound = 3
-	// maxConcurrentIntroductions bounds the introductions that wait at a time: with a third of
-	// 412 nodes of a zone gone, a turn asks one or two.
+	// maxConcurrentIntroductions bounds the concurrent introductions of a node: with a third of
+	// the 412 nodes of a zone gone, a round contacts one or two.
 	maxConcurrentIntroductions = 8
 )
 
-// introducer looks for members of its zone that may have started without the
-// store, and tells them where routes and records are to be had.
+// introducer contacts members of its zone that may have restarted without the store, and gives
+// them an address from which to fetch routes and records.
 type introducer struct {
 	mesh   *Mesh
 	absent *fleet.Absent
@@ -64,8 +64,8 @@
 	_ = group.Wait()
 }
 
-// introduce tells a member who this node is, and learns who is there now. That
-// nobody answers is usual: most absent members are.
+// introduce sends this node's record to a member and receives the member's current one. Failures
+// are expected: most absent members are down.
 func (i *introducer) introduce(ctx context.Context, to *fleet.Member) {
 	record, err := i.mesh.exchangeRecords(ctx, to.Address)
 	if err != nil {
@@ -78,7 +78,7 @@
 	i.mesh.members.learn(record)
 }
 
-// unreachable reports whether calls to a node failed to reach it lately.
+// unreachable reports whether recent calls to a node failed to reach it.
 func (m *Mesh) unreachable(name string) bool {
 	t := m.node.Table().ByNode(name)
 	return t != nil && (t.Ejected() || t.Stats().ConsecutiveFailures > 0)
--- a/internal/mesh/listen.go
+++ b/internal/mesh/listen.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// defaultHeaderTimeout bounds the time in which a request's header must arrive where
-	// the routes set no bound. Three lost packets in a row delay a header by about
-	// a second.
+	// defaultHeaderTimeout bounds the time for receiving a request's header where the routes set
+	// no bound. 3 lost packets in a row delay a header by about 1 s.
 	defaultHeaderTimeout = 10 * time.Second
-	// defaultHeaderBytes bounds a request's header where the routes set no bound:
-	// eight times what web servers commonly take.
+	// defaultHeaderBytes bounds a request's header where the routes set no bound: 8 times the
+	// usual limit of web servers.
 	defaultHeaderBytes = 64 << 10
-	// maxHeaderBytes bounds it whatever the routes say: a thousand callers may
-	// send headers at a time.
+	// maxHeaderBytes bounds a request's header whatever the routes allow: 1,000 callers may send
+	// headers at the same time.
 	maxHeaderBytes = 256 << 10
-	// innerIdleTimeout outlasts peerIdle, so that the node that sends calls is the one
-	// that closes.
+	// innerIdleTimeout is longer than peerIdleTimeout, so that the node that sends calls is the
+	// one that closes the connection.
 	innerIdleTimeout = 60 * time.Second
 )
 
+// listeners are the listeners of the node; metrics is nil if metrics are not served.
 type listeners struct {
 	callers, inner, ready, announce, metrics net.Listener
 }
@@ -70,7 +70,7 @@
 // servers are the HTTP servers on the listeners.
 type servers struct {
 	callers, inner, ready, announce, metrics *http.Server
-	// control carries questions to other nodes, apart from calls.
+	// control carries control requests to other nodes, on connections apart from those of calls.
 	control *http.Transport
 }
 
@@ -127,7 +127,7 @@
 	})
 }
 
-// serverErrorLog turns the lines of net/http's servers into log lines.
+// serverErrorLog writes the error lines of net/http servers to the log.
 type serverErrorLog struct{ logger zerolog.Logger }
 
 // Write implements io.Writer.
@@ -144,9 +144,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// withConnectionClose tells callers of a stopping node to open their next connection
-// elsewhere: an idle connection that is closed under a caller loses what the
-// caller sends at that moment.
+// withConnectionClose makes a stopping node ask callers to close their connection, so that they
+// open the next one to another node. A request that a caller sends while an idle connection is
+// being closed is lost.
 func (m *Mesh) withConnectionClose(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if m.stopping.Load() {
--- a/internal/mesh/local.go
+++ b/internal/mesh/local.go
@@ -8,8 +8,8 @@
 	"github.com/galenagrade/galenagrade/internal/node"
 )
 
-// localUpstream puts what the upstream beside the node says of itself in force.
-// It implements Announcements.
+// localUpstream applies the reports of the upstream beside the node. It implements
+// Announcements.
 type localUpstream struct {
 	mesh *Mesh
 
@@ -17,8 +17,8 @@
 	known fleet.LocalUpstream
 }
 
-// Reported implements Announcements. When it returns, a drain is in force at the
-// guard: the acknowledgement of a report binds the node.
+// Reported implements Announcements. When it returns, a reported drain is in force at the guard,
+// since acknowledging a report commits the node to it.
 func (l *localUpstream) Reported(r fleet.Report) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,8 +45,8 @@
 	}
 }
 
-// adopt takes the upstream into service that was found at work beside a node that has
-// just started. It is false when the upstream has reported meanwhile.
+// adopt takes a running upstream into service that was found beside a node that has just
+// started. It reports false if the upstream has reported in the meantime.
 func (l *localUpstream) adopt(record *fleet.Member, address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +64,7 @@
 	return true
 }
 
-// isKnown is whether anything is known of the upstream.
+// isKnown reports whether an upstream has reported or was adopted.
 func (l *localUpstream) isKnown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,8 +82,8 @@
 	}
 }
 
-// onStarted takes a new process into service. If another one served until now and
-// never said that it left, it died.
+// onStarted takes a new process into service. If another process served until now and never
+// reported that it leaves, that process has crashed.
 func (l *localUpstream) onStarted(r fleet.Report, served bool) {
 	m := l.mesh
 	now := m.node.Now()
@@ -98,8 +98,8 @@
 		Str("version", r.Version).Dur("cold_ms", r.ColdFor).Bool("predecessor_died", served).Msg("upstream started")
 }
 
-// resumeServing takes the upstream back that was taken for dead: its process goes on to
-// report, so what refused a connection was not its end.
+// resumeServing returns an upstream to service that was considered dead: its process still
+// reports, so the refused connection did not mean that it has ended.
 func (l *localUpstream) resumeServing(r fleet.Report) {
 	m := l.mesh
 	if _, serving := l.known.Current(); !serving || m.node.Guard().Serving() {
@@ -109,6 +109,8 @@
 	m.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Msg("upstream goes on reporting and is taken back")
 }
 
+// onLeft refuses new calls to the upstream and publishes that it leaves. how names the kind of
+// message by which the upstream reported that.
 func (l *localUpstream) onLeft(r fleet.Report, how string) {
 	m := l.mesh
 	m.node.Guard().Drain(m.node.Now())
@@ -116,8 +118,9 @@
 	m.logger.Info().Str("upstream", r.ID).Str("how", how).Int64("sequence", r.Sequence).Int("in_flight", m.node.Guard().Busy()).Msg("upstream left")
 }
 
-// servesSince is now for an upstream that says it is still slow after its start.
-// One that doesn't has been warm for longer than anybody would spare it.
+// servesSince returns now for an upstream that reports that it is still slow after its start,
+// and 0 otherwise: an upstream that reports no slowness has been warm for longer than any slow
+// start takes.
 func servesSince(r fleet.Report, now time.Time) int64 {
 	if r.ColdFor <= 0 {
 		return 0
@@ -125,7 +128,7 @@
 	return now.UnixMilli()
 }
 
-// publish writes the node's own record, and puts it in force here at once.
+// publish writes the node's own record to the store and applies it at this node at once.
 func (l *localUpstream) publish(r fleet.Report, state fleet.State) {
 	l.publishServingSince(r, state, servesSince(r, l.mesh.node.Now()))
 }
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -11,30 +11,33 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// nodePrefix begins the keys of nodes' own records.
+// nodePrefix is the prefix of the keys of member records; the node's name follows.
 const nodePrefix = "node/"
 
-// members follows the records of all nodes and puts them in force for routing.
+// members follows the records of all nodes and applies them to routing.
 type members struct {
 	logger zerolog.Logger
-	// onChange takes the registry after a change, with the lock held.
+	// onChange is called with the registry after a change, with mu held.
 	onChange      func(*fleet.Registry)
 	crashReporter *crashReporter
 
 	mu       sync.Mutex
 	registry *fleet.Registry
-	// initialized is whether the records of the deployment were read once, from the
-	// store or from another node.
+	// initialized is whether the records of the deployment were read once, from the store or
+	// from another node.
 	initialized bool
-	// sameZone are the neighbours as of that many changes of the registry: they are
-	// asked for twice a second, and 14,000 nodes take milliseconds to look through.
+	// sameZone caches the neighbours as of the registry's change count sameZoneRevision: they
+	// are needed twice a second, and scanning 14,000 nodes takes milliseconds.
 	sameZone         []fleet.Member
 	sameZoneRevision int
-	// otherZones are the serving nodes of other zones, as of that many changes.
+	// otherZones caches the serving nodes of other zones as of the registry's change count
+	// otherZonesRevision.
 	otherZones         []fleet.Member
 	otherZonesRevision int
 }
 
+// apply applies records from the store, those of members and those of crashes. Deleted keys and
+// invalid records are skipped.
 func (m *members) apply(items []Item) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,7 +66,7 @@
 	}
 }
 
-// learn takes a record that did not come from the store.
+// learn applies a record that did not come from the store.
 func (m *members) learn(record fleet.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,18 +82,17 @@
 		Uint64("revision", record.Revision).Str("source", source).Msg("member changed")
 }
 
-// refresh puts the records in force again, under settings that changed.
+// refresh applies the records again, after a change of settings.
 func (m *members) refresh() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.onChange(m.registry)
 }
 
-// ApplyMember takes in a record that did not come from the store, unless a newer one is
-// known.
+// ApplyMember applies a record that did not come from the store, unless a newer one is known.
 func (m *Mesh) ApplyMember(record fleet.Member) { m.members.learn(record) }
 
-// mergeRecords folds records that another node knows; unsound ones are left out.
+// mergeRecords merges the records fetched from another node; invalid ones are skipped.
 func (m *members) mergeRecords(records []fleet.Member, from string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,7 +120,7 @@
 	return m.initialized
 }
 
-// predecessor returns the record that an earlier process of the node left.
+// predecessor returns the record that a previous process of the node left.
 func (m *members) predecessor(node string, incarnation uint64) (record fleet.Member, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,7 +128,7 @@
 	return record, known && record.Incarnation < incarnation
 }
 
-// count returns how many nodes are known.
+// count returns the number of known nodes.
 func (m *members) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -140,8 +142,8 @@
 	return m.registry.Members()
 }
 
-// randomOtherZone returns a serving node of another zone, any of them; known is false where
-// there is none.
+// randomOtherZone returns a random serving node of another zone; known is false if there is
+// none.
 func (m *members) randomOtherZone(cfg *settings.Mesh) (member fleet.Member, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -155,8 +157,7 @@
 	return m.otherZones[rand.IntN(len(m.otherZones))], true
 }
 
-// zoneNeighbours returns the records of the other nodes of the zone; they must not be
-// changed.
+// zoneNeighbours returns the records of the other nodes of the zone; they must not be changed.
 func (m *members) zoneNeighbours(cfg *settings.Mesh) []fleet.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -26,18 +26,18 @@
 
 // Mesh is a running node.
 type Mesh struct {
-	// cfg is what the node started with. What may change while it runs is read
-	// from tunable.
+	// cfg holds the settings that the node started with. Settings that may change while it runs
+	// are read from tunable.
 	cfg      *settings.Mesh
 	tunable  atomic.Pointer[settings.Mesh]
 	platform Platform
-	// logger is for what happens seldom, and bounded for lines of which there are as
-	// many as requests or records: it keeps to so many a second and leaves the rest
-	// out. A start, a stop or a lost store must not be among those.
+	// logger writes rare lines. rateLimited writes lines that are as many as requests or
+	// records: it limits their number per second and drops the rest. Starts, stops and a lost
+	// store must never be dropped, so they go to logger.
 	logger      zerolog.Logger
 	rateLimited zerolog.Logger
-	// successTrees and failureTrees choose the trees of calls whose lines are written, those of successTrees
-	// calls and those of failures.
+	// successTrees and failureTrees select the call trees whose lines are written, for
+	// successful calls and for failures.
 	successTrees, failureTrees timeline.TreeSampler
 	metrics                    *metrics.Set
 	node                       *node.Node
@@ -58,7 +58,7 @@
 	listeners listeners
 	servers   servers
 	stopping  atomic.Bool
-	// ctx is done when the node ends.
+	// ctx is canceled when the node stops.
 	ctx        context.Context
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
@@ -83,8 +83,8 @@
 // Claim implements proxy.Claimer.
 func (noIdempotencyKeys) Claim(context.Context, *node.Call) *result.Refusal { return nil }
 
-// Start opens the listeners of a node and begins to serve. The settings are copied: the
-// caller may change its own for the next start.
+// Start opens the listeners of a node and begins to serve. It copies the settings, so the caller
+// may change its own for the next start. It fails if an address can't be listened on.
 func Start(initial *settings.Mesh, platform Platform, logger zerolog.Logger) (*Mesh, error) {
 	own := *initial
 	cfg := &own
@@ -168,7 +168,8 @@
 	}
 }
 
-// setEndpoints is called by members, one call at a time.
+// setEndpoints applies the endpoints of a changed registry. members calls it with its lock held,
+// so calls don't overlap.
 func (m *Mesh) setEndpoints(r *fleet.Registry) {
 	endpoints := r.Endpoints()
 	m.node.SetEndpoints(m.node.Now(), endpoints)
@@ -182,8 +183,8 @@
 	m.quotas.setEndpoints(endpoints)
 }
 
-// retryBudget is this guard's part of what its service may get: the floor is
-// shared by the guards of the service.
+// retryBudget returns this guard's share of the retry budget of its service: the floor is
+// divided among the guards of the service.
 func (m *Mesh) retryBudget(endpoints []routing.Endpoint) retry.BudgetConfig {
 	guards := 0
 	for _, e := range endpoints {
@@ -217,6 +218,7 @@
 	m.node.Event(m.node.Now(), timeline.Event{Kind: timeline.NodeStarted})
 }
 
+// spawn runs f in a goroutine that close waits for.
 func (m *Mesh) spawn(f func()) {
 	m.goroutines.Add(1)
 	go func() {
@@ -225,16 +227,17 @@
 	}()
 }
 
-// ready reports whether callers may be sent here.
+// ready reports whether callers may send requests to this node.
 func (m *Mesh) ready() bool { return !m.stopping.Load() && m.proxy.Routes() != nil }
 
-// Addresses are those that the node listens on.
+// Addresses returns the addresses that the node listens on.
 func (m *Mesh) Addresses() (callers, inner, ready, announce net.Addr) {
 	l := &m.listeners
 	return l.callers.Addr(), l.inner.Addr(), l.ready.Addr(), l.announce.Addr()
 }
 
-// MetricsAddress is where metrics and state are served; nil when they aren't.
+// MetricsAddress returns the address at which metrics and state are served; nil if they are not
+// served.
 func (m *Mesh) MetricsAddress() net.Addr {
 	if m.listeners.metrics == nil {
 		return nil
@@ -242,7 +245,7 @@
 	return m.listeners.metrics.Addr()
 }
 
-// InFlight returns how many calls the node holds in any role.
+// InFlight returns the number of calls at the node, in any role.
 func (m *Mesh) InFlight() int {
 	return max(m.node.Guard().Busy(), int(m.proxy.Held().Calls))
 }
--- a/internal/mesh/observe.go
+++ b/internal/mesh/observe.go
@@ -12,10 +12,10 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// StatePath is where a node says what it believes, on the address of its metrics.
+// StatePath is the path of the node's state, on its metrics address.
 const StatePath = "/state"
 
-// NodeState is what a node believes and what is in force at it.
+// NodeState is the state of a node: its view of the deployment and what is in force at it.
 type NodeState struct {
 	Node        string    `json:"node"`
 	Incarnation uint64    `json:"incarnation"`
@@ -29,25 +29,25 @@
 	// Config is nil until routes are in force.
 	Config  *routes.Config `json:"config"`
 	Records []MemberState  `json:"records"`
-	// Quotas are those of workspaces that have one.
+	// Quotas are the quotas of the workspaces that have one.
 	Quotas []quota.State `json:"quotas,omitempty"`
 	Store  StoreStats    `json:"store"`
 }
 
-// Freshness is how new something is that came from the store.
+// Freshness is how current data from the store is.
 type Freshness struct {
 	Version int64 `json:"version,omitempty"`
-	// AgeMillis is how long ago it was true for certain; negative when it never
-	// came from the store.
+	// AgeMillis is how long ago the data was last known to be current, in milliseconds; negative
+	// if it was never read from the store.
 	AgeMillis int64 `json:"age_ms"`
 	// Lost is whether the last read failed.
 	Lost bool `json:"lost"`
-	// Relay is the node of the zone that it comes through; empty when the node reads
-	// the store itself.
+	// Relay is the node of the zone that the data is read through; empty if the node reads the
+	// store itself.
 	Relay string `json:"through,omitempty"`
 }
 
-// Guard is what the guard of the local upstream has in force.
+// Guard is the state of the guard of the local upstream.
 type Guard struct {
 	Serving         bool  `json:"serving"`
 	InFlight        int   `json:"in_flight"`
@@ -60,11 +60,11 @@
 // MemberState is a member as this node sees it.
 type MemberState struct {
 	fleet.Member
-	// Unreached is whether calls to it fail.
+	// Unreached is whether recent calls to the member failed to reach it.
 	Unreached bool `json:"unreached"`
 }
 
-// stateHandler serves metrics as text and the node's state.
+// stateHandler serves the metrics as text and the node's state as JSON.
 func (m *Mesh) stateHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+StatePath, func(w http.ResponseWriter, _ *http.Request) { m.sendJSON(w, m.State()) })
@@ -72,7 +72,7 @@
 	return mux
 }
 
-// State returns what the node believes now.
+// State returns the current state of the node.
 func (m *Mesh) State() *NodeState {
 	now := time.Now()
 	s := &NodeState{
@@ -94,7 +94,7 @@
 	return s
 }
 
-// Events returns those of the node's time line that pass the filter.
+// Events returns the events of the node's timeline that pass the filter.
 func (m *Mesh) Events(f timeline.Filter) []timeline.Event { return m.node.Ring().Events(f) }
 
 func freshnessOf(f *follower, now time.Time) Freshness {
@@ -110,7 +110,7 @@
 	}
 }
 
-// refreshMetrics sets the gauges that are read rather than counted.
+// refreshMetrics sets the gauges that are read from the node's state when metrics are served.
 func (m *Mesh) refreshMetrics() {
 	s := m.State()
 	known, live := 0, 0
--- a/internal/mesh/platform.go
+++ b/internal/mesh/platform.go
@@ -8,39 +8,39 @@
 	"github.com/galenagrade/galenagrade/internal/routes"
 )
 
-// Platform is what an adapter translates: the store, the published routes, the
-// words of requests and answers, and what upstreams say of themselves.
+// Platform is the adapter to a platform: its store, its published routes, the headers and
+// results of requests and responses, and the reports of upstreams.
 type Platform interface {
 	proxy.Edge
 	proxy.Dialect
-	// Members is the topic of the nodes' own records.
+	// Members returns the topic of the nodes' own records.
 	Members() Topic
-	// RoutesTopic is where operators publish routes.
+	// RoutesTopic returns the topic to which operators publish routes.
 	RoutesTopic() Topic
-	// DecodeRoutes reads an item of RoutesTopic; ok is false when the item is
-	// about something else.
+	// DecodeRoutes decodes an item of RoutesTopic; ok is false if the item is not about routes.
 	DecodeRoutes(item Item) (config *routes.Config, ok bool, err error)
-	// AnnounceHandler takes what the local upstream says of itself.
+	// AnnounceHandler returns the handler that receives the reports of the local upstream and
+	// passes them to sink.
 	AnnounceHandler(sink Announcements) http.Handler
-	// SetUpstream sets who is behind the local upstream's address from now on.
+	// SetUpstream sets the ID of the process behind the local upstream's address.
 	SetUpstream(id string)
-	// Identify returns the name of the upstream that answered a question for its
-	// health so; empty when it takes no work.
+	// Identify returns the ID of the upstream that sent the given response to a health check;
+	// empty if it accepts no work.
 	Identify(status int, h http.Header) string
-	// SetStore sets the store's address, IP:port, from now on.
+	// SetStore sets the store's address, IP:port.
 	SetStore(address string)
-	// StoreStats returns what the calls of the store came to since the start.
+	// StoreStats returns counts of the calls of the store since the start.
 	StoreStats() StoreStats
-	// Close ends what the adapter holds open.
+	// Close releases the resources of the adapter.
 	Close()
 }
 
-// Announcements takes what the upstream beside the node says.
+// Announcements receives the reports of the upstream beside the node.
 type Announcements interface {
-	// Reported takes a report; when it returns, the report is in force.
+	// Reported receives a report. When it returns, the report is in force.
 	Reported(fleet.Report)
-	// Departed says that the process with that ID and start has left; born is 0
-	// when it was not given.
+	// Departed receives the report that the process with that ID and start time has left; born
+	// is 0 if the start time was not given.
 	Departed(id string, born int64)
 }
 
@@ -48,7 +48,7 @@
 type StoreStats struct {
 	Calls    int64 `json:"calls"`
 	Failures int64 `json:"failures"`
-	// BytesSent and BytesReceived are of bodies.
+	// BytesSent and BytesReceived count bytes of bodies.
 	BytesSent     int64 `json:"bytes_sent"`
 	BytesReceived int64 `json:"bytes_received"`
 }
--- a/internal/mesh/publisher.go
+++ b/internal/mesh/publisher.go
@@ -10,19 +10,19 @@
 	"github.com/galenagrade/galenagrade/internal/fleet"
 )
 
-// publisher keeps the node's own record in the store: the newest that was set is
-// written, again and again until the store takes it.
+// publisher writes the node's own record to the store. It writes the newest revision and retries
+// until the store accepts it.
 type publisher struct {
 	topic  Topic
 	logger zerolog.Logger
 	calls  storeCallLog
 	wake   chan struct{}
-	// onWriteFailed is called when the store did not take the record.
+	// onWriteFailed is called when the store did not accept the record.
 	onWriteFailed func(Item)
 
 	mu     sync.Mutex
 	record fleet.Member
-	// writtenRevision is the revision that the store has confirmed.
+	// writtenRevision is the newest revision that the store has confirmed.
 	writtenRevision uint64
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// update changes the record and has it written.
+// update changes the record and triggers a write.
 func (p *publisher) update(change func(*fleet.Member)) fleet.Member {
 	p.mu.Lock()
 	change(&p.record)
@@ -51,13 +51,14 @@
 	return record
 }
 
-// newest returns the record as it stands, written or not.
+// newest returns the current record, written or not.
 func (p *publisher) newest() fleet.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.record
 }
 
+// pending returns the record and whether its newest revision is still to be written.
 func (p *publisher) pending() (fleet.Member, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	// quotaPath is where a node asks another one for a token of a workspace's quota.
+	// quotaPath is where a node requests a token of a workspace's quota from another node.
 	quotaPath = "/quota"
-	// quotaRequestTimeout bounds such a question: a holder answers from memory.
+	// quotaRequestTimeout bounds such a request: a holder responds from memory.
 	quotaRequestTimeout = 150 * time.Millisecond
-	// quotaUnknownRetryAfter is when a caller may come back where no holder answered.
+	// quotaUnknownRetryAfter is the retry-after of a refusal when no holder responds.
 	quotaUnknownRetryAfter = 500 * time.Millisecond
 )
 
-// quotas spends the quotas of workspaces. It implements proxy.Quota.
+// quotas enforces the quotas of workspaces. It implements proxy.Quota.
 type quotas struct {
 	mesh   *Mesh
 	ledger *quota.Ledger
 
 	mu sync.Mutex
-	// nodes are those of the ring in force.
+	// nodes are the nodes of the current ring.
 	nodes []quota.Node
 }
 
-// grant is another node's answer.
+// grant is another node's response to a request for a token.
 type grant struct {
 	Granted bool `json:"granted,omitempty"`
-	// NextMillis is how long it takes there to the next token.
+	// NextMillis is the time until that node has its next token, in milliseconds.
 	NextMillis int64 `json:"next_ms,omitempty"`
 }
 
@@ -52,7 +52,7 @@
 
 func zoneName(region, zone string) string { return region + "/" + zone }
 
-// setEndpoints takes the nodes that hold quotas from now on. One call at a time.
+// setEndpoints sets the nodes that hold quotas. Calls must not overlap.
 func (q *quotas) setEndpoints(endpoints []routing.Endpoint) {
 	nodes := make([]quota.Node, 0, len(endpoints))
 	for i := range endpoints {
@@ -103,7 +103,7 @@
 	return result.Refuse(result.QuotaExceeded, "the quota of %s is spent here and at %d nodes asked now", workspace, answered).After(retryAfter)
 }
 
-// requestToken asks a holder for a token. An error says that it gave no answer.
+// requestToken requests a token from a holder. An error means that the holder did not respond.
 func (q *quotas) requestToken(ctx context.Context, holder *quota.Node, workspace string) (granted bool, err error) {
 	q.mesh.metrics.Inc(metrics.QuotaAsked, 1)
 	response, err := q.mesh.sendTokenRequest(ctx, holder, workspace)
@@ -126,7 +126,7 @@
 // Return implements proxy.Quota.
 func (q *quotas) Return(workspace string) { q.ledger.Return(time.Now(), workspace) }
 
-// sendTokenRequest asks another node for a token.
+// sendTokenRequest sends a request for a token to another node.
 func (m *Mesh) sendTokenRequest(ctx context.Context, holder *quota.Node, workspace string) (grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, quotaRequestTimeout)
 	defer cancel()
@@ -145,7 +145,7 @@
 	return g, nil
 }
 
-// serveQuota answers a node that asks for a token.
+// serveQuota responds to another node's request for a token.
 func (m *Mesh) serveQuota(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	if query.Get("of") != m.cfg.NodeID {
@@ -160,7 +160,7 @@
 	m.sendJSON(w, &grant{Granted: granted, NextMillis: next.Milliseconds()})
 }
 
-// states returns the quotas as this node sees them, by workspace.
+// states returns the quotas as this node sees them, sorted by workspace.
 func (q *quotas) states() []quota.State {
 	states := q.ledger.States(time.Now())
 	slices.SortFunc(states, func(a, b quota.State) int { return strings.Compare(a.Workspace, b.Workspace) })
--- a/internal/mesh/relay.go
+++ b/internal/mesh/relay.go
@@ -20,60 +20,60 @@
 )
 
 const (
-	// watchPath is where a node gives what it reads of the store's topics.
+	// watchPath is where a node serves the records that it has read of the store's topics.
 	watchPath = "/watch"
-	// membersWatchWait and routesWait are how long a question waits, and watchSlack how much
-	// longer its answer may take: a process that stands still acknowledges all probes.
-	// Routes have to be in force within two seconds of their publication whatever the
-	// node in between does.
+	// membersWatchWait and routesWatchWait are how long a watch request waits for changes.
+	// watchMargin is how much longer its response may take: a paused process still acknowledges
+	// all keep-alive probes. Routes have to be in force within 2 s of their publication whatever
+	// the node in between does.
 	membersWatchWait = 3 * time.Second
 	routesWatchWait  = time.Second
 	watchMargin      = 300 * time.Millisecond
-	// maxWatchWait bounds what another node may ask for.
+	// maxWatchWait bounds the wait that another node may request.
 	maxWatchWait = 5 * time.Second
-	// refusedCooldown and silentPause are how long a node that had nothing to pass on, or did
-	// not answer, is left out: a node that starts can answer within the first, and to wait
-	// for a silent one costs a second or two.
+	// refusedCooldown is how long a node that refused a request is not used, and
+	// unresponsiveCooldown the same for a node that did not respond: a starting node can serve
+	// within the first, and waiting for an unresponsive node takes 1 or 2 seconds.
 	refusedCooldown      = time.Second
 	unresponsiveCooldown = 10 * time.Second
-	// quickRefusal tells the two apart. Beyond it the store is asked: a second silent
-	// node would make the answer late.
+	// quickRefusal tells refusals from unresponsive nodes by the time until the failure. Once it
+	// has passed the store is read: after a second unresponsive node the records would be late.
 	quickRefusal = peerConnectTimeout
-	// maxSourceAttempts is how many nodes are asked one after the other, as long as they refuse
-	// quickly. The last is any of those that may be asked: when the store serves a few
-	// nodes only, the first of the order may not be among them.
+	// maxSourceAttempts is how many nodes are tried in sequence as long as they refuse quickly.
+	// The last one is chosen at random: if the store serves only a few nodes, the first of the
+	// order may not be among them.
 	maxSourceAttempts = 3
 )
 
-// relay reads a topic through another node of the zone. Load pattern: nodes restart and
-// routes change all the time, and each node wants to know of each change. Used by one
-// goroutine.
+// relay reads a topic through another node of the zone. Load pattern: nodes restart and routes
+// change all the time, and every node needs every change. It is used by one goroutine.
 type relay struct {
-	// candidates are the nodes that may be read through, the best one first; all of them
-	// come before this node in an order that the whole zone shares.
+	// candidates returns the nodes that may be read through, the best one first. All of them
+	// precede this node in an order that the whole zone shares.
 	candidates func() []fleet.Member
 	fetch      func(ctx context.Context, source *fleet.Member, req watchRequest) (batch, error)
-	// neighbourCount is how many other nodes the zone has.
+	// neighbourCount returns the number of other nodes in the zone.
 	neighbourCount func() int
-	// wait is how long a question waits for changes.
+	// wait is how long a watch request waits for changes.
 	wait   time.Duration
 	logger zerolog.Logger
-	// readsStore is whether there is nobody to ask: the node readsStore for its zone.
+	// readsStore is whether there are no candidates, so that this node reads the store for its
+	// zone.
 	readsStore bool
-	// cooldowns are nodes that failed lately, and until when they are not asked.
+	// cooldowns maps nodes that failed recently to the time until which they are not used.
 	cooldowns map[string]time.Time
-	// currentSource is the node that was read currentSource last; empty: the store itself.
+	// currentSource is the node that was read through last; empty for the store itself.
 	currentSource atomic.Value
 }
 
-// watchRequest asks another node what came after an offset of a topic.
+// watchRequest requests the records from an offset of a topic on.
 type watchRequest struct {
 	topic string
-	// from is readAll for one that knows nothing yet.
+	// from is the offset, snapshotOffset for all keys.
 	from int64
 	wait time.Duration
-	// waitForStore is set by one that has lost the store itself: it waits for a node that has
-	// lost it too.
+	// waitForStore is set by a node that has lost the store: the request also waits at a node
+	// that has lost it too, until the store returns.
 	waitForStore bool
 }
 
@@ -83,7 +83,7 @@
 	return name
 }
 
-// setSource logs where records come from when that changes.
+// setSource records and logs the source of the topic's records when it changes.
 func (r *relay) setSource(topic, source string) {
 	if r.source() == source {
 		return
@@ -92,7 +92,7 @@
 	r.logger.Info().Str("topic", topic).Str("member", source).Msg("source of records changed")
 }
 
-// availableSources returns the sources that did not fail lately.
+// availableSources returns the candidates without those in cooldown.
 func (r *relay) availableSources() []fleet.Member {
 	now := time.Now()
 	sources := r.candidates()
@@ -100,8 +100,8 @@
 	return slices.DeleteFunc(sources, func(m fleet.Member) bool { return now.Before(r.cooldowns[m.Node]) })
 }
 
-// read reports false when the store is to be read. An answer that does not reach up to
-// least is of a node that is behind.
+// read reads through another node; it reports false if the store is to be read instead. A batch
+// that ends before minNext comes from a node that is behind, and the next source is tried.
 func (r *relay) read(ctx context.Context, topic string, from, minNext int64) (batch, bool) {
 	started := time.Now()
 	sources := r.availableSources()
@@ -120,9 +120,9 @@
 	return batch{}, false
 }
 
-// awaitStore waits for another node to have the store back. Two in three of the
-// questions go up the tree, along which word of the return spreads at once; the others
-// find a node that the store serves while it refuses the first of the zone's order.
+// awaitStore waits for another node to regain the store. 2 in 3 requests go to the parent in the
+// tree, along which the store's return spreads at once. The others go to a random source, to
+// find a node that the store serves while it refuses the first node of the zone's order.
 func (r *relay) awaitStore(ctx context.Context, topic string, from int64) (batch, bool) {
 	sources := r.availableSources()
 	if len(sources) == 0 {
@@ -135,9 +135,9 @@
 	return r.fetchFrom(ctx, &sources[i], watchRequest{topic: topic, from: from, wait: r.wait, waitForStore: true})
 }
 
-// requestFor returns what a node is asked. One that was not read through until now is
-// not waited for: if it stands still, as it may have before, who reads through this node
-// would be without changes for as long, and so on down the tree.
+// requestFor returns the request for a source. A request to a source other than the current one
+// does not wait: if that node is paused, as it may have been before, the nodes that read through
+// this one would miss changes for as long, and so on down the tree.
 func (r *relay) requestFor(source *fleet.Member, topic string, from, minNext int64) watchRequest {
 	req := watchRequest{topic: topic, from: from, wait: r.wait}
 	if from != snapshotOffset && (source.Node != r.source() || from < minNext) {
@@ -146,6 +146,8 @@
 	return req
 }
 
+// fetchFrom sends a watch request to a source. A source that fails is put in cooldown, except
+// one that this node asked to wait for the store and that refused.
 func (r *relay) fetchFrom(ctx context.Context, source *fleet.Member, req watchRequest) (batch, bool) {
 	sent := time.Now()
 	fetchCtx, cancel := context.WithTimeout(ctx, req.wait+watchMargin)
@@ -165,7 +167,7 @@
 	return b, true
 }
 
-// startCooldown leaves out a node that failed a question.
+// startCooldown excludes a node whose request failed for a while.
 func (r *relay) startCooldown(node string, sent time.Time) {
 	now := time.Now()
 	if r.cooldowns == nil {
@@ -189,9 +191,9 @@
 	}
 }
 
-// membersBatchWindow is how long changes of members are gathered for one read of the store. A node
-// that reads for its zone gathers little, as the zones are few; one that reads because
-// no other node could be asked is one of many. Called by the follower of members.
+// membersBatchWindow returns how long member changes are batched for one read of the store. A
+// node that reads for its zone batches briefly, as there are few zones; a node that reads
+// because no other node was available is one of many. The members follower calls it.
 func (m *Mesh) membersBatchWindow() time.Duration {
 	if m.membersFollower.relay.readsStore {
 		return minBatchWindow
@@ -199,7 +201,7 @@
 	return batchWindowFor(m.members.count())
 }
 
-// watch asks another node what came after an offset of a topic.
+// watch requests the records from an offset of a topic on from another node.
 func (m *Mesh) watch(ctx context.Context, source *fleet.Member, req watchRequest) (batch, error) {
 	query := url.Values{
 		"topic":   {req.topic},
@@ -226,11 +228,12 @@
 	return b, nil
 }
 
-// checkRecipient reports why a question of another node is not for this one. The address of a
-// VM that is gone is given to another one: a node that took this one for that one may be
-// this node itself, and it would wait for changes from itself for good. While settings move
-// the nodes to another store one by one, an offset of one store must not be taken for one
-// of another: the asker would wait at it for records that have come long ago.
+// checkRecipient returns an error if a request of another node is not meant for this one. The
+// address of a VM that is gone is assigned to another VM, so a node that takes this node for the
+// previous one may be this node itself, and would wait for changes from itself without end. While
+// new settings move the nodes to another store one by one, an offset of one store must not be
+// used for the other: the requester would wait at that offset for records that arrived long
+// before.
 func (m *Mesh) checkRecipient(query url.Values) *statusError {
 	if query.Get("of") != m.cfg.NodeID {
 		return &statusError{http.StatusMisdirectedRequest}
@@ -241,7 +244,7 @@
 	return nil
 }
 
-// serveWatch answers a node that reads through this one.
+// serveWatch serves records to a node that reads through this one.
 func (m *Mesh) serveWatch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, err := strconv.ParseInt(query.Get("from"), 10, 64)
--- a/internal/mesh/reload.go
+++ b/internal/mesh/reload.go
@@ -2,9 +2,9 @@
 
 import "github.com/galenagrade/galenagrade/internal/settings"
 
-// Reload puts settings in force that may change while the node runs: budgets of
-// retries, the grace of a stop, the store's address. next must be valid. It
-// returns the fields that differ and need a restart; those stay as they were.
+// Reload applies the settings that may change while the node runs: retry budgets, the grace of a
+// stop, the store's address. next must be valid. It returns the names of the changed fields that
+// need a restart; those keep their old values.
 func (m *Mesh) Reload(next *settings.Mesh) []string {
 	previous := m.tunable.Swap(next)
 	if previous.Store.Address != next.Store.Address || previous.Store.Name != next.Store.Name {
--- a/internal/mesh/routekeeper.go
+++ b/internal/mesh/routekeeper.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// routesPath is where a node gives its routes to others.
+	// routesPath is where a node serves its routes to other nodes.
 	routesPath = "/routes"
-	// maxRoutesBytes bounds routes taken from another node: 16,384 routes of some
-	// 300 bytes.
+	// maxRoutesBytes bounds the routes fetched from another node: 16,384 routes of some 300
+	// bytes.
 	maxRoutesBytes = 8 << 20
-	// failedFetchPause is the least time between two questions to other nodes.
+	// failedFetchPause is the pause after a failed fetch from another node before the next one.
 	failedFetchPause = 200 * time.Millisecond
 )
 
-// routeKeeper holds the routes in force. A version is never replaced by an older
-// one. It implements proxy.Versions.
+// routeKeeper holds the routes in force. A version is never replaced by an older one. It
+// implements proxy.Versions.
 type routeKeeper struct {
 	mesh     *Mesh
 	follower *follower
@@ -44,8 +44,8 @@
 // Version implements proxy.Versions.
 func (k *routeKeeper) Version() int64 { return k.version.Load() }
 
-// ObserveVersion implements proxy.Versions. A node that can't reach the store learns from
-// the calls of others that it is behind, and asks the one that is ahead.
+// ObserveVersion implements proxy.Versions. A node that can't reach the store sees newer
+// versions in calls of other nodes, and fetches the routes from the node that has them.
 func (k *routeKeeper) ObserveVersion(addr string, version int64) {
 	if addr == "" || version <= k.version.Load() {
 		return
@@ -53,8 +53,8 @@
 	k.fetch(addr)
 }
 
-// fetch gets the routes of another node, and the records of members where none
-// were read yet. It doesn't block; one is under way at a time.
+// fetch fetches the routes of another node, and its member records if none were read yet. It
+// doesn't block; at most one fetch is under way.
 func (k *routeKeeper) fetch(addr string) {
 	if !k.fetching.CompareAndSwap(false, true) {
 		return
@@ -107,11 +107,11 @@
 	}
 }
 
-// PutRoutes puts routes in force here that did not come from the store, unless
-// they are older than those in force.
+// PutRoutes puts routes in force at this node that did not come from the store, unless they are
+// older than those in force. It returns an error if they are invalid.
 func (m *Mesh) PutRoutes(config *routes.Config) error { return m.routes.install(config, "given") }
 
-// install puts routes in force unless they are older than those that are.
+// install puts routes in force unless they are older than those in force.
 func (k *routeKeeper) install(config *routes.Config, source string) error {
 	if err := config.Validate(); err != nil {
 		return err
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// refresh puts the quotas in force again, under settings that changed.
+// refresh puts the quotas in force again, after a change of settings.
 func (k *routeKeeper) refresh() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -138,7 +138,7 @@
 	}
 }
 
-// ServeHTTP gives the routes in force to other nodes.
+// ServeHTTP serves the routes in force to other nodes.
 func (k *routeKeeper) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	table := k.mesh.proxy.Routes()
 	if table == nil {
--- a/internal/mesh/stop.go
+++ b/internal/mesh/stop.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// stopNotice is how long a stopping node goes on taking callers: the platform
-	// asks once a second whether it is ready and believes the second no.
+	// stopNotice is how long a stopping node keeps accepting callers: the platform checks
+	// readiness once a second and acts on the second negative result.
 	stopNotice = 2500 * time.Millisecond
-	// answerShare of the grace is kept for the last answers: nothing new is taken
-	// then, so that what was read can end.
+	// answerShare is the share of the grace that is reserved for the last responses: the node
+	// accepts nothing new in it, so that received requests can complete.
 	answerShare = 0.3
-	// stopReserve of the grace is kept for the end of the process: twice what the
-	// last log lines may take.
+	// stopReserve is the part of the grace that is reserved for the end of the process: 2 times
+	// the time that the last log lines may take.
 	stopReserve = 400 * time.Millisecond
-	// stopPollInterval is how often a stopping node looks whether callers wait.
+	// stopPollInterval is how often a stopping node checks whether callers wait for a response.
 	stopPollInterval = 20 * time.Millisecond
-	// quietPeriod is how long no caller may have waited before the node ends.
+	// quietPeriod is how long no caller may have waited before the node stops.
 	quietPeriod = 300 * time.Millisecond
 )
 
-// Stop ends the node without cutting a call: it says that it isn't ready, goes on
-// serving who still comes, and closes once its callers have been answered or the grace
-// is nearly over. It returns how many calls it cut.
+// Stop stops the node without cutting a call. The node reports that it is not ready, keeps
+// serving the callers that still arrive, and closes once all callers have their responses or the
+// grace is nearly over. It returns the number of calls that were cut.
 //
-// Until its last caller is answered the node can't end, and its upstream goes on
-// taking calls of other nodes that find no other one, as far as these end in time. With
-// a fixed bound they would be refused for seconds beside an idle upstream, where several
-// nodes of a service are stopped in turn.
+// The node can't stop until its last caller has a response. In the meantime its upstream accepts
+// calls of other nodes that have no other upstream, if these calls end in time. With a fixed
+// bound they would be refused for seconds while the upstream is idle, where several nodes of a
+// service are stopped in turn.
 func (m *Mesh) Stop() int {
 	started := time.Now()
 	m.stopping.Store(true)
@@ -48,13 +48,14 @@
 	return cut
 }
 
-// Kill ends the node at once, as the end of its process would.
+// Kill stops the node at once, as if its process ended.
 func (m *Mesh) Kill() {
 	m.stopping.Store(true)
 	m.close()
 }
 
-// announceStop tells the other nodes to send their calls elsewhere if they can.
+// announceStop publishes that the node is stopping, so that other nodes send their calls
+// elsewhere if they can.
 func (m *Mesh) announceStop() {
 	record := m.publisher.update(func(own *fleet.Member) {
 		if own.State == fleet.Serving {
@@ -66,7 +67,7 @@
 	m.routes.follower.feed.close()
 }
 
-// awaitNoCallers returns once no caller has waited for a while, or at end.
+// awaitNoCallers returns once no caller has waited for a response for quietPeriod, or at end.
 func (m *Mesh) awaitNoCallers(started, end time.Time) {
 	quietSince := started
 	for now := started; now.Before(end); now = time.Now() {
@@ -80,8 +81,8 @@
 	}
 }
 
-// shutdownServers takes no more connections and lets what was read end. It returns how
-// many calls are left.
+// shutdownServers accepts no more connections and lets received requests complete. It returns
+// the number of calls that are left.
 func (m *Mesh) shutdownServers(end time.Time) int {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
@@ -93,7 +94,7 @@
 	return m.InFlight()
 }
 
-// close ends the listeners and loops.
+// close stops the servers and the goroutines of the node.
 func (m *Mesh) close() {
 	for _, srv := range m.servers.all() {
 		if srv != nil {
--- a/internal/mesh/storecalls.go
+++ b/internal/mesh/storecalls.go
@@ -8,47 +8,47 @@
 	"github.com/rs/zerolog"
 )
 
-// Purpose is why a node calls the store.
+// Purpose is the reason for which a node calls the store.
 type Purpose string
 
 const (
-	// PurposeStart is a read of all keys by a node that knows nothing yet.
+	// PurposeStart is a read of all keys by a node that has no records yet.
 	PurposeStart Purpose = "start"
 	// PurposeExpired is a read of all keys after records expired before they were read.
 	PurposeExpired Purpose = "expired"
-	// PurposeChanges is a read that waits for what comes next.
+	// PurposeChanges is a read that waits for the next records.
 	PurposeChanges Purpose = "changes"
 	// PurposeOwnRecord is a write of the node's own record.
 	PurposeOwnRecord Purpose = "own_record"
-	// PurposeCrash is a write of the requests that ran when an upstream died.
+	// PurposeCrash is a write of crash records: the requests that ran when an upstream crashed.
 	PurposeCrash Purpose = "crash"
 )
 
-// Outcome is how a call of the store ended.
+// Outcome is the result of a call of the store.
 type Outcome string
 
 const (
-	// OutcomeDone is a call that was answered as asked.
+	// OutcomeDone is a call that succeeded.
 	OutcomeDone Outcome = "done"
-	// OutcomeExpired is a read of records that are kept no more.
+	// OutcomeExpired is a read of records that the store no longer keeps.
 	OutcomeExpired Outcome = "expired"
-	// OutcomeEnded is a call that the node itself ended: it stops or reads elsewhere.
+	// OutcomeEnded is a call that the node canceled because it stops or reads elsewhere.
 	OutcomeEnded Outcome = "ended"
-	// OutcomeFailed is a call that was refused or not answered.
+	// OutcomeFailed is a call that was refused or got no response.
 	OutcomeFailed Outcome = "failed"
 )
 
-// StoreCallMessage is the message of the line that each call of the store writes.
+// StoreCallMessage is the message of the log line of each call of the store.
 const StoreCallMessage = "store called"
 
-// storeCallLog writes a line for each call of the store through one topic. The pauses between
-// calls bound their number, so none is left out.
+// storeCallLog logs each call of the store for one topic. The delays between calls bound the
+// number of lines, so none is dropped.
 type storeCallLog struct {
 	logger zerolog.Logger
 	topic  string
 }
 
-// log notes a call that was sent then.
+// log logs a call that was sent at sent and ended with err.
 func (l storeCallLog) log(ctx context.Context, purpose Purpose, sent time.Time, err error) {
 	l.logger.Info().Str("topic", l.topic).Str("purpose", string(purpose)).Str("outcome", string(outcomeOf(ctx, err))).
 		Dur("took_ms", time.Since(sent)).Msg("store called")
