--- a/internal/mesh/adopt.go
+++ b/internal/mesh/adopt.go
@@ -68,13 +68,13 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.cfg.UpstreamAddress+path, nil)
 	if err != nil {
-		m.logger.Error().Str("path", path).Err(err).Msg("health path is no path")
+		m.logger.Error().Str("path", path).Err(err).Msg("health check path of the routes forms no valid URL; upstream not adopted")
 		return ""
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Do(req)
 	if err != nil {
-		m.rateLimited.Debug().Str("address", m.cfg.UpstreamAddress).Err(err).Msg("upstream not asked for its health")
+		m.rateLimited.Debug().Str("address", m.cfg.UpstreamAddress).Err(err).Msg("health check of the upstream failed; upstream not adopted yet")
 		return ""
 	}
 	defer func() { _ = resp.Body.Close() }()
--- a/internal/mesh/callerconn_test.go
+++ b/internal/mesh/callerconn_test.go
@@ -15,7 +15,7 @@
 func (b fixedTimeouts) idleTimeout() time.Duration   { return b.idle }
 func (b fixedTimeouts) headerTimeout() time.Duration { return b.header }
 
-// connPair returns the node's and the caller's end of a connection.
+// connPair returns the node's end and the caller's end of a connection.
 func connPair(t *testing.T, b callerTimeouts) (node *callerConn, caller net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -30,7 +30,8 @@
 
 func sentinel(d time.Duration) time.Time { return time.Now().Add(d) }
 
-// Guards against a connection opened in advance being cut as its first request arrives.
+// Guards against closing a connection that a caller opened in advance while its first request
+// arrives. net/http starts the header timeout when the connection opens.
 func TestConnectionOpenedInAdvanceIsKept(t *testing.T) {
 	node, caller := connPair(t, fixedTimeouts{idle: 10 * time.Second, header: 50 * time.Millisecond})
 	must.NoError(t, node.SetReadDeadline(sentinel(headerSentinel)))
@@ -39,14 +40,15 @@
 	n, err := node.Read(buf)
 	must.NoError(t, err)
 	must.EqOp(t, "GET", string(buf[:n]))
-	// From the first byte on the header has its time and no more.
+	// The header timeout runs from the first byte.
 	started := time.Now()
 	_, err = node.Read(buf)
 	must.True(t, errors.Is(err, os.ErrDeadlineExceeded), must.Sprint(err))
 	must.Less(t, 5*time.Second, time.Since(started))
 }
 
-// Guards against an idle connection held to the time that a header may take, or the reverse.
+// Guards against applying the header timeout to an idle connection, or the idle timeout to a
+// header.
 func TestDeadlinesOfAUsedConnection(t *testing.T) {
 	const short, long = 50 * time.Millisecond, 20 * time.Second
 	for _, x := range []struct {
--- a/internal/mesh/compare.go
+++ b/internal/mesh/compare.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		if err := m.compareOffsetsWith(ctx, &peer); err != nil {
-			m.logger.Debug().Str("member", peer.Node).Err(err).Msg("not compared with another zone")
+			m.logger.Debug().Str("member", peer.Node).Err(err).Msg("comparison of offsets with a node of another zone failed; tried again with a random node")
 		}
 	}
 }
@@ -69,7 +69,7 @@
 	}
 	var remote offsets
 	if err := json.Unmarshal(raw, &remote); err != nil {
-		return errors.Wrap(err, "offsets of another node")
+		return errors.Wrap(err, "decode offsets of another node")
 	}
 	m.routes.ObserveVersion(peer.Address, remote.RoutesVersion)
 	m.routes.follower.observeOffset(remote.Routes)
--- a/internal/mesh/config_test.go
+++ b/internal/mesh/config_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against connections between nodes that leave no descriptors for callers.
+// Guards against idle connections between nodes that use up the file descriptors for callers.
 func TestIdlePeerConnectionsFitDescriptors(t *testing.T) {
 	for _, x := range []struct{ descriptors, nodes, idle int }{
 		{4100, 1, 64}, {4100, 16, 64}, {4100, 17, 60}, {4100, 76, 13}, {8192, 76, 26}, {256, 76, 2},
--- a/internal/mesh/crashrecords.go
+++ b/internal/mesh/crashrecords.go
@@ -60,7 +60,7 @@
 	s.mu.Lock()
 	s.pending = append(s.pending, list...)
 	if excess := len(s.pending) - maxPendingCrashRecords; excess > 0 {
-		s.logger.Warn().Int("dropped", excess).Msg("more records of a crash than one append holds")
+		s.logger.Warn().Int("dropped", excess).Msg("crash records exceed one append; the oldest are dropped")
 		s.pending = s.pending[excess:]
 	}
 	s.mu.Unlock()
@@ -83,7 +83,7 @@
 		s.pending = nil
 		s.mu.Unlock()
 		if err := s.write(ctx, records); err != nil && ctx.Err() == nil {
-			s.logger.Warn().Int("records", len(records)).Err(err).Msg("records of a crash not written")
+			s.logger.Warn().Int("records", len(records)).Err(err).Msg("crash records not written to the store; nodes outside the zone may not receive them")
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	}
 	raw, err := json.Marshal(records)
 	if err != nil {
-		return errors.Wrap(err, "records of a crash")
+		return errors.Wrap(err, "encode crash records")
 	}
 	for range 2 {
 		if err = s.put(ctx, raw); err == nil {
@@ -125,7 +125,7 @@
 	}
 	var records []storedCrashRecord
 	if err := json.Unmarshal(item.Value, &records); err != nil {
-		s.logger.Warn().Str("key", item.Key).Err(err).Msg("records of a crash unreadable, ignored")
+		s.logger.Warn().Str("key", item.Key).Err(err).Msg("crash records are invalid; records ignored")
 		return
 	}
 	now := time.Now()
@@ -139,6 +139,6 @@
 		}
 	}
 	if fresh := s.guard.MergeCrashRecords(now, crashes); len(fresh) > 0 {
-		s.logger.Info().Str("from", item.Key).Int("records", len(fresh)).Msg("suspects learned")
+		s.logger.Info().Str("from", item.Key).Int("records", len(fresh)).Msg("crash records of another node merged into the quarantine")
 	}
 }
--- a/internal/mesh/eventlog_bench_test.go
+++ b/internal/mesh/eventlog_bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// BenchmarkLogEvent is what the line of one event costs the call that it is about,
-// with the writer that never waits behind it: written, and left out by the bound of
-// lines a second, which is what nearly all events are under load.
+// BenchmarkLogEvent measures what the log line of one event adds to its call, with the
+// asynchronous writer: for a written line, and for one dropped by the limit of lines per second,
+// as nearly all events are under load.
 func BenchmarkLogEvent(b *testing.B) {
 	event := &timeline.Event{
 		Kind: timeline.CallRefused, CallID: "0196d2f06f4e7c529f0b6d7f6f0a1c11", RequestID: "7c0d8d9cbd4c3aa1", Service: "archive",
--- a/internal/mesh/eventlog_test.go
+++ b/internal/mesh/eventlog_test.go
@@ -12,7 +12,8 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// Guards against starts, stops and lost stores left out of the log under a flood of lines.
+// Guards against dropping the lines of starts, stops and a lost store under a flood of other
+// lines.
 func TestRareLinesAreNeverDropped(t *testing.T) {
 	var out bytes.Buffer
 	logger, err := metrics.NewLogger(&out, "vm-1", settings.Logging{Level: "info", Burst: 2, Sample: 1 << 20})
--- a/internal/mesh/exchange.go
+++ b/internal/mesh/exchange.go
@@ -72,7 +72,7 @@
 func (m *Mesh) serveIntroduction(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, fleet.MaxMemberBytes))
 	if err != nil {
-		http.Error(w, "record unreadable", http.StatusBadRequest)
+		http.Error(w, "member record could not be read", http.StatusBadRequest)
 		return
 	}
 	record, err := fleet.DecodeMember(raw)
@@ -103,7 +103,7 @@
 		w.Header().Set("Content-Type", "application/json")
 	}
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		m.logger.Warn().Err(err).Msg("answer to another node not sent")
+		m.logger.Warn().Err(err).Msg("JSON response not sent; the requester receives an incomplete body")
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 	var records []fleet.Member
 	if err := json.Unmarshal(raw, &records); err != nil {
-		return errors.Wrap(err, "records of another node")
+		return errors.Wrap(err, "decode records of another node")
 	}
 	m.members.mergeRecords(records, address)
 	return nil
--- a/internal/mesh/feed.go
+++ b/internal/mesh/feed.go
@@ -30,9 +30,10 @@
 var (
 	// errFeedNotCurrent is returned by a feed that does not know the current state of the store:
 	// the store is lost, or the node is about to stop.
-	errFeedNotCurrent = errors.New("what the store has is not known here")
-	// errNotBuffered is returned for an offset whose records the feed no longer buffers.
-	errNotBuffered = errors.New("records from this offset on are not held here")
+	errFeedNotCurrent = errors.New("this node does not know the current state of the store")
+	// errNotBuffered is returned for an offset whose records the feed does not buffer: they were
+	// dropped, or the offset is ahead of the feed.
+	errNotBuffered = errors.New("records from this offset on are not buffered here")
 )
 
 // feed buffers what the node has read of a topic for the nodes that read through it: the latest
@@ -135,7 +136,7 @@
 // another node.
 func (f *feed) markStoreLost() { f.setUnavailable(feedStoreLost) }
 
-// close marks the store as lost for good.
+// close makes all reads fail from now on. It is final.
 func (f *feed) close() { f.setUnavailable(feedClosed) }
 
 func (f *feed) setUnavailable(state feedState) {
--- a/internal/mesh/firststart_test.go
+++ b/internal/mesh/firststart_test.go
@@ -15,8 +15,8 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// Guards against a first start at which each node calls the store again and again, since
-// the others have nothing to pass on yet.
+// Guards against a first start at which each node reads all keys from the store repeatedly,
+// because no other node has records to serve yet.
 func TestFirstStartReadsOneSnapshotPerNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, startSpread = 35, 300 * time.Millisecond
--- a/internal/mesh/follow.go
+++ b/internal/mesh/follow.go
@@ -21,8 +21,8 @@
 	// routesReadWait is the same for published routes: the store may skip a waiting read when a
 	// record arrives, and routes have to be in force within 2 s.
 	routesReadWait = time.Second
-	// minRetryDelay and maxRetryDelay bound the delay after a failed call of the store. The node's record
-	// has to be in the store again about 2 s after the store returns.
+	// minRetryDelay and maxRetryDelay bound the delay after a failed call of the store. The
+	// node's record has to be in the store again about 2 s after the store returns.
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = 1200 * time.Millisecond
 	// storeCallTimeout bounds a call of the store that doesn't wait. Slow stores respond within
@@ -44,10 +44,10 @@
 
 // errProbeNotDue is returned while the next probe of the lost store is left to other nodes of
 // the zone.
-var errProbeNotDue = errors.New("the store was asked a moment ago")
+var errProbeNotDue = errors.New("next probe of the lost store is not due yet")
 
 // errReadCanceled is returned for a read that was canceled to start a new one.
-var errReadCanceled = errors.New("read ended")
+var errReadCanceled = errors.New("read canceled to start a new one")
 
 // follower applies the records of a topic from the first to the newest for as long as the node
 // runs. It reads them through another node of its zone where possible, and otherwise from the
@@ -230,7 +230,7 @@
 		if previous > next {
 			return // no read waits for changes now
 		}
-		f.logger.Info().Str("topic", f.topic.Name()).Int64("offset", next).Int64("exists", offset).Msg("behind other nodes; reading anew")
+		f.logger.Info().Str("topic", f.topic.Name()).Int64("offset", next).Int64("exists", offset).Msg("records of the topic lag behind other nodes; waiting read canceled and started again")
 		f.cancelRead()
 	})
 }
--- a/internal/mesh/follow_test.go
+++ b/internal/mesh/follow_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// busyTopic has changes at every read: all nodes of a deployment are restarted.
+// busyTopic has changes at every read, as when all nodes of a deployment restart.
 type busyTopic struct{ reads atomic.Int64 }
 
 func (*busyTopic) Name() string                                  { return "members" }
@@ -22,8 +22,8 @@
 	return []Item{{Key: "node/x"}}, from + 1, nil
 }
 
-// Guards against calls of the store that grow with nodes times restarts where each node
-// reads for itself.
+// Guards against reads of the store that grow with the number of nodes times the number of
+// restarts when each node reads the store itself.
 func TestMemberReadsOfAllNodesAreBounded(t *testing.T) {
 	for _, nodes := range []int{1, 17, 76, 14000} {
 		settle := batchWindowFor(nodes)
--- a/internal/mesh/gossip.go
+++ b/internal/mesh/gossip.go
@@ -188,7 +188,7 @@
 	}
 	_, err = m.sendControl(req, fleet.MaxMemberBytes)
 	if err != nil {
-		m.logger.Debug().Str("member", to.Node).Err(err).Msg("unstored records not given to another node")
+		m.logger.Debug().Str("member", to.Node).Err(err).Msg("gossip of unstored records to another node failed; other nodes pass them on")
 	}
 	return err
 }
@@ -197,7 +197,7 @@
 func (m *Mesh) serveGossip(w http.ResponseWriter, r *http.Request) {
 	var message gossipMessage
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxGossipBytes)).Decode(&message); err != nil {
-		http.Error(w, "records unreadable", http.StatusBadRequest)
+		http.Error(w, "gossip message could not be decoded", http.StatusBadRequest)
 		return
 	}
 	m.routes.ObserveVersion(message.Address, message.RoutesVersion)
--- a/internal/mesh/gossip_test.go
+++ b/internal/mesh/gossip_test.go
@@ -15,15 +15,15 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// gossipNode is one node of a zone without the store.
+// gossipNode is a node of a zone without the store.
 type gossipNode struct {
 	*gossiper
-	receivedAt atomic.Int64 // when, Unix nanoseconds
-	messages   atomic.Int64 // sent
+	receivedAt atomic.Int64 // when it received the last record, in Unix nanoseconds
+	messages   atomic.Int64 // number of sent messages
 	bytes      atomic.Int64
 }
 
-// newGossipZone returns nodes that reach each other in a millisecond.
+// newGossipZone returns nodes that reach each other within 1 ms.
 func newGossipZone(ctx context.Context, nodes int) []*gossipNode {
 	zone := make([]*gossipNode, nodes)
 	members := make([]fleet.Member, nodes)
@@ -49,8 +49,8 @@
 	return zone
 }
 
-// Guards against a zone without the store in which each record is spread by its own node
-// alone, so that the last of hundreds learns of it after minutes.
+// Guards against a zone without the store in which only the node that wrote a record sends it:
+// with hundreds of nodes the last one receives it after minutes.
 func TestGossipReachesAZoneWithoutTheStore(t *testing.T) {
 	const maxDelay, maxMessages = 3 * time.Second, 40
 	for _, nodes := range []int{10, 50, 400} {
@@ -78,13 +78,13 @@
 				must.LessEq(t, maxMessages, n.messages.Load())
 				must.LessEq(t, maxMessages*(int64(len(record.Key)+len(record.Value))), n.bytes.Load())
 			}
-			t.Logf("%d nodes: the last after %v", nodes, last)
+			t.Logf("%d nodes: last received after %v", nodes, last)
 			must.LessEq(t, maxDelay, last)
 		})
 	}
 }
 
-// Guards against memory that grows with the records of a long outage.
+// Guards against memory use that grows with the number of records during a long outage.
 func TestGossipRecordsAreBounded(t *testing.T) {
 	g := newGossiper(t.Context(), func() []fleet.Member { return nil }, func([]Item) {})
 	for i := range 10 * maxGossipRecords {
@@ -98,8 +98,8 @@
 	must.LessEq(t, maxGossipBytes, size)
 }
 
-// Guards against two records of a key that push each other out, node by node, for as long
-// as both are passed on.
+// Guards against two records of a key that replace each other at node after node for as long as
+// both are passed on.
 func TestLaterRecordOfAKeyWins(t *testing.T) {
 	var applied []string
 	g := newGossiper(t.Context(), func() []fleet.Member { return nil }, func(items []Item) {
--- a/internal/mesh/introduce.go
+++ b/internal/mesh/introduce.go
@@ -69,11 +69,11 @@
 func (i *introducer) introduce(ctx context.Context, to *fleet.Member) {
 	record, err := i.mesh.exchangeRecords(ctx, to.Address)
 	if err != nil {
-		i.logger.Debug().Str("member", to.Node).Err(err).Msg("absent member not found")
+		i.logger.Debug().Str("member", to.Node).Err(err).Msg("introduction to a member failed; tried again while it is absent")
 		return
 	}
 	if record.Incarnation != to.Incarnation {
-		i.logger.Info().Str("member", record.Node).Str("state", string(record.State)).Str("address", to.Address).Msg("member met again")
+		i.logger.Info().Str("member", record.Node).Str("state", string(record.State)).Str("address", to.Address).Msg("member restarted; its new record was received from it directly")
 	}
 	i.mesh.members.learn(record)
 }
--- a/internal/mesh/listen.go
+++ b/internal/mesh/listen.go
@@ -122,7 +122,7 @@
 func (m *Mesh) startServer(srv *http.Server, l net.Listener) {
 	m.spawn(func() {
 		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			m.logger.Error().Err(err).Str("address", l.Addr().String()).Msg("listener failed")
+			m.logger.Error().Err(err).Str("address", l.Addr().String()).Msg("listener failed; the server on this address accepts no more connections")
 		}
 	})
 }
@@ -132,7 +132,7 @@
 
 // Write implements io.Writer.
 func (e serverErrorLog) Write(line []byte) (int, error) {
-	e.logger.Debug().Str("detail", string(line)).Msg("http server")
+	e.logger.Debug().Str("detail", string(line)).Msg("HTTP server reported an error on a connection or request")
 	return len(line), nil
 }
 
--- a/internal/mesh/local.go
+++ b/internal/mesh/local.go
@@ -23,7 +23,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r.Service != l.mesh.cfg.Service {
-		l.mesh.logger.Warn().Str("upstream", r.ID).Str("service", r.Service).Msg("report of another service ignored")
+		l.mesh.logger.Warn().Str("upstream", r.ID).Str("service", r.Service).Msg("upstream report names another service; report ignored")
 		return
 	}
 	_, served := l.known.Current()
@@ -39,7 +39,7 @@
 		}
 		l.publish(r, fleet.Serving)
 	case fleet.Outdated:
-		l.mesh.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Int64("born", r.Born).Msg("outdated report ignored")
+		l.mesh.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Int64("born", r.Born).Msg("upstream report is older than the newest one; report ignored")
 	case fleet.Unchanged:
 		l.resumeServing(r)
 	}
@@ -60,7 +60,7 @@
 	m.node.UpstreamReplaced(m.node.Now(), node.Announcement{Service: r.Service, Address: r.Address, Slots: r.Slots})
 	l.publishServingSince(r, fleet.Serving, record.ServesSince)
 	m.logger.Info().Str("upstream", r.ID).Str("address", r.Address).Int("slots", r.Slots).
-		Uint64("record_incarnation", record.Incarnation).Msg("upstream found at work")
+		Uint64("record_incarnation", record.Incarnation).Msg("running upstream adopted after the start of the node; it takes calls")
 	return true
 }
 
@@ -95,7 +95,7 @@
 	m.node.UpstreamReplaced(now, node.Announcement{Service: r.Service, Address: r.Address, Slots: r.Slots})
 	l.publish(r, fleet.Serving)
 	m.logger.Info().Str("upstream", r.ID).Str("address", r.Address).Int("slots", r.Slots).Int64("born", r.Born).
-		Str("version", r.Version).Dur("cold_ms", r.ColdFor).Bool("predecessor_died", served).Msg("upstream started")
+		Str("version", r.Version).Dur("cold_ms", r.ColdFor).Bool("predecessor_died", served).Msg("upstream started; it takes calls")
 }
 
 // resumeServing returns an upstream to service that was considered dead: its process still
@@ -106,7 +106,7 @@
 		return
 	}
 	m.node.UpstreamReplaced(m.node.Now(), node.Announcement{Service: r.Service, Address: r.Address, Slots: r.Slots})
-	m.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Msg("upstream goes on reporting and is taken back")
+	m.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Msg("upstream still reports after it was considered dead; it takes calls again")
 }
 
 // onLeft refuses new calls to the upstream and publishes that it leaves. how names the kind of
@@ -115,7 +115,7 @@
 	m := l.mesh
 	m.node.Guard().Drain(m.node.Now())
 	l.publish(r, fleet.Leaving)
-	m.logger.Info().Str("upstream", r.ID).Str("how", how).Int64("sequence", r.Sequence).Int("in_flight", m.node.Guard().Busy()).Msg("upstream left")
+	m.logger.Info().Str("upstream", r.ID).Str("how", how).Int64("sequence", r.Sequence).Int("in_flight", m.node.Guard().Busy()).Msg("upstream left; its new calls are refused")
 }
 
 // servesSince returns now for an upstream that reports that it is still slow after its start,
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -53,7 +53,7 @@
 		}
 		record, err := fleet.DecodeMember(item.Value)
 		if err != nil {
-			m.logger.Warn().Str("key", item.Key).Err(err).Msg("member record unreadable, ignored")
+			m.logger.Warn().Str("key", item.Key).Err(err).Msg("member record is invalid; record ignored")
 			continue
 		}
 		if m.registry.Apply(record) {
@@ -100,14 +100,14 @@
 	updated := 0
 	for i := range records {
 		if err := records[i].Validate(); err != nil {
-			m.logger.Warn().Str("from", from).Err(err).Msg("member record unreadable, ignored")
+			m.logger.Warn().Str("from", from).Err(err).Msg("member record is invalid; record ignored")
 			continue
 		}
 		if m.registry.Apply(records[i]) {
 			updated++
 		}
 	}
-	m.logger.Info().Str("from", from).Int("members", len(records)).Int("changed", updated).Msg("members taken over from another node")
+	m.logger.Info().Str("from", from).Int("members", len(records)).Int("changed", updated).Msg("member records of another node merged")
 	if updated > 0 {
 		m.onChange(m.registry)
 	}
--- a/internal/mesh/publisher.go
+++ b/internal/mesh/publisher.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		if err := p.write(ctx, record); err != nil {
-			p.logger.Warn().Uint64("revision", record.Revision).Err(err).Msg("own record not written yet")
+			p.logger.Warn().Uint64("revision", record.Revision).Err(err).Msg("own member record not written to the store; write is retried")
 			failures++
 			backoff(ctx, failures, p.wake)
 			continue
@@ -104,6 +104,6 @@
 	p.mu.Lock()
 	p.writtenRevision = max(p.writtenRevision, record.Revision)
 	p.mu.Unlock()
-	p.logger.Info().Uint64("revision", record.Revision).Str("state", string(record.State)).Str("upstream", record.Upstream).Msg("own record written")
+	p.logger.Info().Uint64("revision", record.Revision).Str("state", string(record.State)).Str("upstream", record.Upstream).Msg("own member record written to the store")
 	return nil
 }
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -97,10 +97,10 @@
 		}
 	}
 	if decision.Unknown || len(decision.Ask) > 0 && answered == 0 {
-		return result.Refuse(result.QuotaUnknown, "no node with a part of the quota of %s answers", workspace).After(quotaUnknownRetryAfter)
+		return result.Refuse(result.QuotaUnknown, "no node that holds a part of the quota of %s responds", workspace).After(quotaUnknownRetryAfter)
 	}
 	retryAfter := q.ledger.Refuse(time.Now(), workspace, rand.Float64())
-	return result.Refuse(result.QuotaExceeded, "the quota of %s is spent here and at %d nodes asked now", workspace, answered).After(retryAfter)
+	return result.Refuse(result.QuotaExceeded, "the quota of %s is exhausted at this node and at %d other nodes that were asked", workspace, answered).After(retryAfter)
 }
 
 // requestToken requests a token from a holder. An error means that the holder did not respond.
@@ -113,7 +113,7 @@
 		return false, err
 	case err != nil:
 		q.ledger.MarkUnresponsive(now, holder.Name)
-		q.mesh.rateLimited.Warn().Str("member", holder.Name).Str("workspace", workspace).Err(err).Msg("node gave no answer for a quota")
+		q.mesh.rateLimited.Warn().Str("member", holder.Name).Str("workspace", workspace).Err(err).Msg("quota token request to a holder failed; the holder is skipped for a while")
 		return false, err
 	case response.Granted:
 		q.ledger.Granted(workspace)
@@ -140,7 +140,7 @@
 	}
 	var g grant
 	if err := json.Unmarshal(response.Body, &g); err != nil {
-		return grant{}, errors.Wrap(err, "grant of another node")
+		return grant{}, errors.Wrap(err, "decode quota grant of another node")
 	}
 	return g, nil
 }
@@ -149,7 +149,7 @@
 func (m *Mesh) serveQuota(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	if query.Get("of") != m.cfg.NodeID {
-		http.Error(w, "another node has this address", http.StatusMisdirectedRequest)
+		http.Error(w, "request is meant for another node; its address belongs to this node", http.StatusMisdirectedRequest)
 		return
 	}
 	granted, next := m.quotas.ledger.Grant(time.Now(), query.Get("workspace"))
--- a/internal/mesh/relay.go
+++ b/internal/mesh/relay.go
@@ -89,7 +89,7 @@
 		return
 	}
 	r.currentSource.Store(source)
-	r.logger.Info().Str("topic", topic).Str("member", source).Msg("source of records changed")
+	r.logger.Info().Str("topic", topic).Str("member", source).Msg("source of the topic's records changed; an empty member is the store itself")
 }
 
 // availableSources returns the candidates without those in cooldown.
@@ -120,9 +120,10 @@
 	return batch{}, false
 }
 
-// awaitStore waits for another node to regain the store. 2 in 3 requests go to the parent in the
-// tree, along which the store's return spreads at once. The others go to a random source, to
-// find a node that the store serves while it refuses the first node of the zone's order.
+// awaitStore waits for another node to regain the store. 2 in 3 requests go to the first source,
+// the parent in the tree, along which the store's return spreads at once. The others go to a
+// random source, to find a node that the store serves while it refuses the first node of the
+// zone's order.
 func (r *relay) awaitStore(ctx context.Context, topic string, from int64) (batch, bool) {
 	sources := r.availableSources()
 	if len(sources) == 0 {
@@ -157,7 +158,7 @@
 		return batch{}, false
 	}
 	if err != nil {
-		r.logger.Debug().Str("topic", req.topic).Str("member", source.Node).Err(err).Msg("node that is read through gave no answer")
+		r.logger.Debug().Str("topic", req.topic).Str("member", source.Node).Err(err).Msg("read through another node failed; another node or the store is read")
 		if !req.waitForStore || !errors.As(err, new(*statusError)) {
 			r.startCooldown(source.Node, sent)
 		}
@@ -167,7 +168,8 @@
 	return b, true
 }
 
-// startCooldown excludes a node whose request failed for a while.
+// startCooldown excludes a node after a failed request: for longer if it did not respond than if
+// it refused the request.
 func (r *relay) startCooldown(node string, sent time.Time) {
 	now := time.Now()
 	if r.cooldowns == nil {
@@ -223,7 +225,7 @@
 	}
 	var b batch
 	if err := json.Unmarshal(raw, &b); err != nil {
-		return batch{}, errors.Wrap(err, "records of another node")
+		return batch{}, errors.Wrap(err, "decode records of another node")
 	}
 	return b, nil
 }
@@ -249,7 +251,7 @@
 	query := r.URL.Query()
 	from, err := strconv.ParseInt(query.Get("from"), 10, 64)
 	if err != nil {
-		http.Error(w, "from is no offset", http.StatusBadRequest)
+		http.Error(w, "from is not a valid offset", http.StatusBadRequest)
 		return
 	}
 	waitMillis, err := strconv.ParseInt(query.Get("wait_ms"), 10, 64)
@@ -276,5 +278,5 @@
 		m.sendJSON(w, &b)
 		return
 	}
-	http.Error(w, "no such topic", http.StatusNotFound)
+	http.Error(w, "unknown topic name", http.StatusNotFound)
 }
--- a/internal/mesh/relay_test.go
+++ b/internal/mesh/relay_test.go
@@ -19,8 +19,8 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// growingTopic gets a record every 100 ms; a read brings what is there and waits for
-// one.
+// growingTopic gains a record every 100 ms; a read returns the existing records and waits for
+// one if there are none.
 type growingTopic struct {
 	begun time.Time
 	reads atomic.Int64
@@ -54,14 +54,14 @@
 	return items, g.end(), nil
 }
 
-// reader is one node of a zone of readers of a growing topic.
+// reader is one node of a zone whose nodes follow a growing topic.
 type reader struct {
 	follower     *follower
 	seen         map[string]bool
-	lastUpdate   atomic.Int64 // when it was current last, Unix nanoseconds
-	unreachable  atomic.Bool  // nobody reaches it
-	paused       atomic.Bool  // it answers nothing
-	storeTimeout atomic.Int64 // how long it takes to notice that the store is silent to it
+	lastUpdate   atomic.Int64 // when records were last applied, in Unix nanoseconds
+	unreachable  atomic.Bool  // requests of other nodes fail after 1 s
+	paused       atomic.Bool  // requests of other nodes time out
+	storeTimeout atomic.Int64 // how long its reads of the store take to fail; 0: they work
 }
 
 func newReaders(topic Topic, n int) []*reader {
@@ -110,7 +110,7 @@
 	return readers
 }
 
-// readsForZone reports whether a node reads the store for the others.
+// readsForZone reports whether the node reads the store for the other nodes of its zone.
 func (r *reader) readsForZone() bool { return len(r.follower.relay.candidates()) == 0 }
 
 func runReaders(t *testing.T, readers []*reader, d time.Duration) {
@@ -137,13 +137,14 @@
 	return missed
 }
 
-// Guards against every node of a zone reading the store for itself, or a record that one misses.
+// Guards against every node of a zone reading the store itself, and against records that a node
+// misses.
 func TestZoneReadsOnceAndMissesNoRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
 		readers := newReaders(topic, 40)
 		runReaders(t, readers, 20*time.Second)
-		// The first reads come before anybody has something to pass on.
+		// The first reads happen before any node has records to serve.
 		must.LessEq(t, 2*40+int64(20*time.Second/minBatchWindow), topic.reads.Load())
 		for _, r := range readers {
 			must.LessEq(t, 1, missedRecords(r, 1, topic.end()-10))
@@ -151,8 +152,9 @@
 	})
 }
 
-// The node that reads for a zone goes silent, without its connections ending. What it
-// should have passed on must reach the others within two seconds, by themselves.
+// Guards against a zone without updates when the node that reads for it becomes unreachable
+// while its connections stay open. The other nodes must receive the records within 2 s on their
+// own.
 func TestZoneContinuesWhenItsReaderIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
@@ -170,8 +172,9 @@
 	})
 }
 
-// The process that reads for a zone stands still, while its VM's kernel acknowledges all
-// that comes. The others must not know less than the wait of one question ago.
+// Guards against a zone without updates while the process that reads for it is paused and the
+// kernel of its VM acknowledges all packets. The other nodes must not be behind by more than the
+// wait of one watch request.
 func TestZoneContinuesWhileItsReaderIsPaused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
@@ -190,11 +193,11 @@
 	})
 }
 
-// maxRoutesDelay is how long a node may go without what was published.
+// maxRoutesDelay is how long a node may go without published changes.
 const maxRoutesDelay = 2 * time.Second
 
-// runZoneWithFailingReader runs a zone that reads routes through its reader, and lets the reader
-// fail in some way. No other node may be without changes for longer than routes may take.
+// runZoneWithFailingReader runs a zone that reads routes through its reader, and calls fail on
+// the reader after 5 s. No other node may be without changes for longer than maxRoutesDelay.
 func runZoneWithFailingReader(t *testing.T, fail func(*reader)) {
 	synctest.Test(t, func(t *testing.T) {
 		const end = 20 * time.Second
@@ -221,23 +224,24 @@
 	})
 }
 
-// Guards against routes that are late because the zone's reader was paused.
+// Guards against late routes while the zone's reader is paused.
 func TestRoutesInForceWhileTheReaderIsPaused(t *testing.T) {
 	runZoneWithFailingReader(t, func(r *reader) { r.paused.Store(true) })
 }
 
-// Guards against routes that are late because the zone's reader was cut off.
+// Guards against late routes while the zone's reader is unreachable.
 func TestRoutesInForceWhileTheReaderIsUnreachable(t *testing.T) {
 	runZoneWithFailingReader(t, func(r *reader) { r.unreachable.Store(true) })
 }
 
-// Guards against routes that are late because the zone's reader is behind: its path to
-// the store went silent, which it learns after a while only.
+// Guards against late routes while the zone's reader is behind: the store does not respond to
+// it, which it detects only after a timeout.
 func TestRoutesInForceWhileTheReaderIsBehind(t *testing.T) {
 	runZoneWithFailingReader(t, func(r *reader) { r.storeTimeout.Store(int64(1500 * time.Millisecond)) })
 }
 
-// Guards against a zone that stays with old routes because the store is silent to its reader alone.
+// Guards against a zone that keeps outdated routes because the store does not respond to its
+// reader, while it responds to other nodes.
 func TestRoutesInForceWhileTheStoreIgnoresTheReader(t *testing.T) {
 	runZoneWithFailingReader(t, func(r *reader) {
 		r.storeTimeout.Store(int64(readWait + 3*time.Second))
@@ -245,10 +249,10 @@
 	})
 }
 
-// unresponsiveTopic is a topic as a node sees it whose path to the store may go silent.
+// unresponsiveTopic is a topic as seen by a node whose path to the store may become silent.
 type unresponsiveTopic struct {
 	Topic
-	// timeout is how long it takes to notice, 0 while the path is sound.
+	// timeout is how long a read takes to fail while the path is silent; 0 while it is healthy.
 	timeout *atomic.Int64
 }
 
@@ -260,8 +264,8 @@
 	return s.Topic.Read(ctx, from, d)
 }
 
-// Guards against one call of the store for each node when history expires: the zone's
-// reader reads all keys once, and the others have them from it.
+// Guards against one read of all keys per node when history expires: the zone's reader reads all
+// keys once and serves them to the others.
 func TestExpiredHistoryIsReadOnceForAZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &compactedTopic{growingTopic: &growingTopic{begun: time.Now()}}
@@ -279,7 +283,7 @@
 	})
 }
 
-// compactedTopic forgets its history up to an offset.
+// compactedTopic drops its history up to an offset.
 type compactedTopic struct {
 	*growingTopic
 	expired, snapshots atomic.Int64
@@ -297,8 +301,8 @@
 	return c.growingTopic.Read(ctx, from, d)
 }
 
-// Guards against a zone of which every node looks for a store that is away: together
-// they may ask some ten times a second, and all go on soon after its return.
+// Guards against every node of a zone probing a store that is down: together the nodes may send
+// some 10 requests per second, and all must continue soon after the store returns.
 func TestZoneSharesProbesOfALostStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
@@ -321,7 +325,7 @@
 	})
 }
 
-// Guards against a node that starts and calls the store for what its zone knows.
+// Guards against a starting node that reads from the store what its zone can serve.
 func TestStartingNodeReadsFromItsZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &compactedTopic{growingTopic: &growingTopic{begun: time.Now()}}
@@ -347,8 +351,8 @@
 	})
 }
 
-// The store goes down for five seconds. Who reads through another node must not take
-// what that one knew for the present: its belief would look fresh while it grows old.
+// Guards against stale records that look current: the store goes down for 5 s, and nodes that
+// read through another one must not count its old records as new.
 func TestReaderWithoutStoreServesNoBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
@@ -369,7 +373,7 @@
 	})
 }
 
-// rejectingTopic is the topic as a node sees it that the store turns away for a while.
+// rejectingTopic is a topic as seen by a node whose reads the store rejects for a while.
 type rejectingTopic struct {
 	*growingTopic
 	rejecting atomic.Bool
@@ -382,8 +386,8 @@
 	return r.growingTopic.Read(ctx, from, wait)
 }
 
-// The store turns away one node, which happens to read for its zone. It says so to who
-// reads through it, and the zone must not be behind for longer than one read.
+// Guards against a zone that is behind for longer than one read because the store rejects the
+// node that reads for it. That node refuses watch requests, so that the others read elsewhere.
 func TestStoreRejectsTheZoneReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		topic := &growingTopic{begun: time.Now()}
@@ -410,8 +414,8 @@
 	})
 }
 
-// A node that is about to end lets go of those who wait for changes from it at once: its
-// stop would wait for them else, and they for it.
+// Guards against a stopping node that waits for the watch requests of other nodes while these
+// wait for changes from it: closing the feed ends them at once.
 func TestClosedFeedReleasesWaiters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var f feed
@@ -427,8 +431,8 @@
 	})
 }
 
-// A feed holds so many bytes and no more. Who comes for older records must not be told
-// that nothing came.
+// Guards against a feed that grows beyond its bound in bytes, and against reporting no changes
+// to a reader of records that were dropped.
 func TestFeedDropsOldestRecords(t *testing.T) {
 	var f feed
 	const size = 250
@@ -444,8 +448,8 @@
 	must.EqOp(t, last, b.Next)
 }
 
-// Operators publish 1,000 routes at a time, again and again. What is held for others
-// must not grow with it, and one publication above the bound is not held at all.
+// Guards against memory use that grows with publications of 1,000 routes each. A publication
+// larger than the bound is not buffered at all.
 func TestFeedOfLargeRecordsIsBounded(t *testing.T) {
 	var f feed
 	for i := range int64(200) {
--- a/internal/mesh/relaybytes_test.go
+++ b/internal/mesh/relaybytes_test.go
@@ -17,7 +17,7 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// countingListener counts the bytes of all connections, in both directions.
+// countingListener counts the bytes of all its connections in both directions.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -48,8 +48,8 @@
 	return n, err
 }
 
-// watchedNode is a node that others read through, at rest. Names and offsets are as long as
-// those of a large deployment.
+// watchedNode returns an idle node that others read through. Names and offsets are as long as in
+// a large deployment.
 func watchedNode(t *testing.T) (m *Mesh, source fleet.Member, listener *countingListener) {
 	cfg := &settings.Mesh{NodeID: "sidecar-yanagawa-412"}
 	cfg.Store.Address = "10.200.100.100:18223"
@@ -70,8 +70,8 @@
 	return m, fleet.Member{Node: cfg.NodeID, Address: srv.Listener.Addr().String()}, listener
 }
 
-// Guards against a node whose children in the zone cost it more than a node may spend on
-// control.
+// Guards against child nodes in the zone whose watch requests exceed the bytes that a node may
+// spend on control traffic.
 func TestWatchRequestsOfAllChildrenFitTheByteBudget(t *testing.T) {
 	const maxBytesPerSecond = 2000
 	m, source, listener := watchedNode(t)
@@ -82,11 +82,11 @@
 		return float64(listener.bytes.Load() - before)
 	}
 	bytesPerChild := bytesOf("routes")/routesWatchWait.Seconds() + bytesOf("members")/membersWatchWait.Seconds()
-	t.Logf("%.0f bytes a second for each child", bytesPerChild)
-	must.LessEq(t, maxBytesPerSecond, bytesPerChild*(fleet.RelayFanOut+1), must.Sprint("a node asks as well, once of each"))
+	t.Logf("%.0f bytes per second per child", bytesPerChild)
+	must.LessEq(t, maxBytesPerSecond, bytesPerChild*(fleet.RelayFanOut+1), must.Sprint("a node also sends one watch request per topic itself"))
 }
 
-// emptyTopic has no records, and is never read.
+// emptyTopic has no records and is never read.
 type emptyTopic string
 
 // Name implements Topic.
--- a/internal/mesh/routekeeper.go
+++ b/internal/mesh/routekeeper.go
@@ -62,7 +62,7 @@
 	go func() {
 		defer k.fetching.Store(false)
 		if err := k.fetchFrom(addr); err != nil {
-			k.mesh.logger.Warn().Str("address", addr).Int64("version", k.Version()).Err(err).Msg("routes not fetched from another node")
+			k.mesh.logger.Warn().Str("address", addr).Int64("version", k.Version()).Err(err).Msg("routes of another node not fetched; the routes in force stay")
 			time.Sleep(failedFetchPause)
 		}
 	}()
@@ -86,7 +86,7 @@
 	}
 	var config routes.Config
 	if err := json.Unmarshal(raw, &config); err != nil {
-		return errors.Wrap(err, "routes of another node")
+		return errors.Wrap(err, "decode routes of another node")
 	}
 	return k.install(&config, "node "+addr)
 }
@@ -95,14 +95,14 @@
 	for _, item := range items {
 		config, ok, err := k.mesh.platform.DecodeRoutes(item)
 		if err != nil {
-			k.mesh.logger.Error().Str("key", item.Key).Err(err).Msg("published routes refused; those before stay in force")
+			k.mesh.logger.Error().Str("key", item.Key).Err(err).Msg("published routes are invalid; the previous routes stay in force")
 			continue
 		}
 		if !ok {
 			continue
 		}
 		if err := k.install(config, "store"); err != nil {
-			k.mesh.logger.Error().Int64("version", config.Version).Err(err).Msg("published routes refused; those before stay in force")
+			k.mesh.logger.Error().Int64("version", config.Version).Err(err).Msg("published routes are invalid; the previous routes stay in force")
 		}
 	}
 }
@@ -125,7 +125,7 @@
 	k.mesh.quotas.setRoutes(config)
 	k.mesh.proxy.SetRoutes(routes.NewTable(k.mesh.proxy.Routes(), config, seed))
 	previous := k.version.Swap(config.Version)
-	k.mesh.logger.Info().Int64("version", config.Version).Int64("before", previous).Str("source", source).Int("routes", len(config.Routes)).Int("workspaces", len(config.Workspaces)).Msg("routes in force")
+	k.mesh.logger.Info().Int64("version", config.Version).Int64("before", previous).Str("source", source).Int("routes", len(config.Routes)).Int("workspaces", len(config.Workspaces)).Msg("new version of the routes is in force")
 	return nil
 }
 
--- a/internal/mesh/stop.go
+++ b/internal/mesh/stop.go
@@ -88,7 +88,7 @@
 	defer cancel()
 	for _, srv := range []*http.Server{m.servers.callers, m.servers.inner} {
 		if err := srv.Shutdown(ctx); err != nil {
-			m.logger.Warn().Err(err).Int("in_flight", m.InFlight()).Msg("the grace ended before the last answers")
+			m.logger.Warn().Err(err).Int("in_flight", m.InFlight()).Msg("stop grace ended before the last responses; the remaining connections are closed")
 		}
 	}
 	return m.InFlight()
--- a/internal/mesh/storecalls_test.go
+++ b/internal/mesh/storecalls_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a call of the store that is missing from the count by purpose and outcome.
+// Guards against calls of the store that are missing from the counts by purpose and outcome.
 func TestStoreCallsAreLogged(t *testing.T) {
 	ended, end := context.WithCancel(t.Context())
 	end()
--- a/internal/mesh/topic.go
+++ b/internal/mesh/topic.go
@@ -14,7 +14,7 @@
 }
 
 // ErrExpired is returned, possibly wrapped, by a read of records that the store no longer keeps.
-var ErrExpired = errors.New("records have expired")
+var ErrExpired = errors.New("records have expired in the store")
 
 // Topic is a keyed topic of the store, which keeps the newest record of each key.
 type Topic interface {
