--- a/internal/mesh/compare.go
+++ b/internal/mesh/compare.go
@@ -38,8 +38,8 @@
 // compareOffsets periodically asks a random node of another zone how far it has read.
 //
 // It detects a store that no longer responds to the reader of a zone while the connection stays
-// open. A read that waits for changes then looks the same as one for which there are none, and
-// the whole zone keeps outdated data. Each zone reads the store on its own, so nodes of another
+// open. A waiting read then looks the same as one during which nothing changes, and the whole
+// zone keeps outdated data. Each zone reads the store on its own, so nodes of another
 // zone are ahead as long as the store responds to one of them.
 func (m *Mesh) compareOffsets(ctx context.Context) {
 	for ctx.Err() == nil {
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -73,13 +73,13 @@
 	// rerouted.
 	minBatchWindow = 300 * time.Millisecond
 	maxBatchWindow = 2 * time.Second
-	// deploymentReadsPerSecond is how often all nodes together read while members change:
-	// one hundredth of the load of a store that serves 6,000 reads per second.
+	// deploymentReadsPerSecond is how often all nodes together read while members change: one
+	// hundredth of the load of a store that serves 6,000 reads per second.
 	deploymentReadsPerSecond = 60
 )
 
-// membersLagGrace is the lag grace of the members follower:
-// batching leaves it behind until its next read.
+// membersLagGrace is the lag grace of the members follower: batching leaves it behind until
+// its next read.
 const membersLagGrace = maxBatchWindow + lagGrace
 
 // batchWindowFor returns how long one of the given number of nodes batches changes.
--- a/internal/mesh/local.go
+++ b/internal/mesh/local.go
@@ -109,13 +109,13 @@
 	m.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Msg("upstream still reports after it was considered dead; it takes calls again")
 }
 
-// onLeft refuses new calls to the upstream and publishes that it leaves. how names the kind of
-// message by which the upstream reported that.
+// onLeft refuses new calls to the upstream and publishes that it leaves. how is "reported" for a
+// report that says so, and "departed" for a departure message.
 func (l *localUpstream) onLeft(r fleet.Report, how string) {
 	m := l.mesh
 	m.node.Guard().Drain(m.node.Now())
 	l.publish(r, fleet.Leaving)
-	m.logger.Info().Str("upstream", r.ID).Str("how", how).Int64("sequence", r.Sequence).Int("in_flight", m.node.Guard().Busy()).Msg("upstream left; its new calls are refused")
+	m.logger.Info().Str("upstream", r.ID).Str("how", how).Int64("sequence", r.Sequence).Int("in_flight", m.node.Guard().Busy()).Msg("upstream left; new calls to it are refused")
 }
 
 // servesSince returns now for an upstream that reports that it is still slow after its start,
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -31,8 +31,8 @@
 	cfg      *settings.Mesh
 	tunable  atomic.Pointer[settings.Mesh]
 	platform Platform
-	// logger writes rare lines. rateLimited writes lines that are as many as requests or
-	// records: it limits their number per second and drops the rest. Starts, stops and a lost
+	// logger writes rare lines. rateLimited writes lines whose number grows with requests or
+	// records: it limits them per second and drops the rest. Starts, stops and a lost
 	// store must never be dropped, so they go to logger.
 	logger      zerolog.Logger
 	rateLimited zerolog.Logger
