--- /dev/null
+++ b/internal/mesh/crashrecords.go
@@ -0,0 +1,144 @@
+package mesh
+
+import (
+	"context"
+	"encoding/json"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/rs/zerolog"
+
+	"github.com/galenagrade/galenagrade/internal/node"
+	"github.com/galenagrade/galenagrade/internal/quarantine"
+	"github.com/galenagrade/galenagrade/internal/wait"
+)
+
+const (
+	// crashPrefix is the prefix of the keys of crash records; the node's name follows.
+	crashPrefix = "crash/"
+	// batchDelay is how long the records of one crash are collected for one append: the crash of
+	// an upstream shows on each of its connections within milliseconds.
+	batchDelay = 50 * time.Millisecond
+	// maxPendingCrashRecords bounds one append: the calls of a large upstream.
+	maxPendingCrashRecords = 512
+)
+
+// storedCrashRecord is a crash record as stored. The clocks of nodes are close enough to the
+// true time for the seconds during which suspect requests are held back.
+type storedCrashRecord struct {
+	Fingerprint uint64 `json:"f"`
+	Upstream    string `json:"upstream"`
+	Incarnation uint64 `json:"incarnation"`
+	AtMillis    int64  `json:"at_ms"`
+	Cleared     bool   `json:"cleared,omitempty"`
+	Alone       bool   `json:"alone,omitempty"`
+}
+
+// crashReporter writes the records of requests that ran when an upstream crashed to the store,
+// and applies those of other nodes, so that no third upstream runs a request that crashed 2.
+type crashReporter struct {
+	topic  Topic
+	key    string
+	guard  *node.Guard
+	logger zerolog.Logger
+	calls  storeCallLog
+	wake   chan struct{}
+	// onWriteFailed is called when the store did not accept the records.
+	onWriteFailed func(Item)
+
+	mu      sync.Mutex
+	pending []quarantine.CrashRecord
+}
+
+func newCrashReporter(topic Topic, nodeID string, logger, storeCallLogger zerolog.Logger, onWriteFailed func(Item)) *crashReporter {
+	return &crashReporter{topic: topic, key: crashPrefix + nodeID, logger: logger, calls: storeCallLog{logger: storeCallLogger, topic: topic.Name()}, wake: make(chan struct{}, 1), onWriteFailed: onWriteFailed}
+}
+
+// enqueue adds records to the next write; it doesn't block.
+func (s *crashReporter) enqueue(list []quarantine.CrashRecord) {
+	s.mu.Lock()
+	s.pending = append(s.pending, list...)
+	if excess := len(s.pending) - maxPendingCrashRecords; excess > 0 {
+		s.logger.Warn().Int("dropped", excess).Msg("crash records exceed one append; the oldest are dropped")
+		s.pending = s.pending[excess:]
+	}
+	s.mu.Unlock()
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+func (s *crashReporter) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		select {
+		case <-s.wake:
+		case <-ctx.Done():
+			return
+		}
+		wait.For(ctx, batchDelay)
+		s.mu.Lock()
+		records := s.pending
+		s.pending = nil
+		s.mu.Unlock()
+		if err := s.write(ctx, records); err != nil && ctx.Err() == nil {
+			s.logger.Warn().Int("records", len(records)).Err(err).Msg("crash records not written to the store; nodes outside the zone may not receive them")
+		}
+	}
+}
+
+// write writes the records, with one retry after a failure: crash records are useful for seconds
+// only.
+func (s *crashReporter) write(ctx context.Context, crashes []quarantine.CrashRecord) error {
+	records := make([]storedCrashRecord, len(crashes))
+	for i, crash := range crashes {
+		records[i] = storedCrashRecord{uint64(crash.Fingerprint), crash.Upstream, crash.Incarnation, crash.At.UnixMilli(), crash.Cleared, crash.Alone}
+	}
+	raw, err := json.Marshal(records)
+	if err != nil {
+		return errors.Wrap(err, "encode crash records")
+	}
+	for range 2 {
+		if err = s.put(ctx, raw); err == nil {
+			return nil
+		}
+		s.onWriteFailed(Item{Key: s.key, Value: raw})
+		wait.For(ctx, minRetryDelay)
+	}
+	return err
+}
+
+func (s *crashReporter) put(ctx context.Context, raw []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, storeCallTimeout)
+	defer cancel()
+	sent := time.Now()
+	err := s.topic.Put(ctx, s.key, raw)
+	s.calls.log(ctx, PurposeCrash, sent, err)
+	return err
+}
+
+// apply applies the crash records that another node wrote.
+func (s *crashReporter) apply(item Item) {
+	if item.Key == s.key {
+		return
+	}
+	var records []storedCrashRecord
+	if err := json.Unmarshal(item.Value, &records); err != nil {
+		s.logger.Warn().Str("key", item.Key).Err(err).Msg("crash records are invalid; records ignored")
+		return
+	}
+	now := time.Now()
+	crashes := make([]quarantine.CrashRecord, len(records))
+	for i, r := range records {
+		crashes[i] = quarantine.CrashRecord{
+			Fingerprint: quarantine.Fingerprint(r.Fingerprint), Upstream: r.Upstream, Incarnation: r.Incarnation,
+			// The monotonic clock reading of now makes ages immune to steps of the wall clock.
+			At:      now.Add(-max(0, now.Sub(time.UnixMilli(r.AtMillis)))),
+			Cleared: r.Cleared, Alone: r.Alone,
+		}
+	}
+	if fresh := s.guard.MergeCrashRecords(now, crashes); len(fresh) > 0 {
+		s.logger.Info().Str("from", item.Key).Int("records", len(fresh)).Msg("crash records of another node merged into the quarantine")
+	}
+}
--- a/internal/mesh/eventlog.go
+++ b/internal/mesh/eventlog.go
@@ -7,20 +7,19 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// eventMessage marks the log lines that are events of the time line.
+// eventMessage is the message of log lines that are timeline events.
 const eventMessage = "event"
 
-// logEvent writes an event as a log line, under the names that it has on the time
-// line, so that galenactl reads both. Failures, and what changes the node's beliefs,
-// are warnings. Lines of calls are bounded for each level by itself, and a flood of good
-// calls takes no line from failures; those of a tree of calls are kept or left out
-// together.
+// logEvent writes an event as a log line with the field names that it has on the timeline, so
+// that galenactl reads both. Failures and changes of the node's view of the deployment are
+// warnings. The lines of calls are limited per level, so a flood of successful calls displaces
+// no line of a failure. The lines of one tree of calls are kept or dropped together.
 func (m *Mesh) logEvent(e *timeline.Event) {
-	level := levelOf(e)
-	logger, oneIn := &m.bounded, 1
+	level := eventLevel(e)
+	logger, oneIn := &m.rateLimited, 1
 	if e.RequestID != "" {
 		keep := false
-		if keep, oneIn = m.treesOf(level).Keep(e.Time(), e.RequestID); !keep {
+		if keep, oneIn = m.samplerFor(level).Keep(e.Time(), e.RequestID); !keep {
 			return
 		}
 		logger = &m.logger
@@ -49,14 +48,15 @@
 	line.Int64("routes_version", m.routes.Version()).Msg(eventMessage)
 }
 
-func (m *Mesh) treesOf(level zerolog.Level) *timeline.TreeSampler {
+// samplerFor returns the sampler of call trees for the lines of a level.
+func (m *Mesh) samplerFor(level zerolog.Level) *timeline.TreeSampler {
 	if level == zerolog.InfoLevel {
-		return &m.good
+		return &m.successTrees
 	}
-	return &m.bad
+	return &m.failureTrees
 }
 
-func levelOf(e *timeline.Event) zerolog.Level {
+func eventLevel(e *timeline.Event) zerolog.Level {
 	switch e.Kind {
 	case timeline.CallReceived, timeline.CallRouted, timeline.CallAdmitted, timeline.CallQueued, timeline.CallStarted, timeline.CallJoined:
 		return zerolog.InfoLevel
--- a/internal/mesh/exchange.go
+++ b/internal/mesh/exchange.go
@@ -15,22 +15,20 @@
 )
 
 const (
-	// introductionPath is where a node takes another one's record and answers with
-	// its own.
+	// introductionPath is where a node receives another node's record and responds with its own.
 	introductionPath = "/introduction"
-	// membersPath is where a node gives the records that it knows to others.
+	// membersPath is where a node serves all member records that it has.
 	membersPath = "/members"
-	// introduceTimeout bounds one introduction within the zone.
-	introduceTimeout = 300 * time.Millisecond
-	// maxMembersBytes bounds records taken from another node: 14,000 of some 250
-	// bytes, twice.
+	// introductionTimeout bounds one introduction within the zone.
+	introductionTimeout = 300 * time.Millisecond
+	// maxMembersBytes bounds the records fetched from another node: 14,000 of some 250 bytes,
+	// doubled.
 	maxMembersBytes = 8 << 20
 )
 
-// exchangeRecords gives the node's own record to another node and returns that
-// one's.
+// exchangeRecords sends the node's own record to another node and returns that node's record.
 func (m *Mesh) exchangeRecords(ctx context.Context, address string) (fleet.Member, error) {
-	ctx, cancel := context.WithTimeout(ctx, introduceTimeout)
+	ctx, cancel := context.WithTimeout(ctx, introductionTimeout)
 	defer cancel()
 	own := m.publisher.newest()
 	raw, err := own.Encode()
@@ -41,22 +39,23 @@
 	if err != nil {
 		return fleet.Member{}, err
 	}
-	answer, err := m.askNode(req, fleet.MaxMemberBytes)
+	reply, err := m.sendControl(req, fleet.MaxMemberBytes)
 	if err != nil {
 		return fleet.Member{}, err
 	}
-	return fleet.DecodeMember(answer)
+	return fleet.DecodeMember(reply)
 }
 
-// statusError is an answer of another node that is not the one asked for.
+// statusError is a response of another node with a status other than 200.
 type statusError struct{ status int }
 
 // Error implements error.
 func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
 
-// askNode sends a question to another node and returns the answer's body.
-func (m *Mesh) askNode(req *http.Request, most int64) ([]byte, error) {
-	req.Header.Set("User-Agent", "") // omitted then
+// sendControl sends a control request to another node and returns the body of the response, cut
+// at maxBytes. A status other than 200 is a *statusError.
+func (m *Mesh) sendControl(req *http.Request, maxBytes int64) ([]byte, error) {
+	req.Header.Set("User-Agent", "") // an empty value omits the header
 	resp, err := m.servers.control.RoundTrip(req)
 	if err != nil {
 		return nil, err
@@ -65,15 +64,15 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, &statusError{resp.StatusCode}
 	}
-	return io.ReadAll(io.LimitReader(resp.Body, most))
+	return io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 }
 
-// serveIntroduction takes another node's record and answers with this one's. A
-// node that lacks routes or records fetches them there.
+// serveIntroduction receives another node's record and responds with this node's. A node that
+// has no routes or no member records fetches them from the sender.
 func (m *Mesh) serveIntroduction(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, fleet.MaxMemberBytes))
 	if err != nil {
-		http.Error(w, "record unreadable", http.StatusBadRequest)
+		http.Error(w, "member record could not be read", http.StatusBadRequest)
 		return
 	}
 	record, err := fleet.DecodeMember(raw)
@@ -82,19 +81,19 @@
 		return
 	}
 	m.members.learn(record)
-	if m.routes.Version() == 0 || !m.members.informed() {
+	if m.routes.Version() == 0 || !m.members.isInitialized() {
 		m.routes.fetch(record.Address)
 	}
 	own := m.publisher.newest()
 	m.sendJSON(w, &own)
 }
 
-// serveMembers gives the records known here to other nodes.
+// serveMembers serves all member records of this node.
 func (m *Mesh) serveMembers(w http.ResponseWriter, _ *http.Request) { m.sendJSON(w, m.members.all()) }
 
-// omitHeaders leaves out what another node has no use for. Answers that say that nothing
-// changed are most of what nodes send each other at rest.
-func omitHeaders(w http.ResponseWriter) {
+// omitUnusedHeaders omits response headers that other nodes don't use. Responses that report no
+// change make up most of the traffic between idle nodes.
+func omitUnusedHeaders(w http.ResponseWriter) {
 	w.Header()["Date"] = nil
 	w.Header()["Content-Type"] = nil
 }
@@ -104,25 +103,25 @@
 		w.Header().Set("Content-Type", "application/json")
 	}
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		m.logger.Warn().Err(err).Msg("answer to another node not sent")
+		m.logger.Warn().Err(err).Msg("JSON response not sent; the requester receives an incomplete body")
 	}
 }
 
-// fetchMembers takes over what another node knows. Records are folded: older
-// ones change nothing.
+// fetchMembers fetches the member records of another node and merges them; records older than
+// the known ones change nothing.
 func (m *Mesh) fetchMembers(ctx context.Context, address string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+membersPath, nil)
 	if err != nil {
 		return err
 	}
-	raw, err := m.askNode(req, maxMembersBytes)
+	raw, err := m.sendControl(req, maxMembersBytes)
 	if err != nil {
 		return err
 	}
 	var records []fleet.Member
 	if err := json.Unmarshal(raw, &records); err != nil {
-		return errors.Wrap(err, "records of another node")
+		return errors.Wrap(err, "decode records of another node")
 	}
-	m.members.takeOver(records, address)
+	m.members.mergeRecords(records, address)
 	return nil
 }
--- a/internal/mesh/introduce.go
+++ b/internal/mesh/introduce.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// introduceEvery is how often absent members are looked for. A node that starts
-	// without the store serves after about this time.
-	introduceEvery = 500 * time.Millisecond
-	// introducers is how many nodes of a zone look for one at each turn, on average: with
-	// three a turn without any is rare.
-	introducers = 3
-	// introduceAtOnce bounds the introductions that wait at a time: with a third of
-	// 412 nodes of a zone gone, a turn asks one or two.
-	introduceAtOnce = 8
+	// introductionInterval is how often absent members are contacted. A node that starts without
+	// the store serves calls after about this time.
+	introductionInterval = 500 * time.Millisecond
+	// introducersPerRound is how many nodes of a zone contact an absent member per round, on
+	// average: with 3, a round without any is rare.
+	introducersPerRound = 3
+	// maxConcurrentIntroductions bounds the concurrent introductions of a node: with a third of
+	// the 412 nodes of a zone gone, a round contacts one or two.
+	maxConcurrentIntroductions = 8
 )
 
-// introducer looks for members of its zone that may have started without the
-// store, and tells them where routes and records are to be had.
+// introducer contacts members of its zone that may have restarted without the store, and gives
+// them an address from which to fetch routes and records.
 type introducer struct {
 	mesh   *Mesh
 	absent *fleet.Absent
@@ -32,56 +32,58 @@
 }
 
 func (i *introducer) run(ctx context.Context) {
-	turn := time.NewTicker(introduceEvery)
-	defer turn.Stop()
+	ticker := time.NewTicker(introductionInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-turn.C:
-			i.turn(ctx)
+		case <-ticker.C:
+			i.round(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (i *introducer) turn(ctx context.Context) {
-	neighbours := i.mesh.members.neighbours(i.mesh.cfg)
-	share := introducers / float64(max(len(neighbours), 1))
+func (i *introducer) round(ctx context.Context) {
+	neighbours := i.mesh.members.zoneNeighbours(i.mesh.cfg)
+	share := introducersPerRound / float64(max(len(neighbours), 1))
 	var group errgroup.Group
-	group.SetLimit(introduceAtOnce)
-	meet := func(m *fleet.Member) {
+	group.SetLimit(maxConcurrentIntroductions)
+	start := func(m *fleet.Member) {
 		group.Go(func() error { i.introduce(ctx, m); return nil })
 	}
-	for _, m := range i.absent.Due(time.Now(), neighbours, i.mesh.unreached) {
+	for _, m := range i.absent.Due(time.Now(), neighbours, i.mesh.unreachable) {
 		if rand.Float64() < share {
-			meet(&m)
+			start(&m)
 		}
 	}
 	if i.mesh.storeLost() && len(neighbours) > 0 {
-		meet(&neighbours[rand.IntN(len(neighbours))])
-		i.mesh.spread.turn()
+		start(&neighbours[rand.IntN(len(neighbours))])
+		i.mesh.gossiper.round()
 	}
 	_ = group.Wait()
 }
 
-// introduce tells a member who this node is, and learns who is there now. That
-// nobody answers is usual: most absent members are.
+// introduce sends this node's record to a member and receives the member's current one. Failures
+// are expected: most absent members are down.
 func (i *introducer) introduce(ctx context.Context, to *fleet.Member) {
 	record, err := i.mesh.exchangeRecords(ctx, to.Address)
 	if err != nil {
-		i.logger.Debug().Str("member", to.Node).Err(err).Msg("absent member not found")
+		i.logger.Debug().Str("member", to.Node).Err(err).Msg("introduction to a member failed; tried again while it is absent")
 		return
 	}
 	if record.Incarnation != to.Incarnation {
-		i.logger.Info().Str("member", record.Node).Str("state", string(record.State)).Str("address", to.Address).Msg("member met again")
+		i.logger.Info().Str("member", record.Node).Str("state", string(record.State)).Str("address", to.Address).Msg("member restarted; its new record was received from it directly")
 	}
 	i.mesh.members.learn(record)
 }
 
-// unreached reports whether calls to a node failed to reach it lately.
-func (m *Mesh) unreached(name string) bool {
+// unreachable reports whether recent calls to a node failed to reach it.
+func (m *Mesh) unreachable(name string) bool {
 	t := m.node.Table().ByNode(name)
 	return t != nil && (t.Ejected() || t.Stats().ConsecutiveFailures > 0)
 }
 
-func (m *Mesh) storeLost() bool { return m.following.lost.Load() || m.routes.follower.lost.Load() }
+func (m *Mesh) storeLost() bool {
+	return m.membersFollower.lost.Load() || m.routes.follower.lost.Load()
+}
--- a/internal/mesh/local.go
+++ b/internal/mesh/local.go
@@ -8,8 +8,8 @@
 	"github.com/galenagrade/galenagrade/internal/node"
 )
 
-// localUpstream puts what the upstream beside the node says of itself in force.
-// It implements Announcements.
+// localUpstream applies the reports of the upstream beside the node. It implements
+// Announcements.
 type localUpstream struct {
 	mesh *Mesh
 
@@ -17,36 +17,36 @@
 	known fleet.LocalUpstream
 }
 
-// Reported implements Announcements. When it returns, a drain is in force at the
-// guard: the acknowledgement of a report binds the node.
+// Reported implements Announcements. When it returns, a reported drain is in force at the guard,
+// since acknowledging a report commits the node to it.
 func (l *localUpstream) Reported(r fleet.Report) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r.Service != l.mesh.cfg.Service {
-		l.mesh.logger.Warn().Str("upstream", r.ID).Str("service", r.Service).Msg("report of another service ignored")
+		l.mesh.logger.Warn().Str("upstream", r.ID).Str("service", r.Service).Msg("upstream report names another service; report ignored")
 		return
 	}
 	_, served := l.known.Current()
 	change := l.known.Apply(r)
 	switch change {
 	case fleet.Started:
-		l.started(r, served)
+		l.onStarted(r, served)
 	case fleet.Left:
-		l.left(r, "reported")
+		l.onLeft(r, "reported")
 	case fleet.Updated:
 		if r.Address != l.mesh.upstream.Addr() {
 			l.mesh.upstream.SetAddr(r.Address)
 		}
 		l.publish(r, fleet.Serving)
 	case fleet.Outdated:
-		l.mesh.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Int64("born", r.Born).Msg("outdated report ignored")
+		l.mesh.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Int64("born", r.Born).Msg("upstream report is older than the newest one; report ignored")
 	case fleet.Unchanged:
-		l.revive(r)
+		l.resumeServing(r)
 	}
 }
 
-// adopt takes the upstream into service that was found at work beside a node that has
-// just started. It is false when the upstream has reported meanwhile.
+// adopt takes a running upstream into service that was found beside a node that has just
+// started. It reports false if the upstream has reported in the meantime.
 func (l *localUpstream) adopt(record *fleet.Member, address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,14 +58,14 @@
 	m.platform.SetUpstream(r.ID)
 	m.upstream.SetAddr(r.Address)
 	m.node.UpstreamReplaced(m.node.Now(), node.Announcement{Service: r.Service, Address: r.Address, Slots: r.Slots})
-	l.publishSince(r, fleet.Serving, record.ServesSince)
+	l.publishServingSince(r, fleet.Serving, record.ServesSince)
 	m.logger.Info().Str("upstream", r.ID).Str("address", r.Address).Int("slots", r.Slots).
-		Uint64("record_incarnation", record.Incarnation).Msg("upstream found at work")
+		Uint64("record_incarnation", record.Incarnation).Msg("running upstream adopted after the start of the node; it takes calls")
 	return true
 }
 
-// heardOf is whether anything is known of the upstream.
-func (l *localUpstream) heardOf() bool {
+// isKnown reports whether an upstream has reported or was adopted.
+func (l *localUpstream) isKnown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, _ := l.known.Current()
@@ -78,13 +78,13 @@
 	defer l.mu.Unlock()
 	if l.known.Departed(id, born) == fleet.Left {
 		r, _ := l.known.Current()
-		l.left(r, "departed")
+		l.onLeft(r, "departed")
 	}
 }
 
-// started takes a new process into service. If another one served until now and
-// never said that it left, it died.
-func (l *localUpstream) started(r fleet.Report, served bool) {
+// onStarted takes a new process into service. If another process served until now and never
+// reported that it leaves, that process has crashed.
+func (l *localUpstream) onStarted(r fleet.Report, served bool) {
 	m := l.mesh
 	now := m.node.Now()
 	if served {
@@ -95,29 +95,32 @@
 	m.node.UpstreamReplaced(now, node.Announcement{Service: r.Service, Address: r.Address, Slots: r.Slots})
 	l.publish(r, fleet.Serving)
 	m.logger.Info().Str("upstream", r.ID).Str("address", r.Address).Int("slots", r.Slots).Int64("born", r.Born).
-		Str("version", r.Version).Dur("cold_ms", r.ColdFor).Bool("predecessor_died", served).Msg("upstream started")
+		Str("version", r.Version).Dur("cold_ms", r.ColdFor).Bool("predecessor_died", served).Msg("upstream started; it takes calls")
 }
 
-// revive takes the upstream back that was taken for dead: its process goes on to
-// report, so what refused a connection was not its end.
-func (l *localUpstream) revive(r fleet.Report) {
+// resumeServing returns an upstream to service that was considered dead: its process still
+// reports, so the refused connection did not mean that it has ended.
+func (l *localUpstream) resumeServing(r fleet.Report) {
 	m := l.mesh
 	if _, serving := l.known.Current(); !serving || m.node.Guard().Serving() {
 		return
 	}
 	m.node.UpstreamReplaced(m.node.Now(), node.Announcement{Service: r.Service, Address: r.Address, Slots: r.Slots})
-	m.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Msg("upstream goes on reporting and is taken back")
+	m.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Msg("upstream still reports after it was considered dead; it takes calls again")
 }
 
-func (l *localUpstream) left(r fleet.Report, how string) {
+// onLeft refuses new calls to the upstream and publishes that it leaves. how is "reported" for a
+// report that says so, and "departed" for a departure message.
+func (l *localUpstream) onLeft(r fleet.Report, how string) {
 	m := l.mesh
 	m.node.Guard().Drain(m.node.Now())
 	l.publish(r, fleet.Leaving)
-	m.logger.Info().Str("upstream", r.ID).Str("how", how).Int64("sequence", r.Sequence).Int("in_flight", m.node.Guard().Busy()).Msg("upstream left")
+	m.logger.Info().Str("upstream", r.ID).Str("how", how).Int64("sequence", r.Sequence).Int("in_flight", m.node.Guard().Busy()).Msg("upstream left; new calls to it are refused")
 }
 
-// servesSince is now for an upstream that says it is still slow after its start.
-// One that doesn't has been warm for longer than anybody would spare it.
+// servesSince returns now for an upstream that reports that it is still slow after its start,
+// and 0 otherwise: an upstream that reports no slowness has been warm for longer than any slow
+// start takes.
 func servesSince(r fleet.Report, now time.Time) int64 {
 	if r.ColdFor <= 0 {
 		return 0
@@ -125,12 +128,12 @@
 	return now.UnixMilli()
 }
 
-// publish writes the node's own record, and puts it in force here at once.
+// publish writes the node's own record to the store and applies it at this node at once.
 func (l *localUpstream) publish(r fleet.Report, state fleet.State) {
-	l.publishSince(r, state, servesSince(r, l.mesh.node.Now()))
+	l.publishServingSince(r, state, servesSince(r, l.mesh.node.Now()))
 }
 
-func (l *localUpstream) publishSince(r fleet.Report, state fleet.State, since int64) {
+func (l *localUpstream) publishServingSince(r fleet.Report, state fleet.State, since int64) {
 	if l.mesh.stopping.Load() && state == fleet.Serving {
 		state = fleet.Stopping
 	}
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -11,114 +11,116 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// nodePrefix begins the keys of nodes' own records.
+// nodePrefix is the prefix of the keys of member records; the node's name follows.
 const nodePrefix = "node/"
 
-// members follows the records of all nodes and puts them in force for routing.
+// members follows the records of all nodes and applies them to routing.
 type members struct {
 	logger zerolog.Logger
-	// changed takes the registry after a change, with the lock held.
-	changed  func(*fleet.Registry)
-	suspects *suspects
+	// onChange is called with the registry after a change, with mu held.
+	onChange      func(*fleet.Registry)
+	crashReporter *crashReporter
 
 	mu       sync.Mutex
 	registry *fleet.Registry
-	// told is whether the records of the deployment were read once, from the
-	// store or from another node.
-	told bool
-	// near are the neighbours as of that many changes of the registry: they are
-	// asked for twice a second, and 14,000 nodes take milliseconds to look through.
-	near   []fleet.Member
-	nearAt int
-	// far are the serving nodes of other zones, as of that many changes.
-	far   []fleet.Member
-	farAt int
+	// initialized is whether the records of the deployment were read once, from the store or
+	// from another node.
+	initialized bool
+	// sameZone caches the neighbours as of the registry's change count sameZoneRevision: they
+	// are needed twice a second, and scanning 14,000 nodes takes milliseconds.
+	sameZone         []fleet.Member
+	sameZoneRevision int
+	// otherZones caches the serving nodes of other zones as of the registry's change count
+	// otherZonesRevision.
+	otherZones         []fleet.Member
+	otherZonesRevision int
 }
 
+// apply applies records from the store, those of members and those of crashes. Deleted keys and
+// invalid records are skipped.
 func (m *members) apply(items []Item) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.told = true
+	m.initialized = true
 	updated := false
 	for _, item := range items {
 		if len(item.Value) == 0 {
 			continue
 		}
 		if strings.HasPrefix(item.Key, crashPrefix) {
-			m.suspects.apply(item)
+			m.crashReporter.apply(item)
 			continue
 		}
 		record, err := fleet.DecodeMember(item.Value)
 		if err != nil {
-			m.logger.Warn().Str("key", item.Key).Err(err).Msg("member record unreadable, ignored")
+			m.logger.Warn().Str("key", item.Key).Err(err).Msg("member record is invalid; record ignored")
 			continue
 		}
 		if m.registry.Apply(record) {
 			updated = true
-			m.note(&record, "store")
+			m.logChange(&record, "store")
 		}
 	}
 	if updated {
-		m.changed(m.registry)
+		m.onChange(m.registry)
 	}
 }
 
-// learn takes a record that did not come from the store.
+// learn applies a record that did not come from the store.
 func (m *members) learn(record fleet.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.registry.Apply(record) {
-		m.note(&record, "node")
-		m.changed(m.registry)
+		m.logChange(&record, "node")
+		m.onChange(m.registry)
 	}
 }
 
-func (m *members) note(record *fleet.Member, source string) {
+func (m *members) logChange(record *fleet.Member, source string) {
 	m.logger.Info().Str("member", record.Node).Str("service", record.Service).Str("upstream", record.Upstream).
 		Str("state", string(record.State)).Str("address", record.Address).Int("slots", record.Slots).
 		Uint64("revision", record.Revision).Str("source", source).Msg("member changed")
 }
 
-// refresh puts the records in force again, under settings that changed.
+// refresh applies the records again, after a change of settings.
 func (m *members) refresh() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.changed(m.registry)
+	m.onChange(m.registry)
 }
 
-// ApplyMember takes in a record that did not come from the store, unless a newer one is
-// known.
+// ApplyMember applies a record that did not come from the store, unless a newer one is known.
 func (m *Mesh) ApplyMember(record fleet.Member) { m.members.learn(record) }
 
-// takeOver folds records that another node knows; unsound ones are left out.
-func (m *members) takeOver(records []fleet.Member, from string) {
+// mergeRecords merges the records fetched from another node; invalid ones are skipped.
+func (m *members) mergeRecords(records []fleet.Member, from string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.told = true
+	m.initialized = true
 	updated := 0
 	for i := range records {
 		if err := records[i].Validate(); err != nil {
-			m.logger.Warn().Str("from", from).Err(err).Msg("member record unreadable, ignored")
+			m.logger.Warn().Str("from", from).Err(err).Msg("member record is invalid; record ignored")
 			continue
 		}
 		if m.registry.Apply(records[i]) {
 			updated++
 		}
 	}
-	m.logger.Info().Str("from", from).Int("members", len(records)).Int("changed", updated).Msg("members taken over from another node")
+	m.logger.Info().Str("from", from).Int("members", len(records)).Int("changed", updated).Msg("member records of another node merged")
 	if updated > 0 {
-		m.changed(m.registry)
+		m.onChange(m.registry)
 	}
 }
 
-// informed reports whether the records of the deployment were read once.
-func (m *members) informed() bool {
+// isInitialized reports whether the records of the deployment were read once.
+func (m *members) isInitialized() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.told
+	return m.initialized
 }
 
-// predecessor returns the record that an earlier process of the node left.
+// predecessor returns the record that a previous process of the node left.
 func (m *members) predecessor(node string, incarnation uint64) (record fleet.Member, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -126,7 +128,7 @@
 	return record, known && record.Incarnation < incarnation
 }
 
-// count returns how many nodes are known.
+// count returns the number of known nodes.
 func (m *members) count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -140,29 +142,28 @@
 	return m.registry.Members()
 }
 
-// elsewhere returns a serving node of another zone, any of them; known is false where
-// there is none.
-func (m *members) elsewhere(cfg *settings.Mesh) (of fleet.Member, known bool) {
+// randomOtherZone returns a random serving node of another zone; known is false if there is
+// none.
+func (m *members) randomOtherZone(cfg *settings.Mesh) (member fleet.Member, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.farAt != m.registry.Changes() {
-		m.far = m.registry.OtherZones(cfg.Region, cfg.Zone)
-		m.farAt = m.registry.Changes()
+	if m.otherZonesRevision != m.registry.Changes() {
+		m.otherZones = m.registry.OtherZones(cfg.Region, cfg.Zone)
+		m.otherZonesRevision = m.registry.Changes()
 	}
-	if len(m.far) == 0 {
+	if len(m.otherZones) == 0 {
 		return fleet.Member{}, false
 	}
-	return m.far[rand.IntN(len(m.far))], true
+	return m.otherZones[rand.IntN(len(m.otherZones))], true
 }
 
-// neighbours returns the records of the other nodes of the zone; they must not be
-// changed.
-func (m *members) neighbours(cfg *settings.Mesh) []fleet.Member {
+// zoneNeighbours returns the records of the other nodes of the zone; they must not be changed.
+func (m *members) zoneNeighbours(cfg *settings.Mesh) []fleet.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.nearAt != m.registry.Changes() {
-		m.near = m.registry.Neighbours(cfg.NodeID, cfg.Region, cfg.Zone)
-		m.nearAt = m.registry.Changes()
+	if m.sameZoneRevision != m.registry.Changes() {
+		m.sameZone = m.registry.Neighbours(cfg.NodeID, cfg.Region, cfg.Zone)
+		m.sameZoneRevision = m.registry.Changes()
 	}
-	return m.near
+	return m.sameZone
 }
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	// quotaPath is where a node asks another one for a token of a workspace's quota.
+	// quotaPath is where a node requests a token of a workspace's quota from another node.
 	quotaPath = "/quota"
-	// quotaTimeout bounds such a question: a holder answers from memory.
-	quotaTimeout = 150 * time.Millisecond
-	// quotaUnknownPause is when a caller may come back where no holder answered.
-	quotaUnknownPause = 500 * time.Millisecond
+	// quotaRequestTimeout bounds such a request: a holder responds from memory.
+	quotaRequestTimeout = 150 * time.Millisecond
+	// quotaUnknownRetryAfter is the retry-after of a refusal when no holder responds.
+	quotaUnknownRetryAfter = 500 * time.Millisecond
 )
 
-// quotas spends the quotas of workspaces. It implements proxy.Quota.
+// quotas enforces the quotas of workspaces. It implements proxy.Quota.
 type quotas struct {
 	mesh   *Mesh
 	ledger *quota.Ledger
 
 	mu sync.Mutex
-	// nodes are those of the ring in force.
+	// nodes are the nodes of the current ring.
 	nodes []quota.Node
 }
 
-// grant is another node's answer.
+// grant is another node's response to a request for a token.
 type grant struct {
 	Granted bool `json:"granted,omitempty"`
-	// NextMillis is how long it takes there to the next token.
+	// NextMillis is the time until that node has its next token, in milliseconds.
 	NextMillis int64 `json:"next_ms,omitempty"`
 }
 
@@ -52,7 +52,7 @@
 
 func zoneName(region, zone string) string { return region + "/" + zone }
 
-// setEndpoints takes the nodes that hold quotas from now on. One call at a time.
+// setEndpoints sets the nodes that hold quotas. Calls must not overlap.
 func (q *quotas) setEndpoints(endpoints []routing.Endpoint) {
 	nodes := make([]quota.Node, 0, len(endpoints))
 	for i := range endpoints {
@@ -82,13 +82,13 @@
 
 // Take implements proxy.Quota.
 func (q *quotas) Take(ctx context.Context, workspace string) *result.Refusal {
-	got := q.ledger.Take(time.Now(), workspace, rand.Float64(), q.mesh.unreached)
-	if got.Granted {
+	decision := q.ledger.Take(time.Now(), workspace, rand.Float64(), q.mesh.unreachable)
+	if decision.Granted {
 		return nil
 	}
 	answered := 0
-	for i := range got.Ask {
-		granted, err := q.askOne(ctx, &got.Ask[i], workspace)
+	for i := range decision.Ask {
+		granted, err := q.requestToken(ctx, &decision.Ask[i], workspace)
 		if granted {
 			return nil
 		}
@@ -96,71 +96,71 @@
 			answered++
 		}
 	}
-	if got.Unknown || len(got.Ask) > 0 && answered == 0 {
-		return result.Refuse(result.QuotaUnknown, "no node with a part of the quota of %s answers", workspace).After(quotaUnknownPause)
+	if decision.Unknown || len(decision.Ask) > 0 && answered == 0 {
+		return result.Refuse(result.QuotaUnknown, "no node that holds a part of the quota of %s responds", workspace).After(quotaUnknownRetryAfter)
 	}
-	pause := q.ledger.Refuse(time.Now(), workspace, rand.Float64())
-	return result.Refuse(result.QuotaExceeded, "the quota of %s is spent here and at %d nodes asked now", workspace, answered).After(pause)
+	retryAfter := q.ledger.Refuse(time.Now(), workspace, rand.Float64())
+	return result.Refuse(result.QuotaExceeded, "the quota of %s is exhausted at this node and at %d other nodes that were asked", workspace, answered).After(retryAfter)
 }
 
-// askOne asks a holder for a token. An error says that it gave no answer.
-func (q *quotas) askOne(ctx context.Context, of *quota.Node, workspace string) (granted bool, err error) {
+// requestToken requests a token from a holder. An error means that the holder did not respond.
+func (q *quotas) requestToken(ctx context.Context, holder *quota.Node, workspace string) (granted bool, err error) {
 	q.mesh.metrics.Inc(metrics.QuotaAsked, 1)
-	got, err := q.mesh.askQuota(ctx, of, workspace)
+	response, err := q.mesh.sendTokenRequest(ctx, holder, workspace)
 	now := time.Now()
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return false, err
 	case err != nil:
-		q.ledger.MarkUnresponsive(now, of.Name)
-		q.mesh.bounded.Warn().Str("member", of.Name).Str("workspace", workspace).Err(err).Msg("node gave no answer for a quota")
+		q.ledger.MarkUnresponsive(now, holder.Name)
+		q.mesh.rateLimited.Warn().Str("member", holder.Name).Str("workspace", workspace).Err(err).Msg("quota token request to a holder failed; the holder is skipped for a while")
 		return false, err
-	case got.Granted:
+	case response.Granted:
 		q.ledger.Granted(workspace)
 		return true, nil
 	}
-	q.ledger.Empty(now, workspace, of.Name, time.Duration(got.NextMillis)*time.Millisecond)
+	q.ledger.Empty(now, workspace, holder.Name, time.Duration(response.NextMillis)*time.Millisecond)
 	return false, nil
 }
 
 // Return implements proxy.Quota.
 func (q *quotas) Return(workspace string) { q.ledger.Return(time.Now(), workspace) }
 
-// askQuota asks another node for a token.
-func (m *Mesh) askQuota(ctx context.Context, of *quota.Node, workspace string) (grant, error) {
-	ctx, cancel := context.WithTimeout(ctx, quotaTimeout)
+// sendTokenRequest sends a request for a token to another node.
+func (m *Mesh) sendTokenRequest(ctx context.Context, holder *quota.Node, workspace string) (grant, error) {
+	ctx, cancel := context.WithTimeout(ctx, quotaRequestTimeout)
 	defer cancel()
-	query := url.Values{"of": {of.Name}, "workspace": {workspace}}
-	got, err := m.peers.Query(ctx, of.Address, quotaPath+"?"+query.Encode())
+	query := url.Values{"of": {holder.Name}, "workspace": {workspace}}
+	response, err := m.peers.Query(ctx, holder.Address, quotaPath+"?"+query.Encode())
 	if err != nil {
 		return grant{}, err
 	}
-	if got.Status != http.StatusOK {
-		return grant{}, &statusError{got.Status}
+	if response.Status != http.StatusOK {
+		return grant{}, &statusError{response.Status}
 	}
 	var g grant
-	if err := json.Unmarshal(got.Body, &g); err != nil {
-		return grant{}, errors.Wrap(err, "grant of another node")
+	if err := json.Unmarshal(response.Body, &g); err != nil {
+		return grant{}, errors.Wrap(err, "decode quota grant of another node")
 	}
 	return g, nil
 }
 
-// serveQuota answers a node that asks for a token.
+// serveQuota responds to another node's request for a token.
 func (m *Mesh) serveQuota(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	if query.Get("of") != m.cfg.NodeID {
-		http.Error(w, "another node has this address", http.StatusMisdirectedRequest)
+		http.Error(w, "request is meant for another node; its address belongs to this node", http.StatusMisdirectedRequest)
 		return
 	}
 	granted, next := m.quotas.ledger.Grant(time.Now(), query.Get("workspace"))
 	if granted {
 		m.metrics.Inc(metrics.QuotaGranted, 1)
 	}
-	omitHeaders(w)
+	omitUnusedHeaders(w)
 	m.sendJSON(w, &grant{Granted: granted, NextMillis: next.Milliseconds()})
 }
 
-// states returns the quotas as this node sees them, by workspace.
+// states returns the quotas as this node sees them, sorted by workspace.
 func (q *quotas) states() []quota.State {
 	states := q.ledger.States(time.Now())
 	slices.SortFunc(states, func(a, b quota.State) int { return strings.Compare(a.Workspace, b.Workspace) })
--- a/internal/mesh/routekeeper.go
+++ b/internal/mesh/routekeeper.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// routesPath is where a node gives its routes to others.
+	// routesPath is where a node serves its routes to other nodes.
 	routesPath = "/routes"
-	// maxRoutesBytes bounds routes taken from another node: 16,384 routes of some
-	// 300 bytes.
+	// maxRoutesBytes bounds the routes fetched from another node: 16,384 routes of some 300
+	// bytes.
 	maxRoutesBytes = 8 << 20
-	// askPause is the least time between two questions to other nodes.
-	askPause = 200 * time.Millisecond
+	// failedFetchPause is the pause after a failed fetch from another node before the next one.
+	failedFetchPause = 200 * time.Millisecond
 )
 
-// routeKeeper holds the routes in force. A version is never replaced by an older
-// one. It implements proxy.Versions.
+// routeKeeper holds the routes in force. A version is never replaced by an older one. It
+// implements proxy.Versions.
 type routeKeeper struct {
 	mesh     *Mesh
 	follower *follower
 	version  atomic.Int64
-	asking   atomic.Bool
+	fetching atomic.Bool
 
 	mu sync.Mutex
 }
 
 func newRouteKeeper(m *Mesh) *routeKeeper {
 	k := &routeKeeper{mesh: m}
-	k.follower = newFollower(m.platform.RoutesTopic(), k.apply, m.newRelay(routesWait), m.logger)
+	k.follower = newFollower(m.platform.RoutesTopic(), k.apply, m.newRelay(routesWatchWait), m.logger)
 	k.follower.readWait = routesReadWait
 	return k
 }
@@ -44,8 +44,8 @@
 // Version implements proxy.Versions.
 func (k *routeKeeper) Version() int64 { return k.version.Load() }
 
-// ObserveVersion implements proxy.Versions. A node that can't reach the store learns from
-// the calls of others that it is behind, and asks the one that is ahead.
+// ObserveVersion implements proxy.Versions. A node that can't reach the store sees newer
+// versions in calls of other nodes, and fetches the routes from the node that has them.
 func (k *routeKeeper) ObserveVersion(addr string, version int64) {
 	if addr == "" || version <= k.version.Load() {
 		return
@@ -53,25 +53,25 @@
 	k.fetch(addr)
 }
 
-// fetch gets the routes of another node, and the records of members where none
-// were read yet. It doesn't block; one is under way at a time.
+// fetch fetches the routes of another node, and its member records if none were read yet. It
+// doesn't block; at most one fetch is under way.
 func (k *routeKeeper) fetch(addr string) {
-	if !k.asking.CompareAndSwap(false, true) {
+	if !k.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer k.asking.Store(false)
-		if err := k.ask(addr); err != nil {
-			k.mesh.logger.Warn().Str("address", addr).Int64("version", k.Version()).Err(err).Msg("routes not fetched from another node")
-			time.Sleep(askPause)
+		defer k.fetching.Store(false)
+		if err := k.fetchFrom(addr); err != nil {
+			k.mesh.logger.Warn().Str("address", addr).Int64("version", k.Version()).Err(err).Msg("routes of another node not fetched; the routes in force stay")
+			time.Sleep(failedFetchPause)
 		}
 	}()
 }
 
-func (k *routeKeeper) ask(addr string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+func (k *routeKeeper) fetchFrom(addr string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), storeCallTimeout)
 	defer cancel()
-	if !k.mesh.members.informed() {
+	if !k.mesh.members.isInitialized() {
 		if err := k.mesh.fetchMembers(ctx, addr); err != nil {
 			return err
 		}
@@ -80,39 +80,39 @@
 	if err != nil {
 		return err
 	}
-	raw, err := k.mesh.askNode(req, maxRoutesBytes)
+	raw, err := k.mesh.sendControl(req, maxRoutesBytes)
 	if err != nil {
 		return err
 	}
 	var config routes.Config
 	if err := json.Unmarshal(raw, &config); err != nil {
-		return errors.Wrap(err, "routes of another node")
+		return errors.Wrap(err, "decode routes of another node")
 	}
-	return k.put(&config, "node "+addr)
+	return k.install(&config, "node "+addr)
 }
 
 func (k *routeKeeper) apply(items []Item) {
 	for _, item := range items {
 		config, ok, err := k.mesh.platform.DecodeRoutes(item)
 		if err != nil {
-			k.mesh.logger.Error().Str("key", item.Key).Err(err).Msg("published routes refused; those before stay in force")
+			k.mesh.logger.Error().Str("key", item.Key).Err(err).Msg("published routes are invalid; the previous routes stay in force")
 			continue
 		}
 		if !ok {
 			continue
 		}
-		if err := k.put(config, "store"); err != nil {
-			k.mesh.logger.Error().Int64("version", config.Version).Err(err).Msg("published routes refused; those before stay in force")
+		if err := k.install(config, "store"); err != nil {
+			k.mesh.logger.Error().Int64("version", config.Version).Err(err).Msg("published routes are invalid; the previous routes stay in force")
 		}
 	}
 }
 
-// PutRoutes puts routes in force here that did not come from the store, unless
-// they are older than those in force.
-func (m *Mesh) PutRoutes(config *routes.Config) error { return m.routes.put(config, "given") }
+// PutRoutes puts routes in force at this node that did not come from the store, unless they are
+// older than those in force. It returns an error if they are invalid.
+func (m *Mesh) PutRoutes(config *routes.Config) error { return m.routes.install(config, "given") }
 
-// put puts routes in force unless they are older than those that are.
-func (k *routeKeeper) put(config *routes.Config, source string) error {
+// install puts routes in force unless they are older than those in force.
+func (k *routeKeeper) install(config *routes.Config, source string) error {
 	if err := config.Validate(); err != nil {
 		return err
 	}
@@ -124,12 +124,12 @@
 	seed := k.mesh.node.Incarnation()
 	k.mesh.quotas.setRoutes(config)
 	k.mesh.proxy.SetRoutes(routes.NewTable(k.mesh.proxy.Routes(), config, seed))
-	old := k.version.Swap(config.Version)
-	k.mesh.logger.Info().Int64("version", config.Version).Int64("before", old).Str("source", source).Int("routes", len(config.Routes)).Int("workspaces", len(config.Workspaces)).Msg("routes in force")
+	previous := k.version.Swap(config.Version)
+	k.mesh.logger.Info().Int64("version", config.Version).Int64("before", previous).Str("source", source).Int("routes", len(config.Routes)).Int("workspaces", len(config.Workspaces)).Msg("new version of the routes is in force")
 	return nil
 }
 
-// refresh puts the quotas in force again, under settings that changed.
+// refresh puts the quotas in force again, after a change of settings.
 func (k *routeKeeper) refresh() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -138,7 +138,7 @@
 	}
 }
 
-// ServeHTTP gives the routes in force to other nodes.
+// ServeHTTP serves the routes in force to other nodes.
 func (k *routeKeeper) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	table := k.mesh.proxy.Routes()
 	if table == nil {
--- a/internal/mesh/stop.go
+++ b/internal/mesh/stop.go
@@ -10,90 +10,91 @@
 )
 
 const (
-	// stopNotice is how long a stopping node goes on taking callers: the platform
-	// asks once a second whether it is ready and believes the second no.
+	// stopNotice is how long a stopping node keeps accepting callers: the platform checks
+	// readiness once a second and acts on the second negative result.
 	stopNotice = 2500 * time.Millisecond
-	// answerShare of the grace is kept for the last answers: nothing new is taken
-	// then, so that what was read can end.
+	// answerShare is the share of the grace that is reserved for the last responses: the node
+	// accepts nothing new in it, so that received requests can complete.
 	answerShare = 0.3
-	// stopReserve of the grace is kept for the end of the process: twice what the
-	// last log lines may take.
+	// stopReserve is the part of the grace that is reserved for the end of the process: 2 times
+	// the time that the last log lines may take.
 	stopReserve = 400 * time.Millisecond
-	// stopPoll is how often a stopping node looks whether callers wait.
-	stopPoll = 20 * time.Millisecond
-	// quietFor is how long no caller may have waited before the node ends.
-	quietFor = 300 * time.Millisecond
+	// stopPollInterval is how often a stopping node checks whether callers wait for a response.
+	stopPollInterval = 20 * time.Millisecond
+	// quietPeriod is how long no caller may have waited before the node stops.
+	quietPeriod = 300 * time.Millisecond
 )
 
-// Stop ends the node without cutting a call: it says that it isn't ready, goes on
-// serving who still comes, and closes once its callers have been answered or the grace
-// is nearly over. It returns how many calls it cut.
+// Stop stops the node without cutting a call. The node reports that it is not ready, keeps
+// serving the callers that still arrive, and closes once all callers have their responses or the
+// grace is nearly over. It returns the number of calls that were cut.
 //
-// Until its last caller is answered the node can't end, and its upstream goes on
-// taking calls of other nodes that find no other one, as far as these end in time. With
-// a fixed bound they would be refused for seconds beside an idle upstream, where several
-// nodes of a service are stopped in turn.
+// The node can't stop until its last caller has a response. In the meantime its upstream accepts
+// calls of other nodes that have no other upstream, if these calls end in time. With a fixed
+// bound they would be refused for seconds while the upstream is idle, where several nodes of a
+// service are stopped in turn.
 func (m *Mesh) Stop() int {
-	begun := time.Now()
+	started := time.Now()
 	m.stopping.Store(true)
 	m.node.Event(m.node.Now(), timeline.Event{Kind: timeline.DrainStarted, Upstream: m.cfg.NodeID})
-	m.leave()
+	m.announceStop()
 	grace := m.Settings().Stop.Grace.Std()
-	end := begun.Add(grace - stopReserve)
+	end := started.Add(grace - stopReserve)
 	m.node.Guard().EndBy(end)
-	m.awaitQuiet(begun, begun.Add(time.Duration((1-answerShare)*float64(grace))))
+	m.awaitNoCallers(started, started.Add(time.Duration((1-answerShare)*float64(grace))))
 	m.node.Guard().Drain(m.node.Now())
-	cut := m.finish(end)
+	cut := m.shutdownServers(end)
 	m.close()
 	return cut
 }
 
-// Kill ends the node at once, as the end of its process would.
+// Kill stops the node at once, as if its process ended.
 func (m *Mesh) Kill() {
 	m.stopping.Store(true)
 	m.close()
 }
 
-// leave tells the other nodes to send their calls elsewhere if they can.
-func (m *Mesh) leave() {
+// announceStop publishes that the node is stopping, so that other nodes send their calls
+// elsewhere if they can.
+func (m *Mesh) announceStop() {
 	record := m.publisher.update(func(own *fleet.Member) {
 		if own.State == fleet.Serving {
 			own.State = fleet.Stopping
 		}
 	})
 	m.members.learn(record)
-	m.following.feed.close()
+	m.membersFollower.feed.close()
 	m.routes.follower.feed.close()
 }
 
-// awaitQuiet returns once no caller has waited for a while, or at end.
-func (m *Mesh) awaitQuiet(begun, end time.Time) {
-	quietSince := begun
-	for now := begun; now.Before(end); now = time.Now() {
+// awaitNoCallers returns once no caller has waited for a response for quietPeriod, or at end.
+func (m *Mesh) awaitNoCallers(started, end time.Time) {
+	quietSince := started
+	for now := started; now.Before(end); now = time.Now() {
 		if m.proxy.Roots() > 0 {
 			quietSince = now
 		}
-		if now.Sub(begun) >= stopNotice && now.Sub(quietSince) >= quietFor {
+		if now.Sub(started) >= stopNotice && now.Sub(quietSince) >= quietPeriod {
 			return
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 }
 
-// finish takes no more connections and lets what was read end. It returns how
-// many calls are left.
-func (m *Mesh) finish(end time.Time) int {
+// shutdownServers accepts no more connections and lets received requests complete. It returns
+// the number of calls that are left.
+func (m *Mesh) shutdownServers(end time.Time) int {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	for _, srv := range []*http.Server{m.servers.callers, m.servers.inner} {
 		if err := srv.Shutdown(ctx); err != nil {
-			m.logger.Warn().Err(err).Int("in_flight", m.InFlight()).Msg("the grace ended before the last answers")
+			m.logger.Warn().Err(err).Int("in_flight", m.InFlight()).Msg("stop grace ended before the last responses; the remaining connections are closed")
 		}
 	}
 	return m.InFlight()
 }
 
-// close ends the listeners and loops.
+// close stops the servers and the goroutines of the node.
 func (m *Mesh) close() {
 	for _, srv := range m.servers.all() {
 		if srv != nil {
@@ -105,5 +106,5 @@
 	m.upstream.Close()
 	m.servers.control.CloseIdleConnections()
 	m.platform.Close()
-	m.loops.Wait()
+	m.goroutines.Wait()
 }
--- a/internal/mesh/storecalls_test.go
+++ b/internal/mesh/storecalls_test.go
@@ -12,7 +12,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a call of the store that is missing from the count by purpose and outcome.
+// Guards against calls of the store that are missing from the counts by purpose and outcome.
 func TestStoreCallsAreLogged(t *testing.T) {
 	ended, end := context.WithCancel(t.Context())
 	end()
@@ -27,7 +27,7 @@
 		{t.Context(), errors.New("refused"), OutcomeFailed},
 	} {
 		var out bytes.Buffer
-		callLog{zerolog.New(&out), "routes"}.done(x.ctx, PurposeChanges, time.Now(), x.err)
+		storeCallLog{zerolog.New(&out), "routes"}.log(x.ctx, PurposeChanges, time.Now(), x.err)
 		var line struct {
 			Message, Topic string
 			Purpose        Purpose
