--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -8,39 +8,40 @@
 const (
 	defaultSuspectFor    = 2 * time.Minute
 	defaultQuarantineFor = 10 * time.Minute
-	// defaultMaxCrashes is the promise: two upstreams may die by one request.
+	// defaultMaxCrashes limits the upstreams that one request may crash to 2.
 	defaultMaxCrashes = 2
-	// defaultMaxEntries holds the calls of a dozen crashes of a large upstream
-	// (180 slots) in under 1 MB.
+	// defaultMaxEntries has space for the calls of a dozen crashes of a large upstream (180 slots)
+	// in under 1 MB.
 	defaultMaxEntries = 2048
-	// defaultSettleFor is twice the time in which a record reaches the peers
-	// (1 s) and a run of 0.5 s: until then a copy of the request that started
-	// elsewhere in ignorance may still crash its upstream.
+	// defaultSettleFor is twice the time in which a record reaches the peers (1 s) plus a run of
+	// 0.5 s. Until then another copy of the request may still crash its upstream, because its guard
+	// started it before it received the record.
 	defaultSettleFor = 2500 * time.Millisecond
 )
 
 // Config holds the parameters of a Tracker.
 type Config struct {
-	// SuspectFor is how long a crash keeps a fingerprint suspected.
+	// SuspectFor is how long a request stays suspected after a crash, or after its quarantine has
+	// ended.
 	SuspectFor time.Duration
-	// QuarantineFor is how long a fingerprint found guilty is refused; a tenth
-	// of it where the evidence is weak, and twice as long for each crash above
-	// MaxCrashes, up to eight times.
+	// QuarantineFor is how long a confirmed crasher is refused after its latest crash. A probable
+	// crasher is refused for a tenth of it. The time doubles with each crash above MaxCrashes, up
+	// to 8 times.
 	QuarantineFor time.Duration
-	// MaxCrashes is the number of crashes from which on it is refused.
+	// MaxCrashes is the number of crashes at which a request is quarantined.
 	MaxCrashes int
-	// MaxEntries bounds the fingerprints kept.
+	// MaxEntries limits the number of fingerprints with crash records.
 	MaxEntries int
-	// SettleFor is how long a suspect is held back after its latest crash, so
-	// that crashes at other guards at the same time are known before it runs.
-	// It has to cover twice the spread of a record and the longest run.
+	// SettleFor is the delay between the latest crash of a suspected request and its next run, so
+	// that the guard receives the records of concurrent crashes at other guards first. It must
+	// cover twice the propagation time of a record plus the longest run.
 	SettleFor time.Duration
-	// Proven is how many fingerprints that succeeded lately are remembered; what
-	// one of them runs at a crash is not suspected. 0 remembers none.
+	// Proven is the number of recently successful fingerprints that are kept. Such a request is not
+	// suspected when an upstream crashes while running it. 0 keeps none.
 	Proven int
 }
 
-// DefaultConfig returns the parameters for today's sizes.
+// DefaultConfig returns the default parameters; Proven is 0.
 func DefaultConfig() Config {
 	return Config{
 		SuspectFor:    defaultSuspectFor,
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -5,59 +5,59 @@
 )
 
 const (
-	// maxRecords bounds the crashes kept for one fingerprint.
+	// maxRecords limits the crash records kept for one fingerprint.
 	maxRecords = 8
-	// maxDoublings bounds the growth of the time in quarantine (eight times).
+	// maxDoublings limits how often the quarantine time doubles (8 times QuarantineFor).
 	maxDoublings = 3
-	// weakShare is the part of QuarantineFor that weak evidence earns: an
-	// innocent in bad luck is refused for a minute by default.
-	weakShare = 10
+	// probableQuarantineDivisor divides QuarantineFor for a probable crasher. A request that was
+	// running at several crashes by coincidence is refused for 1 minute by default.
+	probableQuarantineDivisor = 10
 )
 
-// Fingerprint names a request by service, method, path and body hash.
+// Fingerprint identifies a request by its service, method, path and body hash.
 type Fingerprint uint64
 
-// CrashRecord is one record of suspicion: a fingerprint ran when that incarnation
-// of an upstream died. Records with the same fingerprint, upstream and
-// incarnation are one; merging is idempotent and independent of order.
+// CrashRecord states that a request was running when an incarnation of an upstream crashed.
+// Records with the same fingerprint, upstream and incarnation describe the same crash and are
+// merged; merging is idempotent and independent of order.
 type CrashRecord struct {
 	Fingerprint Fingerprint
 	Upstream    string
 	Incarnation uint64
-	// At is when the upstream died, on the local clock; between nodes its age
-	// has to be sent, since their clocks differ.
+	// At is the time of the crash on the local clock. Nodes send the age of a record instead, since
+	// their clocks differ.
 	At time.Time
-	// Cleared says that the fingerprint succeeded afterwards. It outlasts the
-	// record itself, so that a late copy of it raises no new suspicion.
+	// Cleared is set when the request succeeded after the crash. A cleared record is kept until its
+	// retention ends, so that a late copy of it raises no new suspicion.
 	Cleared bool
-	// Alone says that it ran there as a suspect and no other suspect did, or
-	// that nothing else ran at all.
+	// Alone is set if nothing else was running, apart from requests that recently succeeded, or if
+	// the request started as a suspect and no other suspect was running.
 	Alone bool
 }
 
-// event is the death of one incarnation of an upstream.
-type event struct {
+// crashID identifies the crash of one incarnation of an upstream.
+type crashID struct {
 	upstream    string
 	incarnation uint64
 }
 
-func (s *CrashRecord) event() event { return event{s.Upstream, s.Incarnation} }
+func (r *CrashRecord) crashID() crashID { return crashID{r.Upstream, r.Incarnation} }
 
-// entry holds the records of one fingerprint.
+// entry holds the crash records of one fingerprint.
 type entry struct {
 	records []CrashRecord
 }
 
-func (e *entry) find(ev event) *CrashRecord {
+func (e *entry) find(id crashID) *CrashRecord {
 	for i := range e.records {
-		if e.records[i].event() == ev {
+		if e.records[i].crashID() == id {
 			return &e.records[i]
 		}
 	}
 	return nil
 }
 
-// crashes counts the records that still speak against the fingerprint.
+// crashes returns the number of records that are not cleared.
 func (e *entry) crashes() int {
 	n := 0
 	for i := range e.records {
@@ -68,7 +68,7 @@
 	return n
 }
 
-// latest is the time of the last crash, cleared ones included.
+// latest returns the time of the latest crash, cleared records included.
 func (e *entry) latest() time.Time {
 	var at time.Time
 	for i := range e.records {
@@ -79,46 +79,47 @@
 	return at
 }
 
-// oldest returns the index of the record to give up: a cleared one if there is
-// any, then the earliest.
-func (e *entry) oldest() int {
-	best := 0
+// evictionIndex returns the index of the record to evict: the earliest cleared one, or the
+// earliest one if none is cleared.
+func (e *entry) evictionIndex() int {
+	candidate := 0
 	for i := range e.records {
-		a, b := &e.records[i], &e.records[best]
+		a, b := &e.records[i], &e.records[candidate]
 		if a.Cleared != b.Cleared {
 			if a.Cleared {
-				best = i
+				candidate = i
 			}
 			continue
 		}
 		if a.At.Before(b.At) {
-			best = i
+			candidate = i
 		}
 	}
-	return best
+	return candidate
 }
 
-// verdict is the weight of the evidence against a fingerprint.
-type verdict int
+// assessment grades the evidence that a request crashes upstreams.
+type assessment int
 
 const (
-	innocent verdict = iota
+	unsuspected assessment = iota
 	suspected
-	// guiltyWeak: it ran at enough crashes, and so did another fingerprint.
-	guiltyWeak
-	// guiltySure: it ran at enough crashes, at one of them as the only suspect
-	// or as the only one that ran at all of them.
-	guiltySure
+	// probableCrasher means that the request was running at MaxCrashes crashes or more, and so was
+	// another request.
+	probableCrasher
+	// confirmedCrasher means that the request was running at MaxCrashes crashes or more, and was
+	// either alone at one of them or the only request that was running at all of them.
+	confirmedCrasher
 )
 
-// weigh returns the verdict on f. A crash that another fingerprint explains does
-// not count against it, with one exception: after a crash at which f was the
-// only suspect, all of them count, so that a request that crashes upstreams by
-// itself cannot hide behind another one.
-func (t *Tracker) weigh(f Fingerprint, e *entry) verdict {
+// assess returns the assessment of f. A crash that another request explains does not count
+// against f. The exception is a request that was alone at a crash: then all of its crashes
+// count. Without this exception, a request that crashes upstreams by itself could be excused by
+// another one.
+func (t *Tracker) assess(f Fingerprint, e *entry) assessment {
 	crashes := e.crashes()
 	if crashes == 0 {
-		return innocent
+		return unsuspected
 	}
 	if crashes < t.cfg.MaxCrashes {
 		return suspected
@@ -127,7 +128,7 @@
 	alone := false
 	for i := range e.records {
 		r := &e.records[i]
-		if r.Cleared || t.explained(f, r.event()) {
+		if r.Cleared || t.explainedByOther(f, r.crashID()) {
 			continue
 		}
 		unexplained++
@@ -135,30 +136,30 @@
 	}
 	switch {
 	case alone:
-		return guiltySure
+		return confirmedCrasher
 	case unexplained < t.cfg.MaxCrashes:
 		return suspected
-	case t.onlyCommon(f, e):
-		return guiltySure
+	case t.onlyCommonSuspect(f, e):
+		return confirmedCrasher
 	}
-	return guiltyWeak
+	return probableCrasher
 }
 
-// onlyCommon reports whether no other fingerprint under suspicion ran at as many
-// of the crashes of f as it takes to be found guilty.
-func (t *Tracker) onlyCommon(f Fingerprint, e *entry) bool {
-	shared := make(map[Fingerprint]int)
+// onlyCommonSuspect reports whether no other fingerprint was running, uncleared, at MaxCrashes
+// or more of the crashes of f.
+func (t *Tracker) onlyCommonSuspect(f Fingerprint, e *entry) bool {
+	sharedCrashes := make(map[Fingerprint]int)
 	for i := range e.records {
 		if e.records[i].Cleared {
 			continue
 		}
-		ev := e.records[i].event()
-		for _, g := range t.members[ev] {
-			if g == f || t.entries[g].find(ev).Cleared {
+		id := e.records[i].crashID()
+		for _, g := range t.fingerprintsByCrash[id] {
+			if g == f || t.entries[g].find(id).Cleared {
 				continue
 			}
-			shared[g]++
-			if shared[g] >= t.cfg.MaxCrashes {
+			sharedCrashes[g]++
+			if sharedCrashes[g] >= t.cfg.MaxCrashes {
 				return false
 			}
 		}
@@ -166,48 +167,49 @@
 	return true
 }
 
-// explained reports whether another fingerprint accounts for a crash at which f
-// ran: one that has crashed upstreams often enough and did so as the only
-// suspect where f did not run.
-func (t *Tracker) explained(f Fingerprint, ev event) bool {
-	for _, g := range t.members[ev] {
+// explainedByOther reports whether another fingerprint accounts for a crash at which f was
+// running. That one has MaxCrashes crashes or more, and was alone at a crash at which f was not
+// running.
+func (t *Tracker) explainedByOther(f Fingerprint, id crashID) bool {
+	for _, g := range t.fingerprintsByCrash[id] {
 		if g == f {
 			continue
 		}
 		other := t.entries[g]
-		if other.crashes() >= t.cfg.MaxCrashes && t.aloneWithout(other, f) {
+		if other.crashes() >= t.cfg.MaxCrashes && t.crashedAloneWithout(other, f) {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Tracker) aloneWithout(other *entry, f Fingerprint) bool {
+func (t *Tracker) crashedAloneWithout(other *entry, f Fingerprint) bool {
 	e := t.entries[f]
 	for i := range other.records {
 		r := &other.records[i]
-		if r.Alone && !r.Cleared && e.find(r.event()) == nil {
+		if r.Alone && !r.Cleared && e.find(r.crashID()) == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// term is how long after its latest crash a verdict refuses the fingerprint.
-func (t *Tracker) term(v verdict, crashes int) time.Duration {
-	switch v {
-	case guiltySure:
+// quarantineDuration returns how long a request with assessment a is refused after its latest
+// crash; 0 if it is not quarantined.
+func (t *Tracker) quarantineDuration(a assessment, crashes int) time.Duration {
+	switch a {
+	case confirmedCrasher:
 		doublings := min(max(crashes-t.cfg.MaxCrashes, 0), maxDoublings)
 		return t.cfg.QuarantineFor << doublings
-	case guiltyWeak:
-		return t.cfg.QuarantineFor / weakShare
+	case probableCrasher:
+		return t.cfg.QuarantineFor / probableQuarantineDivisor
 	}
 	return 0
 }
 
-// keepFor is how long a record is kept after its crash. It outlasts suspicion:
-// a later crash still counts as a further one, and a late copy of the record is
-// known to be old.
-func (t *Tracker) keepFor() time.Duration {
+// retention returns how long a record is kept after its crash. It exceeds the time of suspicion,
+// so that a later crash still counts as a further one and a late copy of the record is
+// recognized as old.
+func (t *Tracker) retention() time.Duration {
 	return t.cfg.SuspectFor + t.cfg.QuarantineFor<<maxDoublings
 }
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -5,94 +5,95 @@
 	"time"
 )
 
-// current returns the entry of f, nil when there is none or it has expired.
-func (t *Tracker) current(now time.Time, f Fingerprint) *entry {
+// unexpiredEntry returns the entry of f, or nil if there is none. It removes an expired entry.
+func (t *Tracker) unexpiredEntry(now time.Time, f Fingerprint) *entry {
 	e := t.entries[f]
 	if e == nil {
 		return nil
 	}
-	if now.Sub(e.latest()) >= t.keepFor() {
-		t.drop(f, e)
+	if now.Sub(e.latest()) >= t.retention() {
+		t.remove(f, e)
 		return nil
 	}
 	return e
 }
 
-// verdict is what weigh says, as long as it is in force.
-func (t *Tracker) verdict(now time.Time, f Fingerprint) verdict {
-	e := t.current(now, f)
+// currentAssessment returns the assessment of f. It is unsuspected once SuspectFor has passed
+// after the end of the quarantine.
+func (t *Tracker) currentAssessment(now time.Time, f Fingerprint) assessment {
+	e := t.unexpiredEntry(now, f)
 	if e == nil {
-		return innocent
+		return unsuspected
 	}
-	v := t.weigh(f, e)
-	if now.Sub(e.latest()) >= t.term(v, e.crashes())+t.cfg.SuspectFor {
-		return innocent
+	a := t.assess(f, e)
+	if now.Sub(e.latest()) >= t.quarantineDuration(a, e.crashes())+t.cfg.SuspectFor {
+		return unsuspected
 	}
-	return v
+	return a
 }
 
-// add makes an entry for the fingerprint of s. When there are too many, the
-// least telling one makes room; nil when that would be the new one.
-func (t *Tracker) add(now time.Time, s *CrashRecord) *entry {
+// add creates an entry for the fingerprint of r. If MaxEntries is reached, the entry with the
+// weakest evidence is evicted; add returns nil if the new entry would be the weakest one.
+func (t *Tracker) add(now time.Time, r *CrashRecord) *entry {
 	if len(t.entries) >= t.cfg.MaxEntries {
-		t.sweep(now)
+		t.removeExpired(now)
 	}
 	e := &entry{records: make([]CrashRecord, 0, 1)}
 	if len(t.entries) >= t.cfg.MaxEntries {
-		candidate := &entry{records: []CrashRecord{*s}}
-		f, worst := t.leastTelling()
-		if lessTelling(s.Fingerprint, candidate, f, worst) {
+		candidate := &entry{records: []CrashRecord{*r}}
+		f, weakest := t.weakestEntry()
+		if hasWeakerEvidence(r.Fingerprint, candidate, f, weakest) {
 			return nil
 		}
-		t.drop(f, worst)
+		t.remove(f, weakest)
 	}
-	t.entries[s.Fingerprint] = e
+	t.entries[r.Fingerprint] = e
 	return e
 }
 
-func (t *Tracker) sweep(now time.Time) {
+func (t *Tracker) removeExpired(now time.Time) {
 	for f := range t.entries {
-		t.current(now, f)
+		t.unexpiredEntry(now, f)
 	}
 }
 
-// leastTelling returns the entry with the fewest crashes, the oldest of these. A
-// flood of suspects, from many upstreams that die at once, so does not push out
-// what is known to be guilty.
-func (t *Tracker) leastTelling() (Fingerprint, *entry) {
-	var victim Fingerprint
-	var worst *entry
+// weakestEntry returns the entry with the fewest crashes, and the oldest one of these. The order
+// keeps quarantined requests in the table when many upstreams crash at once and add many
+// suspects.
+func (t *Tracker) weakestEntry() (Fingerprint, *entry) {
+	var weakestFingerprint Fingerprint
+	var weakest *entry
 	for f, e := range t.entries {
-		if worst == nil || lessTelling(f, e, victim, worst) {
-			victim, worst = f, e
+		if weakest == nil || hasWeakerEvidence(f, e, weakestFingerprint, weakest) {
+			weakestFingerprint, weakest = f, e
 		}
 	}
-	return victim, worst
+	return weakestFingerprint, weakest
 }
 
-func lessTelling(f Fingerprint, e *entry, g Fingerprint, than *entry) bool {
-	if a, b := e.crashes(), than.crashes(); a != b {
+func hasWeakerEvidence(f Fingerprint, e *entry, g Fingerprint, other *entry) bool {
+	if a, b := e.crashes(), other.crashes(); a != b {
 		return a < b
 	}
-	if c := e.latest().Compare(than.latest()); c != 0 {
+	if c := e.latest().Compare(other.latest()); c != 0 {
 		return c < 0
 	}
 	return f < g
 }
 
-func (t *Tracker) drop(f Fingerprint, e *entry) {
+func (t *Tracker) remove(f Fingerprint, e *entry) {
 	for i := range e.records {
-		t.leave(f, e.records[i].event())
+		t.removeFromCrash(f, e.records[i].crashID())
 	}
 	delete(t.entries, f)
 }
 
-// leave takes f out of the members of a crash.
-func (t *Tracker) leave(f Fingerprint, ev event) {
-	rest := slices.DeleteFunc(t.members[ev], func(g Fingerprint) bool { return g == f })
+// removeFromCrash removes f from the fingerprints of a crash.
+func (t *Tracker) removeFromCrash(f Fingerprint, id crashID) {
+	rest := slices.DeleteFunc(t.fingerprintsByCrash[id], func(g Fingerprint) bool { return g == f })
 	if len(rest) == 0 {
-		delete(t.members, ev)
+		delete(t.fingerprintsByCrash, id)
 		return
 	}
-	t.members[ev] = rest
+	t.fingerprintsByCrash[id] = rest
 }
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -1,12 +1,12 @@
-// Package quarantine keeps a request that crashes upstreams from crashing more
-// than two of them. It is a pure state machine: the time comes in as an
-// argument, records to spread to peers come out as values.
+// Package quarantine limits the number of upstreams that one request can crash to two. It is a
+// pure state machine: the time is passed in as an argument, and the crash records to send to
+// peers are returned as values.
 //
-// When an upstream dies, all that it ran becomes suspected. A suspect is held
-// back until word of other crashes had time to arrive, and then runs as the
-// only suspect of its guard, at the one guard that Home names. One success
-// clears it; a crash more puts it into quarantine. A retry by an entry node
-// carries Marks, so the next guard knows at once.
+// When an upstream crashes, all requests that it was running become suspected. A suspected
+// request is delayed until the records of concurrent crashes have arrived. Then it runs as the
+// only suspect of its guard, at the guard that Home selects. A success clears the request;
+// another crash quarantines it. A retry by an entry node carries the CrashRecords of the
+// request, so that the next guard has them before it admits the request.
 package quarantine
 
 import (
@@ -19,79 +19,80 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// busyRetryAfter is when the suspect that runs here has probably ended.
+// busyRetryAfter is the retry delay while another suspect is running here; that run has probably
+// ended by then.
 const busyRetryAfter = 100 * time.Millisecond
 
-// Tracker keeps the records of one node. It is not safe for concurrent use.
+// Tracker holds the crash records known to one node. It is not safe for concurrent use.
 type Tracker struct {
 	cfg     Config
 	entries map[Fingerprint]*entry
-	// members lists the fingerprints that ran at a crash, as far as known.
-	members map[event][]Fingerprint
-	// running holds the runs here; the upstream's slots bound it.
-	running map[Fingerprint]runs
-	proven  proven
+	// fingerprintsByCrash holds the fingerprints known to have been running at a crash.
+	fingerprintsByCrash map[crashID][]Fingerprint
+	// running holds the requests that run here. The slots of the upstream limit its size.
+	running   map[Fingerprint]activeRuns
+	successes recentSuccesses
 }
 
-// runs are those of one fingerprint; asSuspect says that one of them started
-// under suspicion.
-type runs struct {
-	count     int
-	asSuspect bool
+// activeRuns describes the runs of one fingerprint. startedSuspected is set if one of them
+// started while the fingerprint was suspected.
+type activeRuns struct {
+	count            int
+	startedSuspected bool
 }
 
-// New returns an empty tracker. An invalid configuration is replaced by the
-// default one.
+// New returns an empty tracker. If cfg is invalid, it uses the default configuration.
 func New(cfg Config) *Tracker {
 	if cfg.Validate() != nil {
 		cfg = DefaultConfig()
 	}
 	return &Tracker{
-		cfg:     cfg,
-		entries: make(map[Fingerprint]*entry),
-		members: make(map[event][]Fingerprint),
-		running: make(map[Fingerprint]runs),
+		cfg:                 cfg,
+		entries:             make(map[Fingerprint]*entry),
+		fingerprintsByCrash: make(map[crashID][]Fingerprint),
+		running:             make(map[Fingerprint]activeRuns),
 	}
 }
 
-// Reconfigure puts cfg in force; an invalid one changes nothing.
+// Reconfigure applies cfg. An invalid configuration is ignored.
 func (t *Tracker) Reconfigure(cfg Config) {
 	if cfg.Validate() == nil {
 		t.cfg = cfg
 	}
 }
 
-// Crashed records that the local upstream died running these, and returns the
-// records to spread. All runs count as ended; a later Finished changes nothing.
+// Crashed records that the local upstream crashed while running the given requests, and returns
+// the crash records to gossip. All runs count as ended; a later Finished of one of them changes
+// no record.
 func (t *Tracker) Crashed(now time.Time, upstream string, incarnation uint64, running []Fingerprint) []CrashRecord {
-	fingerprints := t.proven.unproven(running)
+	fingerprints := t.successes.without(running)
 	slices.Sort(fingerprints)
 	fingerprints = slices.Compact(fingerprints)
-	only := t.onlySuspect(now, fingerprints)
+	onlySuspect := t.onlyStartedSuspect(now, fingerprints)
 	clear(t.running)
 
 	out := make([]CrashRecord, 0, len(fingerprints))
 	for _, f := range fingerprints {
-		s := CrashRecord{Fingerprint: f, Upstream: upstream, Incarnation: incarnation, At: now}
-		s.Alone = len(fingerprints) == 1 || (only != nil && *only == f)
-		t.Merge(now, s)
-		out = append(out, s)
+		r := CrashRecord{Fingerprint: f, Upstream: upstream, Incarnation: incarnation, At: now}
+		r.Alone = len(fingerprints) == 1 || (onlySuspect != nil && *onlySuspect == f)
+		t.Merge(now, r)
+		out = append(out, r)
 	}
 	return out
 }
 
-// onlySuspect returns the one that started as a suspect, nil when another one is
-// suspected too. What became suspected only while it ran is no such evidence:
-// beside it may run a request that no one here suspects yet, and the marks of an
-// innocent would turn against it.
-func (t *Tracker) onlySuspect(now time.Time, fingerprints []Fingerprint) *Fingerprint {
+// onlyStartedSuspect returns the fingerprint that was already suspected when it started, or nil
+// if another suspect was running as well. A request that became suspected only while it was
+// running does not qualify: an unsuspected request that crashes upstreams may be running beside
+// it, and the record would blame the wrong one.
+func (t *Tracker) onlyStartedSuspect(now time.Time, fingerprints []Fingerprint) *Fingerprint {
 	var found *Fingerprint
 	suspects := 0
 	for i, f := range fingerprints {
-		if t.verdict(now, f) != innocent {
+		if t.currentAssessment(now, f) != unsuspected {
 			suspects++
 		}
-		if t.running[f].asSuspect {
+		if t.running[f].startedSuspected {
 			found = &fingerprints[i]
 		}
 	}
@@ -101,121 +102,120 @@
 	return found
 }
 
-// CrashObserved records at an entry node that a call of f was lost when that
-// incarnation of the upstream went away. It returns the record to spread; the
-// guard's own record of the same crash merges with it.
+// CrashObserved records at an entry node that a call of f was lost when the given incarnation of
+// the upstream disappeared. It returns the crash record to gossip. The guard's own record of the
+// same crash is merged with it.
 func (t *Tracker) CrashObserved(now time.Time, f Fingerprint, upstream string, incarnation uint64) CrashRecord {
-	s := CrashRecord{Fingerprint: f, Upstream: upstream, Incarnation: incarnation, At: now}
-	t.Merge(now, s)
-	return s
+	r := CrashRecord{Fingerprint: f, Upstream: upstream, Incarnation: incarnation, At: now}
+	t.Merge(now, r)
+	return r
 }
 
-// CrashRecords returns the records against f, at most eight, that a retry has to
-// carry. The next guard merges them before Admit. Without them it would take
-// the request for a fresh one until word of the crash has come around, and
-// a third upstream could die.
+// CrashRecords returns the uncleared records of f, at most 8. A retry must carry them, and the
+// next guard merges them before Admit. Otherwise that guard would treat the request as
+// unsuspected until the gossiped record arrives, and a third upstream could crash.
 func (t *Tracker) CrashRecords(now time.Time, f Fingerprint) []CrashRecord {
-	e := t.current(now, f)
+	e := t.unexpiredEntry(now, f)
 	if e == nil {
 		return nil
 	}
-	var marks []CrashRecord
+	var records []CrashRecord
 	for _, r := range e.records {
 		if !r.Cleared {
-			marks = append(marks, r)
+			records = append(records, r)
 		}
 	}
-	return marks
+	return records
 }
 
-// Merge takes in a record of a peer and reports whether it was new, which is
-// then to be passed on.
-func (t *Tracker) Merge(now time.Time, s CrashRecord) bool {
-	if s.At.After(now) {
-		s.At = now
+// Merge adds a record received from a peer. It reports whether the record contained new
+// information; such a record must be gossiped further.
+func (t *Tracker) Merge(now time.Time, r CrashRecord) bool {
+	if r.At.After(now) {
+		r.At = now
 	}
-	e := t.current(now, s.Fingerprint)
+	e := t.unexpiredEntry(now, r.Fingerprint)
 	if e != nil {
-		if known := e.find(s.event()); known != nil {
-			return join(known, &s)
+		if known := e.find(r.crashID()); known != nil {
+			return mergeRecord(known, &r)
 		}
 	}
-	if now.Sub(s.At) >= t.keepFor() {
+	if now.Sub(r.At) >= t.retention() {
 		return false
 	}
 	if e == nil {
-		e = t.add(now, &s)
+		e = t.add(now, &r)
 	}
 	if e == nil {
 		return false
 	}
 	if len(e.records) >= maxRecords {
-		oldest := e.oldest()
-		if s.At.Before(e.records[oldest].At) {
+		oldest := e.evictionIndex()
+		if r.At.Before(e.records[oldest].At) {
 			return false
 		}
-		t.leave(s.Fingerprint, e.records[oldest].event())
+		t.removeFromCrash(r.Fingerprint, e.records[oldest].crashID())
 		e.records = slices.Delete(e.records, oldest, oldest+1)
 	}
-	e.records = append(e.records, s)
-	t.members[s.event()] = append(t.members[s.event()], s.Fingerprint)
+	e.records = append(e.records, r)
+	t.fingerprintsByCrash[r.crashID()] = append(t.fingerprintsByCrash[r.crashID()], r.Fingerprint)
 	return true
 }
 
-// join merges two records of the same crash: flags stay, the earlier time wins.
-func join(known, s *CrashRecord) bool {
+// mergeRecord merges r into known, a record of the same crash: flags are kept, the earlier time
+// wins. It reports whether known has changed.
+func mergeRecord(known, r *CrashRecord) bool {
 	before := *known
-	known.Cleared = known.Cleared || s.Cleared
-	known.Alone = known.Alone || s.Alone
-	if s.At.Before(known.At) {
-		known.At = s.At
+	known.Cleared = known.Cleared || r.Cleared
+	known.Alone = known.Alone || r.Alone
+	if r.At.Before(known.At) {
+		known.At = r.At
 	}
 	return *known != before
 }
 
-// Admit returns nil when f may run here now; Started has to follow before any
-// other call of the tracker. The refusal's code is result.Quarantined, its
-// RetryAfter the time until f may run.
+// Admit returns nil if f may run here now; the caller must then call Started before any other
+// method. Otherwise it returns a refusal with code result.Quarantined, and RetryAfter is the
+// time until f may run.
 func (t *Tracker) Admit(now time.Time, f Fingerprint) *result.Refusal {
-	v := t.verdict(now, f)
-	if v == innocent {
+	a := t.currentAssessment(now, f)
+	if a == unsuspected {
 		return nil
 	}
 	e := t.entries[f]
-	since := now.Sub(e.latest())
-	if left := t.term(v, e.crashes()) - since; left > 0 {
-		return result.Refuse(result.Quarantined, "ran at %d crashes of upstreams, %d allowed",
-			e.crashes(), t.cfg.MaxCrashes).After(left)
+	age := now.Sub(e.latest())
+	if remaining := t.quarantineDuration(a, e.crashes()) - age; remaining > 0 {
+		return result.Refuse(result.Quarantined, "request was running at %d upstream crashes, limit is %d",
+			e.crashes(), t.cfg.MaxCrashes).After(remaining)
 	}
-	if left := t.cfg.SettleFor - since; left > 0 {
-		return result.Refuse(result.Quarantined, "ran at %d crashes of upstreams, held back for %v after the last",
-			e.crashes(), t.cfg.SettleFor).After(left)
+	if remaining := t.cfg.SettleFor - age; remaining > 0 {
+		return result.Refuse(result.Quarantined, "request was running at %d upstream crashes, delayed until %v after the latest one",
+			e.crashes(), t.cfg.SettleFor).After(remaining)
 	}
 	for g := range t.running {
-		if g == f || t.verdict(now, g) != innocent {
-			return result.Refuse(result.Quarantined, "ran at %d crashes of upstreams and another suspect runs here",
+		if g == f || t.currentAssessment(now, g) != unsuspected {
+			return result.Refuse(result.Quarantined, "request was running at %d upstream crashes, and another suspected request is running here",
 				e.crashes()).After(busyRetryAfter)
 		}
 	}
 	return nil
 }
 
-// Started tells that f runs here.
+// Started records that a run of f has started here.
 func (t *Tracker) Started(now time.Time, f Fingerprint) {
 	r := t.running[f]
 	r.count++
-	r.asSuspect = r.asSuspect || t.verdict(now, f) != innocent
+	r.startedSuspected = r.startedSuspected || t.currentAssessment(now, f) != unsuspected
 	t.running[f] = r
 }
 
-// Finished tells that a run of f ended; ok means a whole answer. A success
-// clears a suspect, and the cleared records are returned to be spread. Only a
-// fingerprint found guilty for sure is not cleared by a run that was still
-// going elsewhere.
+// Finished records that a run of f has ended; ok means that it returned a complete response. A
+// success clears a suspected request, and Finished returns the cleared records to gossip. It
+// does not clear a confirmed crasher in quarantine: that run started before the quarantine.
 func (t *Tracker) Finished(now time.Time, f Fingerprint, ok bool) []CrashRecord {
 	r := t.running[f]
 	if ok {
-		t.proven.add(f, t.cfg.Proven)
+		t.successes.add(f, t.cfg.Proven)
 	}
 	if r.count == 0 {
 		return nil
@@ -225,12 +225,12 @@
 	if r.count == 0 {
 		delete(t.running, f)
 	}
-	e := t.current(now, f)
+	e := t.unexpiredEntry(now, f)
 	if !ok || e == nil {
 		return nil
 	}
-	v := t.weigh(f, e)
-	if v == guiltySure && now.Sub(e.latest()) < t.term(v, e.crashes()) {
+	a := t.assess(f, e)
+	if a == confirmedCrasher && now.Sub(e.latest()) < t.quarantineDuration(a, e.crashes()) {
 		return nil
 	}
 	var out []CrashRecord
@@ -243,10 +243,10 @@
 	return out
 }
 
-// Snapshot returns all records, cleared ones included, for a peer that starts.
-// They are ordered by fingerprint, time and upstream.
+// Snapshot returns all records, including cleared ones, for a peer that starts. They are ordered
+// by fingerprint, time, upstream and incarnation.
 func (t *Tracker) Snapshot(now time.Time) []CrashRecord {
-	t.sweep(now)
+	t.removeExpired(now)
 	var out []CrashRecord
 	for _, e := range t.entries {
 		out = append(out, e.records...)
@@ -264,33 +264,32 @@
 	)
 }
 
-// Proven reports whether f succeeded here lately, so that its crash is not held
-// against it.
-func (t *Tracker) Proven(f Fingerprint) bool { return t.proven.has(f) }
+// Proven reports whether f recently succeeded here; a crash then raises no suspicion against it.
+func (t *Tracker) Proven(f Fingerprint) bool { return t.successes.has(f) }
 
-// Suspected reports whether f is under suspicion, and so belongs to Home.
+// Suspected reports whether f is suspected. A suspected request may run only at the guard that
+// Home selects.
 func (t *Tracker) Suspected(now time.Time, f Fingerprint) bool {
-	return t.verdict(now, f) != innocent
+	return t.currentAssessment(now, f) != unsuspected
 }
 
-// Home returns the one of the candidates at which the suspect f may run; empty
-// without candidates. Every node that knows the same candidates names the same
-// one. It guards against two guards that each run the suspect as their only
-// one at the same time: both upstreams would die, and with the first crash it
-// would be three.
+// Home returns the candidate at which the suspected request f may run, or "" if there are no
+// candidates. It uses rendezvous hashing, so all nodes with the same candidates select the same
+// one. Otherwise two guards could each run f as their only suspect at the same time. Both
+// upstreams would crash, three in total with the first crash.
 func Home(f Fingerprint, candidates []string) string {
-	best := ""
-	var top uint64
+	home := ""
+	var maxScore uint64
 	for _, c := range candidates {
 		score := mix(xxhash.Sum64String(c) ^ uint64(f))
-		if best == "" || score > top || (score == top && c < best) {
-			best, top = c, score
+		if home == "" || score > maxScore || (score == maxScore && c < home) {
+			home, maxScore = c, score
 		}
 	}
-	return best
+	return home
 }
 
-// mix is the finalizer of SplitMix64: each bit of the input moves all others.
+// mix is the finalizer of SplitMix64. Each bit of the input affects all bits of the output.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -14,13 +14,13 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// A fixed seed gives the same verdict each run; -rapid.seed on the command line
-// overrides it.
+// A fixed seed makes the property tests deterministic; -rapid.seed on the command line overrides
+// it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-const poison Fingerprint = 0xdead
+const crasher Fingerprint = 0xdead
 
-func spread(now time.Time, records []CrashRecord, to ...*Tracker) {
+func mergeAll(now time.Time, records []CrashRecord, to ...*Tracker) {
 	for _, t := range to {
 		for _, r := range records {
 			t.Merge(now, r)
@@ -28,38 +28,40 @@
 	}
 }
 
-// Guards against a crashing request that goes on killing upstreams after its second crash.
-func TestSecondCrashAsOnlySuspectIsSureGuilt(t *testing.T) {
+// Guards against a request that crashes further upstreams after its second crash. The second
+// crash, as the only suspect, confirms the crasher at all nodes.
+func TestSecondCrashAsOnlySuspectConfirms(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	a, b := New(DefaultConfig()), New(DefaultConfig())
-	must.Nil(t, a.Admit(now, poison))
-	spread(now, a.Crashed(now, "up-a", 1, []Fingerprint{poison, 1, 2}), b)
+	must.Nil(t, a.Admit(now, crasher))
+	mergeAll(now, a.Crashed(now, "up-a", 1, []Fingerprint{crasher, 1, 2}), b)
 
-	held := b.Admit(now, poison)
-	must.Eq(t, result.Quarantined, held.Code)
-	must.Eq(t, 2500*time.Millisecond, held.RetryAfter)
-	now = now.Add(held.RetryAfter)
-	must.Nil(t, b.Admit(now, poison))
-	b.Started(now, poison)
-	spread(now, b.Crashed(now, "up-b", 1, []Fingerprint{poison, 7}), a)
+	refusal := b.Admit(now, crasher)
+	must.Eq(t, result.Quarantined, refusal.Code)
+	must.Eq(t, 2500*time.Millisecond, refusal.RetryAfter)
+	now = now.Add(refusal.RetryAfter)
+	must.Nil(t, b.Admit(now, crasher))
+	b.Started(now, crasher)
+	mergeAll(now, b.Crashed(now, "up-b", 1, []Fingerprint{crasher, 7}), a)
 
 	for _, tr := range []*Tracker{a, b} {
 		now := now.Add(9 * time.Minute)
-		refusal := tr.Admit(now, poison)
+		refusal := tr.Admit(now, crasher)
 		must.Eq(t, result.Quarantined, refusal.Code)
 		must.Eq(t, time.Minute, refusal.RetryAfter)
 	}
 }
 
-// Guards against innocent requests that stay suspected after a crash.
-func TestInnocentsRunAloneAndAreCleared(t *testing.T) {
+// Guards against requests that stay suspected after a crash that another request caused.
+// Suspects run one at a time, and a success clears each of them.
+func TestSuspectsRunOneAtATimeAndAreCleared(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	a, b := New(DefaultConfig()), New(DefaultConfig())
 	var running []Fingerprint
 	for f := range Fingerprint(20) {
 		running = append(running, f)
 	}
-	spread(now, a.Crashed(now, "up-a", 1, running), b)
+	mergeAll(now, a.Crashed(now, "up-a", 1, running), b)
 	now = now.Add(3 * time.Second)
 	for f := range Fingerprint(19) {
 		must.Nil(t, b.Admit(now, f))
@@ -67,66 +69,71 @@
 		must.Eq(t, busyRetryAfter, b.Admit(now, 19).RetryAfter)
 		cleared := b.Finished(now, f, true)
 		must.Len(t, 1, cleared)
-		spread(now, cleared, a)
+		mergeAll(now, cleared, a)
 		must.False(t, a.Suspected(now, f))
 		must.False(t, b.Suspected(now, f))
 	}
 }
 
-// Guards against an unlucky request refused for the time of a guilty one.
-func TestBadLuckIsShortAndExplainedByTheCulprit(t *testing.T) {
+// Guards against a bystander that is quarantined as long as the crasher. It was running at two
+// crashes by coincidence.
+func TestProbableCrasherHasShortQuarantine(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	const unlucky Fingerprint = 5
+	const bystander Fingerprint = 5
 	tr := New(DefaultConfig())
-	tr.Crashed(now, "up-a", 1, []Fingerprint{unlucky, poison, 6})
-	tr.Crashed(now, "up-b", 1, []Fingerprint{unlucky, 6, 9})
-	refusal := tr.Admit(now, unlucky)
+	tr.Crashed(now, "up-a", 1, []Fingerprint{bystander, crasher, 6})
+	tr.Crashed(now, "up-b", 1, []Fingerprint{bystander, 6, 9})
+	refusal := tr.Admit(now, bystander)
 	must.Eq(t, time.Minute, refusal.RetryAfter)
 
-	tr.Started(now, poison)
-	tr.Crashed(now, "up-c", 1, []Fingerprint{poison, 10})
-	must.Eq(t, 10*time.Minute, tr.Admit(now, poison).RetryAfter)
-	must.Eq(t, 2500*time.Millisecond, tr.Admit(now, unlucky).RetryAfter)
+	tr.Started(now, crasher)
+	tr.Crashed(now, "up-c", 1, []Fingerprint{crasher, 10})
+	must.Eq(t, 10*time.Minute, tr.Admit(now, crasher).RetryAfter)
+	must.Eq(t, 2500*time.Millisecond, tr.Admit(now, bystander).RetryAfter)
 }
 
-// Guards against a third upstream lost to a request whose two copies crashed two.
-func TestTwoCopiesAtOnceAreSureGuilt(t *testing.T) {
+// Guards against a third crash by a request of which two concurrent copies have crashed two
+// upstreams.
+func TestTwoConcurrentCopiesConfirm(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	a, b := New(DefaultConfig()), New(DefaultConfig())
-	fromA := a.Crashed(now, "up-a", 1, []Fingerprint{poison, 1, 2})
-	fromB := b.Crashed(now, "up-b", 1, []Fingerprint{poison, 3, 4})
-	spread(now, fromA, b)
-	spread(now, fromB, a)
-	must.Eq(t, 10*time.Minute, a.Admit(now, poison).RetryAfter)
-	must.Eq(t, 10*time.Minute, b.Admit(now, poison).RetryAfter)
+	fromA := a.Crashed(now, "up-a", 1, []Fingerprint{crasher, 1, 2})
+	fromB := b.Crashed(now, "up-b", 1, []Fingerprint{crasher, 3, 4})
+	mergeAll(now, fromA, b)
+	mergeAll(now, fromB, a)
+	must.Eq(t, 10*time.Minute, a.Admit(now, crasher).RetryAfter)
+	must.Eq(t, 10*time.Minute, b.Admit(now, crasher).RetryAfter)
 	must.Eq(t, 2500*time.Millisecond, a.Admit(now, 3).RetryAfter)
 }
 
-// Guards against a run beside others counted as a run alone.
-func TestSuspicionDuringRunIsNotAlone(t *testing.T) {
+// Guards against a run beside an unsuspected crasher that is recorded as a run alone. The
+// request became suspected only after its run had started.
+func TestRunSuspectedWhileRunningIsNotAlone(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	tr := New(DefaultConfig())
 	tr.Started(now, 5)
 	tr.Merge(now, CrashRecord{Fingerprint: 5, Upstream: "up-x", Incarnation: 1, At: now})
-	must.False(t, tr.Crashed(now, "up-a", 1, []Fingerprint{5, poison})[0].Alone)
+	must.False(t, tr.Crashed(now, "up-a", 1, []Fingerprint{5, crasher})[0].Alone)
 	tr.Started(now, 5)
-	must.False(t, tr.Crashed(now, "up-a", 2, []Fingerprint{5, poison})[0].Alone)
+	must.False(t, tr.Crashed(now, "up-a", 2, []Fingerprint{5, crasher})[0].Alone)
 }
 
-// The guard's whole VM dies with the upstream, so only the entry node knows. Its
-// retry carries the mark, and the next guard holds the request back at once.
-func TestRetryCarriesMarks(t *testing.T) {
+// Guards against a third crash when the VM of the guard fails together with the upstream, so
+// that only the entry node has a crash record. Its retry carries the record, and the next guard
+// delays the request at once.
+func TestRetryCarriesCrashRecords(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	entry, guard := New(DefaultConfig()), New(DefaultConfig())
-	entry.CrashObserved(now, poison, "up-a", 4)
-	must.Nil(t, guard.Admit(now, poison))
-	spread(now, entry.CrashRecords(now, poison), guard)
-	must.NotNil(t, guard.Admit(now, poison))
-	// The guard's own record of this crash is no second crash.
-	must.False(t, guard.Merge(now, CrashRecord{Fingerprint: poison, Upstream: "up-a", Incarnation: 4, At: now}))
-	must.Nil(t, guard.Admit(now.Add(3*time.Second), poison))
+	entry.CrashObserved(now, crasher, "up-a", 4)
+	must.Nil(t, guard.Admit(now, crasher))
+	mergeAll(now, entry.CrashRecords(now, crasher), guard)
+	must.NotNil(t, guard.Admit(now, crasher))
+	// The guard's own record of this crash is not a second crash.
+	must.False(t, guard.Merge(now, CrashRecord{Fingerprint: crasher, Upstream: "up-a", Incarnation: 4, At: now}))
+	must.Nil(t, guard.Admit(now.Add(3*time.Second), crasher))
 }
 
+// Guards against a late copy of a record that makes a cleared request suspected again.
 func TestClearedRecordOutlastsLateCopies(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	tr := New(DefaultConfig())
@@ -138,23 +145,25 @@
 	must.False(t, tr.Suspected(now, 3))
 }
 
-func TestFloodKeepsTheGuilty(t *testing.T) {
+// Guards against a quarantined request that is admitted again because a flood of new suspects
+// evicted its entry.
+func TestFullTableKeepsQuarantinedEntry(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	cfg := DefaultConfig()
 	cfg.MaxEntries = 10
 	tr := New(cfg)
-	tr.Crashed(now, "up-a", 1, []Fingerprint{poison})
-	tr.Crashed(now, "up-b", 1, []Fingerprint{poison})
+	tr.Crashed(now, "up-a", 1, []Fingerprint{crasher})
+	tr.Crashed(now, "up-b", 1, []Fingerprint{crasher})
 	for f := range Fingerprint(100) {
 		now = now.Add(time.Second)
 		tr.Merge(now, CrashRecord{Fingerprint: f, Upstream: "up-c", Incarnation: uint64(f), At: now})
 	}
 	must.Len(t, 11, tr.Snapshot(now)) // nine with one record, one with two
-	must.NotNil(t, tr.Admit(now, poison))
+	must.NotNil(t, tr.Admit(now, crasher))
 }
 
-// Merging is idempotent and independent of order: any two nodes that have seen
-// the same records hold the same ones.
+// Guards against nodes that hold different records after they have merged the same ones, in
+// another order or repeatedly.
 func TestMergeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
@@ -170,51 +179,51 @@
 		})
 		records := rapid.SliceOfN(record, 1, 20).Draw(t, "records")
 		a, b := New(DefaultConfig()), New(DefaultConfig())
-		spread(now, records, a)
-		spread(now, rapid.Permutation(records).Draw(t, "order"), b)
+		mergeAll(now, records, a)
+		mergeAll(now, rapid.Permutation(records).Draw(t, "order"), b)
 		for _, s := range records {
 			if a.Merge(now, s) {
-				t.Fatalf("known record %+v is new", s)
+				t.Fatalf("merged record %+v is reported as new", s)
 			}
 		}
 		if ra, rb := a.Snapshot(now), b.Snapshot(now); !slices.Equal(ra, rb) {
-			t.Fatalf("%v and %v", ra, rb)
+			t.Fatalf("trackers differ after merging the same records: %v and %v", ra, rb)
 		}
 	})
 }
 
-// cluster is a service of several guards in steps of 100 ms. The poison kills
-// the upstream that runs it within 400 ms; its caller sends it again and again
-// to any entry. A record takes a second to come around.
+// cluster simulates a service with several guards in steps of 100 ms. The crasher crashes the
+// upstream that runs it within 400 ms, and its caller resends it to any entry node. A record
+// reaches the other guards after 1 s.
 type cluster struct {
-	now     time.Time
-	names   []string
-	guards  []*Tracker
-	runs    []map[Fingerprint]time.Time // end of each run, by guard
-	lives   []uint64
-	onWay   []delayed
-	crashes int
-	// ignorant counts copies of the poison that started unsuspected; marks are
-	// the records that the entry nodes of the caller have by then.
-	ignorant int
-	marks    []CrashRecord
+	now          time.Time
+	names        []string
+	guards       []*Tracker
+	runs         []map[Fingerprint]time.Time // end time of each run, by guard
+	incarnations []uint64
+	inTransit    []delivery
+	crashes      int
+	// startedUnsuspected counts copies of the crasher that started unsuspected. observed holds the
+	// crash records that the caller's entry nodes have received.
+	startedUnsuspected int
+	observed           []CrashRecord
 }
 
-type delayed struct {
+type delivery struct {
 	at      time.Time
 	records []CrashRecord
 }
 
-func (c *cluster) tell(records []CrashRecord) {
-	c.onWay = append(c.onWay, delayed{c.now.Add(time.Second), records})
+func (c *cluster) gossip(records []CrashRecord) {
+	c.inTransit = append(c.inTransit, delivery{c.now.Add(time.Second), records})
 }
 
-func (c *cluster) send(f Fingerprint, guard int, takes time.Duration) {
+func (c *cluster) send(f Fingerprint, guard int, duration time.Duration) {
 	tr := c.guards[guard]
 	if tr.Suspected(c.now, f) {
 		for i, name := range c.names {
 			if name == Home(f, c.names) {
-				spread(c.now, tr.CrashRecords(c.now, f), c.guards[i])
+				mergeAll(c.now, tr.CrashRecords(c.now, f), c.guards[i])
 				guard, tr = i, c.guards[i]
 			}
 		}
@@ -223,14 +232,14 @@
 		return
 	}
 	tr.Started(c.now, f)
-	c.runs[guard][f] = c.now.Add(takes)
+	c.runs[guard][f] = c.now.Add(duration)
 }
 
 func (c *cluster) step() {
 	c.now = c.now.Add(100 * time.Millisecond)
-	for len(c.onWay) > 0 && !c.onWay[0].at.After(c.now) {
-		spread(c.now, c.onWay[0].records, c.guards...)
-		c.onWay = c.onWay[1:]
+	for len(c.inTransit) > 0 && !c.inTransit[0].at.After(c.now) {
+		mergeAll(c.now, c.inTransit[0].records, c.guards...)
+		c.inTransit = c.inTransit[1:]
 	}
 	for i := range c.guards {
 		c.endRuns(i)
@@ -238,25 +247,25 @@
 }
 
 func (c *cluster) endRuns(guard int) {
-	if end, runs := c.runs[guard][poison]; runs && !c.now.Before(end) {
+	if end, runs := c.runs[guard][crasher]; runs && !c.now.Before(end) {
 		c.crashes++
-		c.lives[guard]++
+		c.incarnations[guard]++
 		running := slices.Collect(maps.Keys(c.runs[guard]))
-		records := c.guards[guard].Crashed(c.now, c.names[guard], c.lives[guard], running)
-		c.marks = append(c.marks, c.guards[guard].CrashRecords(c.now, poison)...)
-		c.tell(records)
+		records := c.guards[guard].Crashed(c.now, c.names[guard], c.incarnations[guard], running)
+		c.observed = append(c.observed, c.guards[guard].CrashRecords(c.now, crasher)...)
+		c.gossip(records)
 		clear(c.runs[guard])
 		return
 	}
 	for f, end := range c.runs[guard] {
 		if !c.now.Before(end) {
 			delete(c.runs[guard], f)
-			c.tell(c.guards[guard].Finished(c.now, f, true))
+			c.gossip(c.guards[guard].Finished(c.now, f, true))
 		}
 	}
 }
 
-// Guards against more than two upstreams lost to one crashing request.
+// Guards against more than two upstreams crashed by one request.
 func TestTwoCrashesAtMost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &cluster{now: time.Unix(1_000_000, 0)}
@@ -264,49 +273,51 @@
 			c.names = append(c.names, fmt.Sprint("up-", i))
 			c.guards = append(c.guards, New(DefaultConfig()))
 			c.runs = append(c.runs, map[Fingerprint]time.Time{})
-			c.lives = append(c.lives, 1)
+			c.incarnations = append(c.incarnations, 1)
 		}
 		someGuard := rapid.IntRange(0, len(c.guards)-1)
-		takes := func() time.Duration {
+		drawDuration := func() time.Duration {
 			return time.Duration(rapid.IntRange(1, 4).Draw(t, "takes")) * 100 * time.Millisecond
 		}
-		pause := 0
+		stepsUntilResend := 0
 		for range 120 {
-			if pause--; pause <= 0 {
-				c.resendPoison(someGuard.Draw(t, "guard"), takes())
-				pause = rapid.IntRange(1, 9).Draw(t, "pause")
+			if stepsUntilResend--; stepsUntilResend <= 0 {
+				c.resendCrasher(someGuard.Draw(t, "guard"), drawDuration())
+				stepsUntilResend = rapid.IntRange(1, 9).Draw(t, "pause")
 			}
-			c.send(Fingerprint(rapid.IntRange(1, 8).Draw(t, "innocent")), someGuard.Draw(t, "guard"), takes())
+			c.send(Fingerprint(rapid.IntRange(1, 8).Draw(t, "innocent")), someGuard.Draw(t, "guard"), drawDuration())
 			c.step()
 		}
 		if c.crashes > 2 {
-			t.Fatalf("%d upstreams died", c.crashes)
+			t.Fatalf("%d upstreams crashed", c.crashes)
 		}
 		c.now = c.now.Add(time.Minute)
 		for f := range Fingerprint(8) {
 			for i := range c.guards {
 				clear(c.guards[i].running)
 				if r := c.guards[i].Admit(c.now, f+1); r != nil {
-					t.Fatalf("innocent %d refused a minute later: %v", f+1, r)
+					t.Fatalf("unrelated request %d is still refused a minute later: %v", f+1, r)
 				}
 			}
 		}
 	})
 }
 
-func (c *cluster) resendPoison(guard int, takes time.Duration) {
-	if c.ignorant >= 2 {
-		spread(c.now, c.marks, c.guards[guard])
-		if len(c.marks) == 0 {
-			return // both copies still run
+func (c *cluster) resendCrasher(guard int, duration time.Duration) {
+	if c.startedUnsuspected >= 2 {
+		mergeAll(c.now, c.observed, c.guards[guard])
+		if len(c.observed) == 0 {
+			return // both copies are still running
 		}
 	}
-	if !c.guards[guard].Suspected(c.now, poison) {
-		c.ignorant++
+	if !c.guards[guard].Suspected(c.now, crasher) {
+		c.startedUnsuspected++
 	}
-	c.send(poison, guard, takes)
+	c.send(crasher, guard, duration)
 }
 
+// Guards against nodes that select different guards for one suspect, and against suspects that
+// change their guard when another one disappears.
 func TestHomeIsStable(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	moved := 0
