--- a/internal/admission/advance.go
+++ b/internal/admission/advance.go
@@ -6,17 +6,18 @@
 	"github.com/galenagrade/galenagrade/internal/callctx"
 )
 
-// Counters are running totals by level.
+// Counters holds running totals by level.
 type Counters struct {
 	Offered, Answered, Refused [callctx.Levels]uint64
-	// Worth is the sum of the worth of all answered calls.
+	// Worth is the total worth of all answered calls.
 	Worth float64
 }
 
 // Counters returns the totals since New.
 func (c *Controller) Counters() Counters { return c.counters }
 
-// advance brings the state up to now: adjustments, ended waits, free slots.
+// advance updates the state to now: it ends an adjustment interval, refuses calls whose wait has
+// expired and starts waiting calls on free slots.
 func (c *Controller) advance(now time.Time) []Decision {
 	c.integrate(now)
 	if now.Sub(c.intervalStarted) >= c.cfg.SojournInterval {
@@ -27,32 +28,32 @@
 		out = append(out, c.expire(w))
 	}
 	out = c.dispatch(now, out)
-	// Taken here and not at each removal: a call that takes the place of a
-	// displaced one leaves the queue as long as it was.
+	// The minimum is taken here, not at each removal: a call that replaces a displaced one leaves
+	// the length of the queue unchanged.
 	c.leastQueued = min(c.leastQueued, c.queue.len())
 	return out
 }
 
-// adjust ends an interval.
+// adjust ends an adjustment interval: it updates the estimates, the limit and the threshold.
 func (c *Controller) adjust(now time.Time) {
 	elapsed := now.Sub(c.intervalStarted)
 	c.intervalStarted = now
 	c.estimate.refresh(now)
 	c.startRate = c.startRate*decay + float64(c.starts)*(1-decay)
 	c.starts = 0
-	c.overloaded = c.standingDelay(elapsed) > max(c.cfg.SojournTarget, c.estimate.median/targetShare)
-	c.queue.newestFirst = c.overloaded
-	whole := float64(elapsed) * float64(c.limiter.limit)
-	use := min(1, c.busy/whole)
-	// Slots that calls from above the threshold have are room for those below:
-	// were they counted as used, the threshold would stay where it is, and
-	// unimportant calls would take the slots of shed important ones.
-	useBelow := min(1, (c.busy-c.busyAbove)/whole)
+	c.overloaded = c.standingDelay(elapsed) > max(c.cfg.SojournTarget, c.estimate.median/minDelayDivisor)
+	c.queue.lifo = c.overloaded
+	capacity := float64(elapsed) * float64(c.limiter.limit)
+	use := min(1, c.busy/capacity)
+	// Slots used by calls above the threshold are available to calls below it. If they counted as
+	// used, the threshold would not rise, and calls of low importance would keep the slots of more
+	// important calls that are shed.
+	useBelow := min(1, (c.busy-c.busyAbove)/capacity)
 	c.busy = 0
 	c.busyAbove = 0
 	c.limiter.adjust(now, use)
-	for range min(elapsed/c.cfg.SojournInterval, maxQuietIntervals) {
-		c.shedder.relax(useBelow, use)
+	for range min(elapsed/c.cfg.SojournInterval, maxIdleIntervals) {
+		c.shedder.raiseWhenIdle(useBelow, use)
 	}
 	c.endThresholdPeriod(now)
 	c.leastQueued = c.queue.len()
@@ -60,19 +61,18 @@
 }
 
 const (
-	// maxThresholdPeriod bounds the time between two steps down.
+	// maxThresholdPeriod is the maximum time between two steps down.
 	maxThresholdPeriod = 300 * time.Millisecond
-	// maxQuietIntervals opens the threshold from its lowest: without calls
-	// nobody ends the intervals one by one.
-	maxQuietIntervals = 8
-	// saturatedUse is the part of the slots in use from which on throughput is
-	// bounded by them.
+	// maxIdleIntervals limits the intervals that one adjust accounts for. Without calls, advance is
+	// not called, so the intervals do not end one by one. 8 of them suffice to open the threshold
+	// from its minimum.
+	maxIdleIntervals = 8
+	// saturatedUse is the share of slots in use from which the slots limit throughput.
 	saturatedUse = 0.9
 )
 
-// endThresholdPeriod lowers the threshold when it has to be, once per period.
-// The period follows the service time: what a threshold changes shows only when
-// calls end.
+// endThresholdPeriod lowers the threshold if necessary, once per period. The period follows the
+// service time, because a change of the threshold takes effect only as running calls end.
 func (c *Controller) endThresholdPeriod(now time.Time) {
 	period := min(c.estimate.median/2, maxThresholdPeriod)
 	if now.Sub(c.periodStarted) < max(period, c.cfg.SojournInterval) {
@@ -82,8 +82,8 @@
 	c.shedder.endPeriod(c.overloaded)
 }
 
-// integrate sums up the slots in use over time; it comes before every change of
-// inFlight.
+// integrate adds the slots in use since the last call to the integral over time. It must be
+// called before every change of inFlight.
 func (c *Controller) integrate(now time.Time) {
 	if now.After(c.integrated) {
 		span := float64(now.Sub(c.integrated))
@@ -93,11 +93,10 @@
 	}
 }
 
-// standingDelay is the delay that the queue kept through the whole interval: by
-// Little's law its least length over the rate of starts. For a queue in order
-// of arrival this is the least sojourn that CoDel looks at; but the least
-// sojourn says nothing where important or new calls go first, as they start at
-// once while the others starve.
+// standingDelay returns the delay that the queue had throughout the interval: by Little's law,
+// its minimum length divided by the rate of starts. For a FIFO queue this equals the minimum
+// sojourn time that CoDel uses. The minimum sojourn time itself is not usable here: important
+// calls, and under overload new calls, start at once while others starve.
 func (c *Controller) standingDelay(elapsed time.Duration) time.Duration {
 	if c.leastQueued == 0 {
 		return 0
@@ -105,15 +104,15 @@
 	return time.Duration(float64(c.leastQueued) / max(c.startRate, 0.5) * float64(elapsed))
 }
 
-// dispatch starts waiting calls while slots are free, and refuses those that
-// have become hopeless.
+// dispatch starts waiting calls while slots are free, and refuses those that can no longer meet
+// their deadline.
 func (c *Controller) dispatch(now time.Time, out []Decision) []Decision {
 	for c.inFlight < c.limiter.limit {
 		w := c.queue.next()
 		if w == nil {
 			break
 		}
-		if c.hopeless(now, w) {
+		if c.missesDeadline(now, w) {
 			w.byDeadline = true
 			out = append(out, c.expire(w))
 			continue
@@ -124,9 +123,9 @@
 	return out
 }
 
-// hopeless reports whether a waiting call could not end by its deadline even if
-// it started now.
-func (c *Controller) hopeless(now time.Time, w *call) bool {
+// missesDeadline reports whether a waiting call could not end by its deadline even if it started
+// now.
+func (c *Controller) missesDeadline(now time.Time, w *call) bool {
 	r := &w.request
 	if r.Deadline.IsZero() {
 		return false
@@ -138,8 +137,8 @@
 	return remaining <= 0 || remaining < c.serviceTime(r.Level)
 }
 
-// doomed reports whether a new call would most likely end after its deadline.
-func (c *Controller) doomed(now time.Time, r *Request, slotFree bool) bool {
+// wouldMissDeadline reports whether a new call would probably end after its deadline.
+func (c *Controller) wouldMissDeadline(now time.Time, r *Request, slotFree bool) bool {
 	if r.Deadline.IsZero() {
 		return false
 	}
@@ -151,31 +150,33 @@
 	return remaining <= 0 || remaining < need
 }
 
-// mayProbe lets a doomed call through now and then: an estimate that refuses
-// everything would otherwise never be measured again.
-func (c *Controller) mayProbe(now time.Time, r *Request) bool {
+// probeAllowed reports whether a call may run although it would probably miss its deadline.
+// Without such probes, an estimate that refuses all calls would get no new samples.
+func (c *Controller) probeAllowed(now time.Time, r *Request) bool {
 	return now.Before(r.Deadline) && !now.Before(c.nextProbe)
 }
 
-func (c *Controller) noteProbe(now time.Time, probe bool) {
+func (c *Controller) recordProbe(now time.Time, probe bool) {
 	if probe {
-		c.nextProbe = now.Add(probePause)
+		c.nextProbe = now.Add(minProbeInterval)
 	}
 }
 
-// serviceTime is the trusted low quantile of a level; 0 while unknown.
+// serviceTime returns the low quantile of the service times of a level, times its estimate
+// factor; 0 if it is unknown.
 func (c *Controller) serviceTime(level callctx.Level) time.Duration {
-	return time.Duration(c.trust[level] * float64(c.estimate.low[level]))
+	return time.Duration(c.estimateFactor[level] * float64(c.estimate.low[level]))
 }
 
-// expectedWait is the time until a new waiting call would start.
+// expectedWait returns the expected waiting time of a new call.
 func (c *Controller) expectedWait(level callctx.Level, depth int) time.Duration {
-	ahead := c.queue.ahead(level, depth)
+	ahead := c.queue.countAhead(level, depth)
 	return c.estimate.median * time.Duration(ahead+1) / time.Duration(c.limiter.limit)
 }
 
-// admit makes the record of a call that is to run or wait.
-func (c *Controller) admit(r Request, probe bool) *call {
+// newCall adds the record of a call that is about to run or wait. It reuses a released record if
+// there is one.
+func (c *Controller) newCall(r Request, probe bool) *call {
 	var w *call
 	if n := len(c.free); n > 0 {
 		w = c.free[n-1]
@@ -189,47 +190,47 @@
 	return w
 }
 
-// forget gives the record of a call back. There are never more records than
-// calls known at the same time.
-func (c *Controller) forget(w *call) {
+// release removes the record of a call and keeps it for reuse. The number of records never
+// exceeds the maximum number of concurrent calls.
+func (c *Controller) release(w *call) {
 	delete(c.calls, w.request.ID)
 	*w = call{}
 	c.free = append(c.free, w)
 }
 
-// run gives a slot to a call that is not in the queue.
+// run assigns a slot to a call that is not in the queue.
 func (c *Controller) run(w *call) Decision {
 	w.running = true
-	w.beside = c.inFlight
+	w.concurrentAtStart = c.inFlight
 	c.inFlight++
-	if w.above {
+	if w.aboveThreshold {
 		c.aboveInFlight++
 	}
 	c.starts++
 	c.shedder.start()
-	c.limiter.start(w.beside)
+	c.limiter.callStarted(w.concurrentAtStart)
 	return Decision{ID: w.request.ID, Verdict: Run}
 }
 
-// refuse answers a call that has no record.
+// refuse refuses a call that has no record.
 func (c *Controller) refuse(r *Request, why reason) Decision {
 	c.counters.Refused[r.Level]++
 	return Decision{ID: r.ID, Verdict: Refuse, Refusal: c.refusal(why, r)}
 }
 
-// drop refuses a waiting call.
-func (c *Controller) drop(w *call, why reason) Decision {
+// refuseWaiting removes a waiting call from the queue and refuses it.
+func (c *Controller) refuseWaiting(w *call, why reason) Decision {
 	c.queue.remove(w)
 	d := c.refuse(&w.request, why)
-	c.forget(w)
+	c.release(w)
 	return d
 }
 
 // expire refuses a waiting call whose wait has ended.
 func (c *Controller) expire(w *call) Decision {
 	if w.byDeadline {
-		return c.drop(w, reasonDeadline)
+		return c.refuseWaiting(w, reasonDeadline)
 	}
 	c.shedder.reject()
-	return c.drop(w, reasonExpired)
+	return c.refuseWaiting(w, reasonExpired)
 }
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -9,46 +9,48 @@
 )
 
 const (
-	// MaxSlots bounds Config.Slots; a larger figure is taken for a mistake.
+	// MaxSlots is the upper bound of Config.Slots; a larger value is rejected as a configuration
+	// error.
 	MaxSlots = 1 << 16
-	// MaxQueue bounds Config.QueueLimit.
+	// MaxQueue is the upper bound of Config.QueueLimit.
 	MaxQueue = 1 << 16
 
-	// defaultSojournTarget is the CoDel target of the literature (5 ms).
+	// defaultSojournTarget is the target delay of the CoDel paper (5 ms).
 	defaultSojournTarget = 5 * time.Millisecond
-	// defaultSojournInterval is the CoDel interval of the literature (100 ms).
+	// defaultSojournInterval is the interval of the CoDel paper (100 ms).
 	defaultSojournInterval = 100 * time.Millisecond
-	// defaultMaxWait leaves most of a caller's patience (seconds) for running.
+	// defaultMaxWait leaves most of a typical caller timeout (seconds) for running the call.
 	defaultMaxWait = 500 * time.Millisecond
-	// defaultMinShare is the part of the slots below which the limit does not
-	// fall by default: an eighth still measures throughput.
+	// defaultMinShare divides the slots to give the default MinLimit. An eighth of the slots still
+	// suffices to measure throughput.
 	defaultMinShare = 8
 )
 
 // Config holds the parameters of a Controller.
 type Config struct {
-	// Slots is what the upstream announced: first and greatest limit.
+	// Slots is the number of slots that the upstream announced. It is the initial and the maximum
+	// limit.
 	Slots int
-	// MinLimit is the least value of the adaptive limit.
+	// MinLimit is the minimum of the adaptive limit.
 	MinLimit int
-	// QueueLimit is the most calls that wait, over all levels.
+	// QueueLimit is the maximum number of waiting calls, over all levels.
 	QueueLimit int
-	// SojournTarget is the standing delay that is accepted without end.
+	// SojournTarget is the standing queue delay that does not count as overload.
 	SojournTarget time.Duration
-	// SojournInterval is how long the standing delay must exceed the target,
-	// and the period of every adjustment.
+	// SojournInterval is how long the standing delay must exceed SojournTarget to count as
+	// overload. It is also the period of all adjustments.
 	SojournInterval time.Duration
-	// MaxWait bounds the wait of one call.
+	// MaxWait is the maximum time that a call waits.
 	MaxWait time.Duration
-	// Worth is the worth of one answered call of each level; it must not rise
-	// from a level to a less important one. A level of worth 0 never waits.
+	// Worth is the worth of one answered call by level. It must not increase towards less important
+	// levels. Calls of a level with worth 0 never wait.
 	Worth [callctx.Levels]float64
-	// Adapt switches the adaptive limit on; without it the limit is Slots.
+	// Adapt enables the adaptive limit. Otherwise the limit is always Slots.
 	Adapt bool
 }
 
-// DefaultConfig returns the parameters for an upstream with that many slots.
-// The queue holds as many calls as run, so a full queue costs about one service
+// DefaultConfig returns the default parameters for an upstream with the given number of slots,
+// clamped to 1..MaxSlots. QueueLimit equals the slots, so a full queue adds about one service
 // time.
 func DefaultConfig(slots int) Config {
 	slots = min(max(slots, 1), MaxSlots)
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// probePause is the least time between two probes against the estimate of
-	// the service time: five calls a second at most run in vain.
-	probePause = 200 * time.Millisecond
-	// minTrust is the least factor that successful probes leave of an estimate.
-	minTrust = 1.0 / 16
-	// waitTargets is the bound of a wait under overload in sojourn targets.
-	waitTargets = 4
-	// targetShare: a standing delay of a quarter of the service time is never
-	// taken for overload, since with few slots one waiting call is as much.
-	targetShare = 4
+	// minProbeInterval is the minimum time between two probes of the service time estimate, so at
+	// most 5 calls per second run without meeting their deadline.
+	minProbeInterval = 200 * time.Millisecond
+	// minEstimateFactor is the lower bound of estimateFactor, which successful probes reduce.
+	minEstimateFactor = 1.0 / 16
+	// overloadWaitTargets is the maximum wait under overload, as a multiple of SojournTarget.
+	overloadWaitTargets = 4
+	// minDelayDivisor divides the service time. A standing delay below a quarter of the service
+	// time never counts as overload: with few slots, a single waiting call causes that much delay.
+	minDelayDivisor = 4
 )
 
-// Controller decides on the calls of one upstream. It is not safe for
+// Controller decides which calls of one upstream run, wait or are refused. It is not safe for
 // concurrent use.
 type Controller struct {
 	cfg      Config
@@ -33,36 +33,38 @@
 	counters Counters
 
 	inFlight int
-	// aboveInFlight are those that took a slot from above the threshold.
+	// aboveInFlight counts the running calls that took a slot although they were above the
+	// threshold.
 	aboveInFlight int
 	seq           uint64
 	draining      bool
 
-	// intervalStarted begins the present adjustment interval; leastQueued is
-	// the least length of the queue in it.
+	// intervalStarted is the start of the current adjustment interval, and leastQueued is the
+	// minimum length of the queue in it.
 	intervalStarted time.Time
 	leastQueued     int
 	overloaded      bool
-	// starts counts the calls started in the interval; startRate is its average
-	// over some four intervals.
+	// starts counts the calls started in the current interval. startRate is its average over about
+	// four intervals.
 	starts    int
 	startRate float64
-	// busy is the sum of slots in use over time (slot-nanoseconds) in the
-	// interval, up to the time integrated.
+	// busy is the integral of the slots in use over the current interval, in slot-nanoseconds, up
+	// to the time in integrated.
 	busy float64
-	// busyAbove is the part of busy that calls from above the threshold had.
+	// busyAbove is the part of busy used by calls above the threshold.
 	busyAbove  float64
 	integrated time.Time
-	// periodStarted begins the present period of the threshold.
+	// periodStarted is the start of the current threshold period.
 	periodStarted time.Time
 
-	// trust is the part of the estimate by which calls are refused.
-	trust     [callctx.Levels]float64
-	nextProbe time.Time
+	// estimateFactor scales the service time estimate by which calls are refused, between
+	// minEstimateFactor and 1.
+	estimateFactor [callctx.Levels]float64
+	nextProbe      time.Time
 }
 
-// New returns a controller with a full limit and an empty queue. An invalid
-// configuration is replaced by the default one for its slots.
+// New returns a controller with the maximum limit and an empty queue. If cfg is invalid, it uses
+// the default configuration for cfg.Slots.
 func New(cfg Config, now time.Time) *Controller {
 	if cfg.Validate() != nil {
 		cfg = DefaultConfig(cfg.Slots)
@@ -78,14 +80,14 @@
 		periodStarted:   now,
 		integrated:      now,
 	}
-	for i := range c.trust {
-		c.trust[i] = 1
+	for i := range c.estimateFactor {
+		c.estimateFactor[i] = 1
 	}
 	return c
 }
 
-// Offer decides on a new call. The other decisions are those of waiting calls
-// that this offer displaced, or that expired or started meanwhile.
+// Offer decides on a new call. The returned slice holds the decisions on waiting calls that this
+// call displaced, or that expired or started in the meantime.
 func (c *Controller) Offer(now time.Time, r Request) (Decision, []Decision) {
 	out := c.advance(now)
 	r.Level = min(r.Level, callctx.LevelLow)
@@ -102,81 +104,81 @@
 	return c.decide(now, r, out)
 }
 
-// decide is Offer without its preliminaries.
+// decide is the part of Offer that follows its checks. It expects advance to have been called.
 func (c *Controller) decide(now time.Time, r Request, out []Decision) (Decision, []Decision) {
 	slotFree := c.inFlight < c.limiter.limit && c.queue.len() == 0
-	doomed := c.doomed(now, &r, slotFree)
-	if doomed && !c.mayProbe(now, &r) {
+	late := c.wouldMissDeadline(now, &r, slotFree)
+	if late && !c.probeAllowed(now, &r) {
 		return c.refuse(&r, reasonDeadline), out
 	}
 	rank := Rank(r.Level, r.CallerHash)
 	c.shedder.offer(rank)
-	// A deep call above the threshold still takes a slot that would stay empty: work was
-	// spent on its root already. Further calls of a tree may wait as well, or what deep
-	// services did for it is lost; its first call decides.
+	// A deep call above the threshold may still take a slot that would otherwise stay idle, because
+	// work was already spent on its root. A later call of a tree with prior work may also wait, or
+	// the work of deep services for this tree would be lost. The threshold therefore applies to the
+	// first call of a tree.
 	above := rank >= c.shedder.threshold
 	if above && !r.HasPriorWork && !(slotFree && r.Depth > 0) {
 		return c.refuse(&r, reasonThreshold), out
 	}
 	if slotFree {
-		c.noteProbe(now, doomed)
-		w := c.admit(r, doomed)
-		w.above = above
+		c.recordProbe(now, late)
+		w := c.newCall(r, late)
+		w.aboveThreshold = above
 		return c.run(w), out
 	}
 	if c.cfg.Worth[r.Level] == 0 {
 		return c.refuse(&r, reasonNeverWaits), out
 	}
-	return c.enqueue(now, r, doomed, out)
+	return c.enqueue(now, r, late, out)
 }
 
-// enqueue lets the call wait, in place of the least important one when the
-// queue is full, or turns it away.
+// enqueue adds the call to the queue, or refuses it. In a full queue it displaces the least
+// important waiting call if that one is less important.
 func (c *Controller) enqueue(now time.Time, r Request, probe bool, out []Decision) (Decision, []Decision) {
 	if c.cfg.QueueLimit == 0 {
 		c.shedder.reject()
 		return c.refuse(&r, reasonQueueFull), out
 	}
-	w := c.admit(r, probe)
+	w := c.newCall(r, probe)
 	if c.queue.len() >= c.cfg.QueueLimit {
 		c.shedder.reject()
-		worst := c.queue.worst()
-		if !c.queue.before(w, worst) {
-			c.forget(w)
+		displaced := c.queue.evictionCandidate()
+		if !c.queue.before(w, displaced) {
+			c.release(w)
 			return c.refuse(&r, reasonQueueFull), out
 		}
-		out = append(out, c.drop(worst, reasonDisplaced))
+		out = append(out, c.refuseWaiting(displaced, reasonDisplaced))
 	}
-	c.noteProbe(now, probe)
+	c.recordProbe(now, probe)
 	c.setExpiry(now, w)
 	c.queue.push(w)
 	return Decision{ID: r.ID, Verdict: Wait}, out
 }
 
-// setExpiry bounds the wait. Under overload the bound is short: a call that is
-// not served soon is refused while its caller can still go elsewhere.
+// setExpiry sets the time at which the wait of a call ends. Under overload the wait is short, so
+// that a call that gets no slot soon is refused while its caller can still try another instance.
 func (c *Controller) setExpiry(now time.Time, w *call) {
 	bound := c.cfg.MaxWait
 	if c.overloaded {
-		bound = min(bound, max(waitTargets*c.cfg.SojournTarget, c.estimate.median))
+		bound = min(bound, max(overloadWaitTargets*c.cfg.SojournTarget, c.estimate.median))
 	}
 	w.expiry = now.Add(bound)
 	if w.request.Deadline.IsZero() {
 		return
 	}
-	latest := w.request.Deadline
+	latestStart := w.request.Deadline
 	if !w.probe {
-		latest = latest.Add(-c.serviceTime(w.request.Level))
+		latestStart = latestStart.Add(-c.serviceTime(w.request.Level))
 	}
-	if latest.Before(w.expiry) {
-		w.expiry = latest
+	if latestStart.Before(w.expiry) {
+		w.expiry = latestStart
 		w.byDeadline = true
 	}
 }
 
-// Finish frees the slot of a running call and returns the waiting calls that
-// start or end with it. An unknown ID changes nothing; a waiting one is
-// forgotten as by Abandon.
+// Finish frees the slot of a running call and returns the decisions on waiting calls that start
+// or expire as a result. An unknown ID changes nothing; a waiting call is removed as by Abandon.
 func (c *Controller) Finish(now time.Time, id string, o Outcome, latency time.Duration) []Decision {
 	w, known := c.calls[id]
 	if !known {
@@ -187,78 +189,79 @@
 	}
 	c.integrate(now)
 	c.inFlight--
-	if w.above {
+	if w.aboveThreshold {
 		c.aboveInFlight--
 	}
-	c.learn(now, w, o, latency)
-	c.forget(w)
+	c.recordOutcome(now, w, o, latency)
+	c.release(w)
 	return c.advance(now)
 }
 
-// learn feeds the outcome of a run to the estimates and the limit.
-func (c *Controller) learn(now time.Time, w *call, o Outcome, latency time.Duration) {
+// recordOutcome passes the outcome of a call to the estimates and the limiter.
+func (c *Controller) recordOutcome(now time.Time, w *call, o Outcome, latency time.Duration) {
 	level := w.request.Level
 	switch o {
 	case Answered:
 		c.counters.Answered[level]++
 		c.counters.Worth += c.cfg.Worth[level]
-		c.learnProbe(w, latency < c.estimate.low[level])
+		c.adjustEstimateFactor(w, latency < c.estimate.low[level])
 		c.estimate.answered(level, latency)
-		c.limiter.answered(latency)
+		c.limiter.callAnswered(latency)
 	case TimedOut:
-		c.learnProbe(w, false)
-		c.estimate.exceeded(level, latency)
+		c.adjustEstimateFactor(w, false)
+		c.estimate.timedOut(level, latency)
 	case UpstreamShed:
-		c.limiter.upstreamShed(now, c.inFlight, w.beside)
+		c.limiter.callShed(now, c.inFlight, w.concurrentAtStart)
 	case Failed, Cancelled:
-		// Neither tells how long the service takes.
+		// These outcomes contain no information about the service time.
 	}
 }
 
-// learnProbe corrects the trust in an estimate. The failure guarded against: a
-// service with quick and slow calls whose quick ones have short deadlines. Once
-// a slow spell has refused them all, only slow calls are measured, and the
-// estimate would refuse the quick ones for good although it is never stale.
-func (c *Controller) learnProbe(w *call, quick bool) {
+// adjustEstimateFactor halves the estimate factor of a level after a successful probe and
+// doubles it after a failed one. It handles a service with fast and slow calls whose fast calls
+// have short deadlines. After a slow period has caused all fast calls to be refused, only slow
+// calls are measured. The estimate then stays fresh, but it would refuse the fast calls
+// permanently.
+func (c *Controller) adjustEstimateFactor(w *call, fast bool) {
 	if !w.probe {
 		return
 	}
-	trust := &c.trust[w.request.Level]
-	if quick {
-		*trust = max(*trust/2, minTrust)
+	factor := &c.estimateFactor[w.request.Level]
+	if fast {
+		*factor = max(*factor/2, minEstimateFactor)
 		return
 	}
-	*trust = min(*trust*2, 1)
+	*factor = min(*factor*2, 1)
 }
 
-// Abandon forgets a waiting call whose caller left. A running call is ended by
-// Finish alone.
+// Abandon removes a waiting call whose caller has cancelled it. Running calls end only by
+// Finish.
 func (c *Controller) Abandon(now time.Time, id string) []Decision {
 	if w, known := c.calls[id]; known && !w.running {
 		c.queue.remove(w)
-		c.forget(w)
+		c.release(w)
 	}
 	return c.advance(now)
 }
 
-// Tick expires waits and lets adjustments take effect. It is to be called every
-// 10 ms or so while a call waits.
+// Tick expires waiting calls and applies adjustments. Call it about every 10 ms while calls
+// wait.
 func (c *Controller) Tick(now time.Time) []Decision { return c.advance(now) }
 
-// Drain refuses every waiting call and from now on every new one; running calls
-// go on. It cannot be undone.
+// Drain refuses all waiting calls and all further calls. Running calls continue. Drain cannot be
+// undone.
 func (c *Controller) Drain(now time.Time) []Decision {
 	out := c.advance(now)
 	c.draining = true
 	for w := c.queue.next(); w != nil; w = c.queue.next() {
-		out = append(out, c.drop(w, reasonDraining))
+		out = append(out, c.refuseWaiting(w, reasonDraining))
 	}
 	return out
 }
 
-// Reconfigure puts cfg in force; an invalid one changes nothing. Running calls
-// go on above a lower limit, waiting ones beyond a shorter queue are refused,
-// the least important first.
+// Reconfigure applies cfg; an invalid configuration is ignored. Running calls continue even
+// above a lower limit. Waiting calls beyond a lower QueueLimit are refused, the least important
+// first.
 func (c *Controller) Reconfigure(now time.Time, cfg Config) []Decision {
 	out := c.advance(now)
 	if cfg.Validate() != nil {
@@ -268,15 +271,15 @@
 	c.limiter.reconfigure(cfg)
 	c.refusals = refusalCache{}
 	for c.queue.len() > cfg.QueueLimit {
-		out = append(out, c.drop(c.queue.worst(), reasonQueueFull))
+		out = append(out, c.refuseWaiting(c.queue.evictionCandidate(), reasonQueueFull))
 	}
 	return c.dispatch(now, out)
 }
 
-// MedianLatency returns how long a call usually takes: the median of late; 0 while unknown.
+// MedianLatency returns the median of recent service times, or 0 if it is unknown.
 func (c *Controller) MedianLatency() time.Duration { return c.estimate.median }
 
-// Load returns the present reading.
+// Load returns the current load.
 func (c *Controller) Load() Load {
 	return Load{
 		InFlight:   c.inFlight,
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -16,37 +16,37 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// A fixed seed gives the same verdict each run; -rapid.seed on the command line
-// overrides it.
+// A fixed seed makes the property tests deterministic; -rapid.seed on the command line overrides
+// it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// machine drives a controller with random calls and keeps its own books.
+// machine drives a controller with random operations and tracks the expected state of all calls.
 type machine struct {
 	c                *Controller
 	cfg              Config
 	now              time.Time
-	last             int
+	lastID           int
 	running, waiting map[string]Request
 	since            map[string]time.Time
 	draining         bool
 }
 
-func (m *machine) take(t *rapid.T, ds []Decision) {
+func (m *machine) applyAll(t *rapid.T, ds []Decision) {
 	for _, d := range ds {
 		r, waits := m.waiting[d.ID]
 		if !waits {
-			t.Fatalf("decision %v on a call that does not wait", d)
+			t.Fatalf("decision %v is for a call that is not waiting", d)
 		}
 		delete(m.waiting, d.ID)
-		m.settle(t, r, d)
+		m.apply(t, r, d)
 	}
 }
 
-func (m *machine) settle(t *rapid.T, r Request, d Decision) {
+func (m *machine) apply(t *rapid.T, r Request, d Decision) {
 	switch d.Verdict {
 	case Run:
 		if !r.Deadline.IsZero() && !m.now.Before(r.Deadline) {
-			t.Fatalf("call %s runs after its deadline", r.ID)
+			t.Fatalf("call %s started after its deadline", r.ID)
 		}
 		m.running[r.ID] = r
 	case Wait:
@@ -54,20 +54,20 @@
 		m.since[r.ID] = m.now
 	case Refuse:
 		if d.Refusal.Code.Ran() != result.RanNo || d.Refusal.RetryAfter <= 0 || d.Refusal.Detail == "" {
-			t.Fatalf("refusal %+v", d.Refusal)
+			t.Fatalf("refusal %+v has no detail, no retry delay or a code for a call that may have run", d.Refusal)
 		}
 	default:
-		t.Fatalf("verdict %v", d.Verdict)
+		t.Fatalf("unexpected verdict %v", d.Verdict)
 	}
 	if (d.Verdict == Refuse) != (d.Refusal != nil) {
-		t.Fatalf("decision %+v", d)
+		t.Fatalf("decision %+v: Refusal must be set if and only if the verdict is Refuse", d)
 	}
 }
 
 func (m *machine) Offer(t *rapid.T) {
-	m.last++
+	m.lastID++
 	r := Request{
-		ID:           strconv.Itoa(m.last),
+		ID:           strconv.Itoa(m.lastID),
 		Level:        callctx.Level(rapid.IntRange(0, callctx.Levels-1).Draw(t, "level")),
 		CallerHash:   rapid.Uint32().Draw(t, "caller"),
 		RootAdmitted: m.now.Add(-time.Duration(rapid.IntRange(0, 100).Draw(t, "age")) * time.Millisecond),
@@ -84,14 +84,14 @@
 			t.Fatalf("%+v was displaced by %+v, which got %v", m.waiting[o.ID], r, d.Verdict)
 		}
 	}
-	m.take(t, others)
-	m.settle(t, r, d)
+	m.applyAll(t, others)
+	m.apply(t, r, d)
 	if m.draining && d.Verdict != Refuse {
-		t.Fatalf("taken while draining: %+v", d)
+		t.Fatalf("call accepted while draining: %+v", d)
 	}
 	free := before.InFlight < before.Limit && before.Queued == 0
 	if free && d.Verdict == Wait && m.c.Load().Limit >= before.Limit {
-		t.Fatalf("waits although a slot is free and nothing is ahead")
+		t.Fatalf("call waits although a slot is free and the queue is empty")
 	}
 }
 
@@ -103,7 +103,7 @@
 	delete(m.running, id)
 	latency := time.Duration(rapid.IntRange(0, 2000).Draw(t, "latency")) * time.Millisecond
 	outcome := Outcome(rapid.IntRange(int(Answered), int(TimedOut)).Draw(t, "outcome"))
-	m.take(t, m.c.Finish(m.now, id, outcome, latency))
+	m.applyAll(t, m.c.Finish(m.now, id, outcome, latency))
 }
 
 func (m *machine) Abandon(t *rapid.T) {
@@ -112,15 +112,15 @@
 		return
 	}
 	delete(m.waiting, id)
-	m.take(t, m.c.Abandon(m.now, id))
+	m.applyAll(t, m.c.Abandon(m.now, id))
 }
 
 func (m *machine) Elapse(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-	m.take(t, m.c.Tick(m.now))
+	m.applyAll(t, m.c.Tick(m.now))
 	for id := range m.waiting {
 		if m.now.Sub(m.since[id]) >= m.cfg.MaxWait {
-			t.Fatalf("call %s waits beyond its bound", id)
+			t.Fatalf("call %s waits longer than MaxWait", id)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	cfg := drawConfig(t)
 	cfg.MaxWait = m.cfg.MaxWait
 	m.cfg = cfg
-	m.take(t, m.c.Reconfigure(m.now, cfg))
+	m.applyAll(t, m.c.Reconfigure(m.now, cfg))
 }
 
 func (m *machine) Drain(t *rapid.T) {
@@ -137,7 +137,7 @@
 		return
 	}
 	m.draining = true
-	m.take(t, m.c.Drain(m.now))
+	m.applyAll(t, m.c.Drain(m.now))
 	if len(m.waiting) > 0 {
 		t.Fatalf("calls wait while draining")
 	}
@@ -149,16 +149,16 @@
 		t.Fatalf("load %+v, want %d running and %d waiting", l, len(m.running), len(m.waiting))
 	}
 	if l.Limit < m.cfg.MinLimit || l.Limit > m.cfg.Slots || l.Queued > m.cfg.QueueLimit {
-		t.Fatalf("load %+v outside %+v", l, m.cfg)
+		t.Fatalf("load %+v is outside the bounds of %+v", l, m.cfg)
 	}
 	if l.Threshold < minThreshold {
-		t.Fatalf("threshold %#x", l.Threshold)
+		t.Fatalf("threshold %#x is below the minimum", l.Threshold)
 	}
 	if l.Queued > 0 && l.InFlight < l.Limit {
 		t.Fatalf("%+v: calls wait while a slot is free", l)
 	}
 	if len(m.c.calls) != l.InFlight+l.Queued {
-		t.Fatalf("%d records for %+v", len(m.c.calls), l)
+		t.Fatalf("%d call records for load %+v", len(m.c.calls), l)
 	}
 }
 
@@ -177,7 +177,9 @@
 	return cfg
 }
 
-func TestControllerKeepsItsBounds(t *testing.T) {
+// Guards against a sequence of operations that exceeds a bound of the configuration, loses a call
+// or leaves a call waiting while a slot is free.
+func TestControllerStaysWithinConfiguredBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
 		cfg := drawConfig(t)
@@ -189,10 +191,11 @@
 	})
 }
 
-func TestQueueGivesBestFirstAndWorstUp(t *testing.T) {
+// Guards against a queue that starts or evicts calls out of order after removals.
+func TestQueueNextAndEvictionFollowOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue()
-		q.newestFirst = rapid.Bool().Draw(t, "newestFirst")
+		q.lifo = rapid.Bool().Draw(t, "newestFirst")
 		now := time.Unix(1_000_000, 0)
 		for i := range rapid.IntRange(1, 30).Draw(t, "n") {
 			q.push(&call{seq: uint64(i), request: Request{
@@ -202,22 +205,23 @@
 			}})
 		}
 		for q.len() > 1 {
-			best, worst := q.next(), q.worst()
-			if !q.before(best, worst) {
-				t.Fatalf("next %+v is not before worst %+v", best.request, worst.request)
+			next, candidate := q.next(), q.evictionCandidate()
+			if !q.before(next, candidate) {
+				t.Fatalf("next call %+v is not before eviction candidate %+v", next.request, candidate.request)
 			}
-			gone := best
+			removed := next
 			if rapid.Bool().Draw(t, "fromEnd") {
-				gone = worst
+				removed = candidate
 			}
-			q.remove(gone)
-			if gone == best && q.before(q.next(), gone) || gone == worst && q.before(gone, q.worst()) {
-				t.Fatalf("not in order")
+			q.remove(removed)
+			if removed == next && q.before(q.next(), removed) || removed == candidate && q.before(removed, q.evictionCandidate()) {
+				t.Fatalf("removed call is out of order")
 			}
 		}
 	})
 }
 
+// Guards against a quantile that differs from the samples by more than a bucket.
 func TestQuantileIsWithinABucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h histogram
@@ -232,12 +236,16 @@
 	})
 }
 
+// Guards against a rank that an open threshold sheds, and against a level that outranks a more
+// important one.
 func TestRankNeverReachesOpenThreshold(t *testing.T) {
-	must.Less(t, uint32(nothingShed), Rank(callctx.LevelLow, math.MaxUint32))
+	must.Less(t, uint32(openThreshold), Rank(callctx.LevelLow, math.MaxUint32))
 	must.Less(t, Rank(callctx.LevelHigh, 0), Rank(callctx.LevelCritical, math.MaxUint32))
 }
 
-func TestDuplicateIsNotCalledNotRun(t *testing.T) {
+// Guards against a duplicate call ID that is reported as not run while the first call with this ID
+// is running.
+func TestDuplicateIDIsRefusedWithUnknownOutcome(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	c := New(DefaultConfig(2), now)
 	c.Offer(now, Request{ID: "a"})
@@ -247,6 +255,7 @@
 	must.Eq(t, 1, c.Load().InFlight)
 }
 
+// Guards against a configuration error that does not name the field, its value and the bound.
 func TestValidateNamesFieldValueAndBound(t *testing.T) {
 	cfg := DefaultConfig(25)
 	must.NoError(t, cfg.Validate())
@@ -271,7 +280,7 @@
 	}
 }
 
-// BenchmarkOverload offers two calls for each that ends, to a full queue.
+// BenchmarkOverload offers two calls for each one that ends, to a full queue.
 func BenchmarkOverload(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
 	c := New(DefaultConfig(150), now)
--- a/internal/admission/cuttrial.go
+++ b/internal/admission/cuttrial.go
@@ -3,35 +3,36 @@
 import "time"
 
 const (
-	// cutPause is the pause before the limit rises after a confirmed cut.
-	cutPause = 300 * time.Millisecond
-
-	// slowFactor is the rise of the median over its reference that starts a
-	// trial; calmFactor is the rise up to which the limit may go up again.
-	slowFactor = 2.0
-	calmFactor = 1.5
-	// trialCut is the part of the limit kept in a trial.
-	trialCut = 0.75
-	// keptThroughput is the part of the earlier throughput that must remain for
-	// a cut to be confirmed. It lies between trialCut (the slots were needed)
-	// and 1 (they were not).
-	keptThroughput = 0.9
-	// epochAnswers ends an epoch: enough that throughput is known to some 5 %.
-	epochAnswers = 200
-	// maxEpoch ends an epoch that has too few answers; with fewer than
-	// minTrialAnswers it is no base for a trial.
-	maxEpoch        = 2 * time.Second
-	minTrialAnswers = 64
-	// minBackoff and maxBackoff bound the pause after a refuted cut. A trial
-	// costs a quarter of the answers of two epochs.
+	// raisePauseAfterCut is the pause after a confirmed cut before the limit may rise.
+	raisePauseAfterCut = 300 * time.Millisecond
+
+	// slowFactor is the ratio of the median latency to its reference above which a trial starts. Up
+	// to normalFactor the limit may rise again.
+	slowFactor   = 2.0
+	normalFactor = 1.5
+	// trialLimitShare is the share of the limit that is kept during a trial.
+	trialLimitShare = 0.75
+	// minThroughputRatio is the minimum ratio of the throughput during a trial to the throughput
+	// before it for the cut to be confirmed. It lies between trialLimitShare (the removed slots
+	// were needed) and 1 (they were not).
+	minThroughputRatio = 0.9
+	// epochResponses is the number of responses that ends an epoch. It determines throughput to
+	// about 5 %.
+	epochResponses = 200
+	// maxEpoch is the maximum length of an epoch. With fewer than minTrialResponses responses, an
+	// epoch does not start a trial.
+	maxEpoch          = 2 * time.Second
+	minTrialResponses = 64
+	// minBackoff and maxBackoff bound the pause after a trial that reduced throughput. A trial
+	// costs a quarter of the responses of two epochs.
 	minBackoff = 8 * time.Second
 	maxBackoff = 64 * time.Second
-	// creep is the rise of the reference per epoch, by which it forgets a
-	// latency that no longer exists.
-	creep = 1.0 / 256
+	// referenceDrift is the relative increase of the reference per epoch. It lets an obsolete low
+	// reference expire.
+	referenceDrift = 1.0 / 256
 )
 
-// trialState is where the limiter stands with a trial cut.
+// trialState is the state of a trial cut.
 type trialState int
 
 const (
@@ -40,127 +41,130 @@
 	trialMeasuring
 )
 
-// cutTrial lowers the limit when latency rises, but only by a trial. The failure guarded
-// against is a deeper service that slows down: it shows as the very same rise of latency
-// as an upstream that has too much to do at once, and a limit that follows latency then
-// collapses and wastes most of the slots. The two differ in throughput: with fewer calls
-// at once an overcommitted upstream answers as many per second as before, one that waits
-// for others answers fewer. So the limit is cut a little, throughput is compared, and a
-// cut that cost answers is undone and not repeated for a while.
+// cutTrial lowers the limit when latency rises, but only after a trial.
+//
+// A rise of latency has two possible causes that look the same: the upstream runs too many calls
+// at once, or a deeper service has become slower. A limit that follows latency alone collapses
+// in the second case and leaves most slots unused. Throughput distinguishes the two: with fewer
+// concurrent calls, an overcommitted upstream completes as many calls per second as before,
+// whereas one that waits for others completes fewer. The trial therefore cuts the limit by a
+// small step and compares the throughput. If the cut reduced throughput, it is reverted and not
+// repeated until a backoff has passed.
 type cutTrial struct {
 	state trialState
-	// reference is the median latency without congestion, 0 when not known.
-	reference time.Duration
-	calm      bool
-	// latencyNotOwned says that a cut did not help: the latency comes from elsewhere.
-	latencyNotOwned bool
+	// reference is the median latency without congestion, 0 if unknown.
+	reference     time.Duration
+	latencyNormal bool
+	// latencyExternal is set when a cut reduced throughput, so the latency is caused by another
+	// service.
+	latencyExternal bool
 	epoch           epoch
 
-	limitBefore   int
-	answersBefore float64
-	next          time.Time
-	backoff       time.Duration
+	limitBefore int
+	rateBefore  float64
+	nextTrial   time.Time
+	backoff     time.Duration
 }
 
 // epoch is one measurement of throughput and latency.
 type epoch struct {
 	started   time.Time
-	answers   int
+	responses int
 	latency   histogram
 	saturated bool
 }
 
 func newCutTrial(now time.Time) cutTrial {
-	return cutTrial{calm: true, epoch: epoch{started: now, saturated: true}, backoff: minBackoff}
+	return cutTrial{latencyNormal: true, epoch: epoch{started: now, saturated: true}, backoff: minBackoff}
 }
 
-// abort ends a trial that something else upset.
+// abort ends a trial that another change of the limit has invalidated.
 func (t *cutTrial) abort() { t.state = trialIdle }
 
-// holds reports whether the limit must not rise: a trial runs, or latency says that the
-// present limit is just right.
-func (t *cutTrial) holds(saturated bool) bool {
-	return t.state != trialIdle || saturated && !t.calm && !t.latencyNotOwned
+// blocksRaise reports whether the limit must not rise, because a trial is running or because
+// latency is already elevated at the current limit.
+func (t *cutTrial) blocksRaise(saturated bool) bool {
+	return t.state != trialIdle || saturated && !t.latencyNormal && !t.latencyExternal
 }
 
-// adjust is called once per interval; saturated says that no slot is free. It returns the
-// limit from now on, and whether a cut was found to be right.
-func (t *cutTrial) adjust(now time.Time, saturated bool, limit int, cfg Config) (next int, kept bool) {
+// adjust is called once per interval; saturated states that no slot is free. It returns the new
+// limit and whether a cut was confirmed.
+func (t *cutTrial) adjust(now time.Time, saturated bool, limit int, cfg Config) (next int, confirmed bool) {
 	t.epoch.saturated = t.epoch.saturated && saturated
 	e := &t.epoch
 	length := now.Sub(e.started)
 	median := quantileOf(0.5, &e.latency, &histogram{})
 	if t.state == trialSettling && length >= max(cfg.SojournInterval, median) {
-		// The calls that started before the cut have mostly ended.
+		// Most calls that started before the cut have ended.
 		t.state = trialMeasuring
 		*e = epoch{started: now, saturated: true}
 		return limit, false
 	}
 	tooShort := length < max(cfg.SojournInterval, 2*median)
-	tooFew := e.answers < epochAnswers && length < maxEpoch
+	tooFew := e.responses < epochResponses && length < maxEpoch
 	if tooShort || tooFew {
 		return limit, false
 	}
 	if median > 0 {
-		limit, kept = t.evaluate(now, median, float64(e.answers)/length.Seconds(), limit, cfg)
+		limit, confirmed = t.evaluate(now, median, float64(e.responses)/length.Seconds(), limit, cfg)
 	}
 	*e = epoch{started: now, saturated: true}
-	return limit, kept
+	return limit, confirmed
 }
 
-// evaluate takes a whole epoch.
-func (t *cutTrial) evaluate(now time.Time, median time.Duration, rate float64, limit int, cfg Config) (next int, kept bool) {
+// evaluate processes a completed epoch.
+func (t *cutTrial) evaluate(now time.Time, median time.Duration, rate float64, limit int, cfg Config) (next int, confirmed bool) {
 	switch t.state {
 	case trialIdle:
-		t.follow(median)
-		return t.consider(now, median, rate, limit, cfg), false
+		t.updateReference(median)
+		return t.maybeStart(now, median, rate, limit, cfg), false
 	case trialMeasuring:
-		return t.conclude(now, median, rate, limit)
+		return t.finish(now, median, rate, limit)
 	}
-	// Settling ends in adjust.
+	// adjust ends the settling phase.
 	return limit, false
 }
 
-// follow moves the reference down at once and up slowly.
-func (t *cutTrial) follow(median time.Duration) {
-	risen := t.reference + time.Duration(float64(t.reference)*creep)
+// updateReference lowers the reference to the median at once and raises it slowly.
+func (t *cutTrial) updateReference(median time.Duration) {
+	risen := t.reference + time.Duration(float64(t.reference)*referenceDrift)
 	if t.reference == 0 || median < risen {
 		t.reference = median
 	} else {
 		t.reference = risen
 	}
-	t.calm = float64(median) <= calmFactor*float64(t.reference)
-	if t.calm {
-		t.latencyNotOwned = false
+	t.latencyNormal = float64(median) <= normalFactor*float64(t.reference)
+	if t.latencyNormal {
+		t.latencyExternal = false
 	}
 }
 
-// consider starts a trial when the median has risen and all slots are in use.
-func (t *cutTrial) consider(now time.Time, median time.Duration, rate float64, limit int, cfg Config) int {
+// maybeStart starts a trial if the median has risen and all slots are in use.
+func (t *cutTrial) maybeStart(now time.Time, median time.Duration, rate float64, limit int, cfg Config) int {
 	slow := float64(median) > slowFactor*float64(t.reference)
-	enough := t.epoch.answers >= minTrialAnswers && t.epoch.saturated
-	if !slow || !enough || now.Before(t.next) || limit <= cfg.MinLimit {
+	measurable := t.epoch.responses >= minTrialResponses && t.epoch.saturated
+	if !slow || !measurable || now.Before(t.nextTrial) || limit <= cfg.MinLimit {
 		return limit
 	}
 	t.limitBefore = limit
-	t.answersBefore = rate
+	t.rateBefore = rate
 	t.state = trialSettling
-	return max(cfg.MinLimit, int(trialCut*float64(limit)))
+	return max(cfg.MinLimit, int(trialLimitShare*float64(limit)))
 }
 
-// conclude keeps the cut or undoes it.
-func (t *cutTrial) conclude(now time.Time, median time.Duration, rate float64, limit int) (next int, kept bool) {
+// finish confirms or reverts the cut.
+func (t *cutTrial) finish(now time.Time, median time.Duration, rate float64, limit int) (next int, confirmed bool) {
 	t.state = trialIdle
 	if !t.epoch.saturated {
 		return t.limitBefore, false
 	}
-	if rate >= keptThroughput*t.answersBefore {
+	if rate >= minThroughputRatio*t.rateBefore {
 		t.backoff = minBackoff
-		t.follow(median)
+		t.updateReference(median)
 		return limit, true
 	}
-	t.latencyNotOwned = true
-	t.next = now.Add(t.backoff)
+	t.latencyExternal = true
+	t.nextTrial = now.Add(t.backoff)
 	t.backoff = min(2*t.backoff, maxBackoff)
 	return t.limitBefore, false
 }
--- a/internal/admission/heap.go
+++ b/internal/admission/heap.go
@@ -1,34 +1,34 @@
 package admission
 
-// The heaps that a waiting call is in; each has its place in call.pos.
+// These are the heaps that contain a waiting call. They index call.heapIndex.
 const (
-	slotFirst = iota
-	slotLast
-	slotExpiry
-	heapSlots
+	heapOldest = iota
+	heapNewest
+	heapExpiry
+	heapCount
 )
 
-// indexedHeap is a binary heap of calls that know their place in it, so that
-// any of them can be taken out in O(log n).
+// indexedHeap is a binary heap of calls that store their own position, so that any call can be
+// removed in O(log n).
 type indexedHeap struct {
 	items []*call
-	slot  int
+	kind  int
 	less  func(a, b *call) bool
 }
 
 func (h *indexedHeap) len() int { return len(h.items) }
 
-// peek returns the first call in order; the heap must not be empty.
+// peek returns the first call in order. The heap must not be empty.
 func (h *indexedHeap) peek() *call { return h.items[0] }
 
 func (h *indexedHeap) push(c *call) {
 	h.items = append(h.items, c)
-	c.pos[h.slot] = len(h.items) - 1
+	c.heapIndex[h.kind] = len(h.items) - 1
 	h.up(len(h.items) - 1)
 }
 
 func (h *indexedHeap) remove(c *call) {
-	i := c.pos[h.slot]
+	i := c.heapIndex[h.kind]
 	last := len(h.items) - 1
 	h.swap(i, last)
 	h.items[last] = nil
@@ -41,8 +41,8 @@
 
 func (h *indexedHeap) swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.items[i].pos[h.slot] = i
-	h.items[j].pos[h.slot] = j
+	h.items[i].heapIndex[h.kind] = i
+	h.items[j].heapIndex[h.kind] = j
 }
 
 func (h *indexedHeap) up(i int) {
--- a/internal/admission/latency.go
+++ b/internal/admission/latency.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// subBuckets splits each power of two of microseconds, so that a bucket is
-	// at most a quarter wide.
+	// subBuckets is the number of buckets per power of two of microseconds. The width of a bucket
+	// is at most a quarter of its start.
 	subBuckets = 4
-	// histogramBuckets reaches to 2^27 µs, about 134 s.
+	// histogramBuckets covers durations up to 2^27 µs, about 134 s.
 	histogramBuckets = 27 * subBuckets
-	// minSamples is the least number of samples that an estimate rests on. The
-	// probes of one second (see probePause) are enough.
+	// minSamples is the minimum number of samples for an estimate. The probes of one second (see
+	// minProbeInterval) suffice.
 	minSamples = 4
-	// lowQuantile is the service time that nearly every call needs.
+	// lowQuantile selects a service time that nearly all calls exceed.
 	lowQuantile = 0.10
-	// minGeneration is the least age at which a histogram starts to forget.
+	// minGeneration is the minimum length of a generation of samples.
 	minGeneration = time.Second
-	// generationMedians is that age in service times, for slow services.
+	// generationMedians is the length of a generation in median service times. It applies to slow
+	// services.
 	generationMedians = 8
 )
 
-// histogram counts durations in log-linear buckets of fixed number.
+// histogram counts durations in a fixed number of log-linear buckets.
 type histogram struct {
 	counts [histogramBuckets]uint32
 	total  uint32
@@ -40,7 +41,7 @@
 	return min((exp-1)*subBuckets+sub, histogramBuckets-1)
 }
 
-// bucketStart is the least duration that falls into bucket i.
+// bucketStart returns the shortest duration in bucket i.
 func bucketStart(i int) time.Duration {
 	if i < subBuckets {
 		return time.Duration(i) * time.Microsecond
@@ -57,8 +58,8 @@
 
 func (h *histogram) reset() { *h = histogram{} }
 
-// quantileOf returns quantile q of both histograms taken together, interpolated
-// inside its bucket; 0 without enough samples.
+// quantileOf returns quantile q of both histograms combined, interpolated within its bucket; 0
+// if there are fewer than minSamples samples.
 func quantileOf(q float64, a, b *histogram) time.Duration {
 	total := a.total + b.total
 	if total < minSamples {
@@ -78,13 +79,14 @@
 	return bucketStart(histogramBuckets)
 }
 
-// window is a histogram over the last one to two generations.
+// window is a histogram of the current and the previous generation.
 type window struct {
 	current, previous histogram
 	started           time.Time
 }
 
-// rotate forgets what is older than two generations.
+// rotate starts a new generation if the current one is older than generation. Samples older than
+// two generations are dropped.
 func (w *window) rotate(now time.Time, generation time.Duration) {
 	age := now.Sub(w.started)
 	if age < generation {
@@ -102,8 +104,8 @@
 	return quantileOf(q, &w.current, &w.previous)
 }
 
-// estimator keeps service times by level and for all levels together. Reading
-// an estimate costs nothing: refresh computes them once per interval.
+// estimator estimates service times by level and over all levels. refresh computes the estimates
+// once per interval, so reading them is cheap.
 type estimator struct {
 	byLevel [callctx.Levels]window
 	all     window
@@ -119,17 +121,17 @@
 	return e
 }
 
-// answered takes in the service time of a whole answer.
+// answered records the service time of a complete response.
 func (e *estimator) answered(level callctx.Level, d time.Duration) {
 	e.byLevel[level].current.add(d)
 	e.all.current.add(d)
 }
 
-// exceeded takes in a call that was cut off after d. Its service time is not
-// known but longer, so it counts as one bucket more, and only where it speaks
-// for a longer estimate. Without it, a service whose every call times out would
-// have no estimate and go on running calls in vain.
-func (e *estimator) exceeded(level callctx.Level, d time.Duration) {
+// timedOut records a call that was cut off after d. Its service time is unknown but longer than
+// d, so it counts as one bucket longer, and only if that increases the estimate. Without these
+// samples, a service whose calls all time out would have no estimate, and would keep running
+// calls that cannot succeed.
+func (e *estimator) timedOut(level callctx.Level, d time.Duration) {
 	longer := d + d/subBuckets
 	if longer > e.low[level] {
 		e.answered(level, longer)
@@ -141,12 +143,12 @@
 	generation := max(minGeneration, generationMedians*e.median)
 	e.all.rotate(now, generation)
 	e.median = e.all.quantile(0.5)
-	common := e.all.quantile(lowQuantile)
+	lowOfAll := e.all.quantile(lowQuantile)
 	for i := range e.byLevel {
 		e.byLevel[i].rotate(now, generation)
 		e.low[i] = e.byLevel[i].quantile(lowQuantile)
 		if e.low[i] == 0 {
-			e.low[i] = common
+			e.low[i] = lowOfAll
 		}
 	}
 }
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -3,89 +3,92 @@
 import "time"
 
 const (
-	// raiseShare: the limit rises by an eighth of the slots per interval, so
-	// from its least default value to all slots in seven intervals (0.7 s).
-	raiseShare = 8
-	// shedShare: one call shed by the upstream takes off at most an eighth.
-	shedShare = 8
-	// holdShare of the floor is where sheds hold the limit until their effect was
-	// measured, so that it can meet a room of a little less than half at once.
-	holdShare = 0.75
-	// shedPause is the pause before the limit rises after a shed call.
-	shedPause = 200 * time.Millisecond
-	// shedMemory is how long after it the limit rises only by one at a time.
-	shedMemory = 500 * time.Millisecond
+	// raiseDivisor: the limit rises by an eighth of the slots per interval. It rises from the
+	// default minimum to all slots in 7 intervals (0.7 s).
+	raiseDivisor = 8
+	// shedCutDivisor: one call shed by the upstream lowers the limit by at most an eighth.
+	shedCutDivisor = 8
+	// unmeasuredFloorShare is the share of floor down to which shed calls lower the limit before
+	// their effect is measured. It is less than 1 so that the limit can follow a drop of the
+	// capacity to slightly less than half at once.
+	unmeasuredFloorShare = 0.75
+	// raisePauseAfterShed is the pause after a shed call before the limit may rise.
+	raisePauseAfterShed = 200 * time.Millisecond
+	// recentShedWindow is the time after a shed call in which the limit rises only by 1 per
+	// interval.
+	recentShedWindow = 500 * time.Millisecond
 )
 
-// limiter adapts the concurrency limit. Three things lower it: calls that the upstream
-// sheds, at once, unless they come at random (shedCause); a rise of the median latency, by
-// a trial (cutTrial); and full slots, by a trial of a few less (reserve).
+// limiter adapts the concurrency limit. Three conditions lower it: calls shed by the upstream,
+// immediately unless they are shed at random (shedClassifier); a rise of the median latency,
+// after a trial (cutTrial); and full slots, after a trial with a few slots less (reserve).
 type limiter struct {
 	cfg   Config
 	limit int
-	// raiseAfter is when the limit may rise next, lastShed when the upstream
-	// shed a call.
+	// raiseAfter is the earliest time of the next raise, and lastShed is the time of the latest
+	// call shed by the upstream.
 	raiseAfter, lastShed time.Time
-	// floor is the least limit that sheds may reach before their effect was measured.
-	floor     int
-	shedCause shedCause
-	reserve   reserve
-	cut       cutTrial
+	// floor is half of the limit at the latest measurement, or before the first shed. It bounds
+	// how far shed calls lower the limit before their effect is measured; see unmeasuredFloorShare.
+	floor   int
+	sheds   shedClassifier
+	reserve reserve
+	cut     cutTrial
 }
 
 func newLimiter(cfg Config, now time.Time) *limiter {
 	return &limiter{cfg: cfg, limit: cfg.Slots, floor: cfg.Slots / 2, cut: newCutTrial(now)}
 }
 
-// reconfigure keeps the present limit inside the new bounds.
+// reconfigure applies cfg and clamps the limit to the new bounds.
 func (l *limiter) reconfigure(cfg Config) {
-	wasFull := l.limit >= l.top()
+	wasAtMax := l.limit >= l.maxLimit()
 	if cfg.Slots != l.cfg.Slots || !cfg.Adapt {
 		l.reserve = reserve{}
 	}
 	l.cfg = cfg
 	l.cut.abort()
-	if wasFull || !cfg.Adapt {
-		l.limit = l.top()
+	if wasAtMax || !cfg.Adapt {
+		l.limit = l.maxLimit()
 	}
-	l.limit = min(max(l.limit, cfg.MinLimit), l.top())
+	l.limit = min(max(l.limit, cfg.MinLimit), l.maxLimit())
 }
 
-// top is the greatest limit.
-func (l *limiter) top() int { return max(l.cfg.Slots-l.reserve.inForce(), l.cfg.MinLimit) }
+// maxLimit returns the maximum limit: all slots except the reserve.
+func (l *limiter) maxLimit() int { return max(l.cfg.Slots-l.reserve.effective(), l.cfg.MinLimit) }
 
-// start takes a call that begins beside that many others.
-func (l *limiter) start(beside int) { l.shedCause.start(beside, l.cfg.Slots) }
+// callStarted records the start of a call beside the given number of running calls.
+func (l *limiter) callStarted(concurrent int) { l.sheds.callStarted(concurrent, l.cfg.Slots) }
 
-func (l *limiter) answered(latency time.Duration) {
-	l.cut.epoch.answers++
+func (l *limiter) callAnswered(latency time.Duration) {
+	l.cut.epoch.responses++
 	l.cut.epoch.latency.add(latency)
-	l.reserve.answers++
+	l.reserve.responses++
 }
 
-// upstreamShed lowers the limit towards inFlight, which is what the upstream
-// holds besides the call that it shed. It reacts at once, since a shed call
-// frees its slot within a millisecond and the next one would be shed as well.
-// beside is how many others ran when the call began.
-func (l *limiter) upstreamShed(now time.Time, inFlight, beside int) {
+// callShed lowers the limit towards inFlight, the number of calls that the upstream still runs.
+// It does so immediately: a shed call frees its slot within a millisecond, and the next call
+// would be shed as well. concurrent is the number of other calls that were running when the shed
+// call started.
+func (l *limiter) callShed(now time.Time, inFlight, concurrent int) {
 	if !l.cfg.Adapt {
 		return
 	}
-	l.shedCause.begin(now, l.limit)
-	l.shedCause.shed.add(beside, l.cfg.Slots)
+	l.sheds.firstShed(now, l.limit)
+	l.sheds.shedCalls.add(concurrent, l.cfg.Slots)
 	l.lastShed = now
 	l.reserve.abort(now)
-	if l.shedCause.atRandom(now) {
+	if l.sheds.atRandom(now) {
 		return
 	}
-	lower := l.limit - max(1, l.limit/shedShare)
-	floor := int(holdShare * float64(l.floor))
-	l.limit = min(l.limit, l.top(), max(lower, inFlight, floor, l.cfg.MinLimit))
-	l.raiseAfter = now.Add(shedPause)
+	stepped := l.limit - max(1, l.limit/shedCutDivisor)
+	floor := int(unmeasuredFloorShare * float64(l.floor))
+	l.limit = min(l.limit, l.maxLimit(), max(stepped, inFlight, floor, l.cfg.MinLimit))
+	l.raiseAfter = now.Add(raisePauseAfterShed)
 	l.cut.abort()
 }
 
-// adjust is called once per interval with the part of the slots in use.
+// adjust is called once per interval with the share of slots in use.
 func (l *limiter) adjust(now time.Time, use float64) {
 	if !l.cfg.Adapt {
 		return
@@ -93,66 +96,66 @@
 	saturated := use > saturatedUse
 	l.adjustCut(now, saturated)
 	l.raise(now, saturated)
-	l.followSheds(now)
-	l.adjustReserve(now, use > fullSlots)
+	l.adjustFloor(now)
+	l.adjustReserve(now, use > reserveMinUse)
 }
 
-// adjustCut lets a trial of a cut go on.
+// adjustCut advances the cut trial.
 func (l *limiter) adjustCut(now time.Time, saturated bool) {
-	limit, kept := l.cut.adjust(now, saturated, l.limit, l.cfg)
+	limit, confirmed := l.cut.adjust(now, saturated, l.limit, l.cfg)
 	if limit < l.limit {
 		l.reserve.abort(now)
 	}
-	l.limit = min(limit, l.top())
-	if kept {
-		l.raiseAfter = now.Add(cutPause)
+	l.limit = min(limit, l.maxLimit())
+	if confirmed {
+		l.raiseAfter = now.Add(raisePauseAfterCut)
 	}
 }
 
-// adjustReserve lets a trial of the reserve go on while nothing else holds the limit
-// down.
-func (l *limiter) adjustReserve(now time.Time, full bool) {
-	if l.cut.state != trialIdle || l.limit < l.top() {
+// adjustReserve advances the trial of the reserve, unless something else keeps the limit below
+// its maximum.
+func (l *limiter) adjustReserve(now time.Time, allSlotsBusy bool) {
+	if l.cut.state != trialIdle || l.limit < l.maxLimit() {
 		l.reserve.abort(now)
 		return
 	}
-	l.reserve.adjust(now, full, l.cut.reference, l.cfg)
-	l.limit = l.top()
+	l.reserve.adjust(now, allSlotsBusy, l.cut.reference, l.cfg)
+	l.limit = l.maxLimit()
 }
 
-// followSheds lets the limit fall further, or undoes what sheds took off it.
-func (l *limiter) followSheds(now time.Time) {
-	if !l.shedCause.active {
+// adjustFloor lets the limit fall further, or reverts a cut if the calls were shed at random.
+func (l *limiter) adjustFloor(now time.Time) {
+	if !l.sheds.active {
 		l.floor = l.limit / 2
 		return
 	}
-	if now.Sub(l.lastShed) >= shedMemory {
-		l.shedCause.end()
+	if now.Sub(l.lastShed) >= recentShedWindow {
+		l.sheds.end()
 		l.floor = l.limit / 2
 		return
 	}
-	known := l.shedCause.atRandom(now)
-	verdict := l.shedCause.judge(now)
-	if verdict == undecided {
+	wasAtRandom := l.sheds.atRandom(now)
+	action := l.sheds.evaluate(now)
+	if action == keepFloor {
 		return
 	}
-	if verdict == wrongCut && !known {
-		l.limit = min(l.shedCause.limitBefore, l.top())
+	if action == revertCut && !wasAtRandom {
+		l.limit = min(l.sheds.limitBefore, l.maxLimit())
 		l.raiseAfter = time.Time{}
 	}
 	l.floor = l.limit / 2
 }
 
-// raise lets the limit go up unless a trial runs, a pause holds or latency says
-// that the present limit is just right.
+// raise raises the limit unless a trial is running, a pause is in effect, or latency is already
+// elevated at the current limit.
 func (l *limiter) raise(now time.Time, saturated bool) {
-	if now.Before(l.raiseAfter) || l.cut.holds(saturated) {
+	if now.Before(l.raiseAfter) || l.cut.blocksRaise(saturated) {
 		return
 	}
-	step := max(1, l.cfg.Slots/raiseShare)
-	recent := !l.lastShed.IsZero() && now.Sub(l.lastShed) < shedMemory
-	if recent && !l.shedCause.atRandom(now) {
+	step := max(1, l.cfg.Slots/raiseDivisor)
+	recent := !l.lastShed.IsZero() && now.Sub(l.lastShed) < recentShedWindow
+	if recent && !l.sheds.atRandom(now) {
 		step = 1
 	}
-	l.limit = min(l.limit+step, l.top())
+	l.limit = min(l.limit+step, l.maxLimit())
 }
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -9,19 +9,19 @@
 	"github.com/galenagrade/galenagrade/internal/testclock"
 )
 
-// model is a deterministic upstream with its callers: events in virtual time.
+// model simulates an upstream and its callers deterministically in virtual time.
 type model struct {
 	*testclock.Clock
-	ctl     *Controller
-	rng     *rand.Rand
-	calls   map[string]*modelCall
-	service func(m *model, c *modelCall) time.Duration
-	sheds   func(m *model) bool
-	last    int
-	// good counts answers by their deadline, by second and level.
-	good    map[int]*[callctx.Levels]int
-	offered map[int]*[callctx.Levels]int
-	refused map[uint32]int
+	ctl       *Controller
+	rng       *rand.Rand
+	calls     map[string]*modelCall
+	service   func(m *model, c *modelCall) time.Duration
+	shedsCall func(m *model) bool
+	lastID    int
+	// answeredInTime counts the responses before the deadline, by second and level.
+	answeredInTime map[int]*[callctx.Levels]int
+	offered        map[int]*[callctx.Levels]int
+	refused        map[uint32]int
 }
 
 type modelCall struct {
@@ -35,7 +35,7 @@
 		Clock: testclock.New(start), ctl: New(cfg, start),
 		rng: rand.New(rand.NewPCG(1, 2)), service: service,
 		calls: map[string]*modelCall{}, refused: map[uint32]int{},
-		good: map[int]*[callctx.Levels]int{}, offered: map[int]*[callctx.Levels]int{},
+		answeredInTime: map[int]*[callctx.Levels]int{}, offered: map[int]*[callctx.Levels]int{},
 	}
 	m.After(10*time.Millisecond, m.tick)
 	return m
@@ -48,7 +48,7 @@
 
 func (m *model) second() int { return int(m.Elapsed() / time.Second) }
 
-func count(in map[int]*[callctx.Levels]int, second int) *[callctx.Levels]int {
+func countsIn(in map[int]*[callctx.Levels]int, second int) *[callctx.Levels]int {
 	if in[second] == nil {
 		in[second] = new([callctx.Levels]int)
 	}
@@ -56,13 +56,13 @@
 }
 
 func (m *model) offer(r Request) {
-	m.last++
-	r.ID = strconv.Itoa(m.last)
+	m.lastID++
+	r.ID = strconv.Itoa(m.lastID)
 	if r.RootAdmitted.IsZero() {
 		r.RootAdmitted = m.Now()
 	}
 	m.calls[r.ID] = &modelCall{req: r}
-	count(m.offered, m.second())[r.Level]++
+	countsIn(m.offered, m.second())[r.Level]++
 	d, others := m.ctl.Offer(m.Now(), r)
 	m.apply([]Decision{d})
 	m.apply(others)
@@ -83,36 +83,36 @@
 
 func (m *model) begin(c *modelCall) {
 	c.started = m.Now()
-	if m.sheds != nil && m.sheds(m) {
+	if m.shedsCall != nil && m.shedsCall(m) {
 		m.After(time.Millisecond, func() { m.end(c, UpstreamShed) })
 		return
 	}
-	took := m.service(m, c)
-	if left := c.req.Deadline.Sub(m.Now()); !c.req.Deadline.IsZero() && took > left {
-		m.After(left, func() { m.end(c, TimedOut) })
+	duration := m.service(m, c)
+	if remaining := c.req.Deadline.Sub(m.Now()); !c.req.Deadline.IsZero() && duration > remaining {
+		m.After(remaining, func() { m.end(c, TimedOut) })
 		return
 	}
-	m.After(took, func() { m.end(c, Answered) })
+	m.After(duration, func() { m.end(c, Answered) })
 }
 
 func (m *model) end(c *modelCall, o Outcome) {
 	if o == Answered {
-		count(m.good, m.second())[c.req.Level]++
+		countsIn(m.answeredInTime, m.second())[c.req.Level]++
 	}
 	delete(m.calls, c.req.ID)
 	m.apply(m.ctl.Finish(m.Now(), c.req.ID, o, m.Now().Sub(c.started)))
 }
 
-// stream offers calls at a rate that may change over time; perSecond 0 pauses.
-func (m *model) stream(perSecond func(t time.Duration) float64, make func() Request) {
+// stream offers calls at a rate that may vary over time; at rate 0 it pauses.
+func (m *model) stream(rateAt func(t time.Duration) float64, newRequest func() Request) {
 	var next func()
 	next = func() {
-		rate := perSecond(m.Elapsed())
+		rate := rateAt(m.Elapsed())
 		if rate <= 0 {
 			m.After(10*time.Millisecond, next)
 			return
 		}
-		m.offer(make())
+		m.offer(newRequest())
 		m.After(time.Duration(m.rng.ExpFloat64()/rate*float64(time.Second)), next)
 	}
 	m.After(0, next)
@@ -128,17 +128,17 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-func (m *model) sum(in map[int]*[callctx.Levels]int, from, to int) (all int, by [callctx.Levels]int) {
+func (m *model) sum(in map[int]*[callctx.Levels]int, from, to int) (all int, byLevel [callctx.Levels]int) {
 	for s := from; s < to; s++ {
-		for l, n := range count(in, s) {
+		for l, n := range countsIn(in, s) {
 			all += n
-			by[l] += n
+			byLevel[l] += n
 		}
 	}
-	return all, by
+	return all, byLevel
 }
 
-// jittered varies d by a fifth to either side.
+// jittered varies d by up to 20 % in either direction.
 func (m *model) jittered(d time.Duration) time.Duration {
 	return time.Duration((0.8 + 0.4*m.rng.Float64()) * float64(d))
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -6,27 +6,29 @@
 	"github.com/galenagrade/galenagrade/internal/callctx"
 )
 
-// call is a request that runs or waits.
+// call is a running or waiting request.
 type call struct {
 	request Request
 	running bool
-	// probe marks a call let through against the service time estimate.
+	// probe marks a call that runs although the service time estimate predicts that it misses its
+	// deadline.
 	probe bool
-	// above marks a deep call that took an idle slot from above the threshold.
-	above bool
-	// beside is how many calls ran when this one got its slot.
-	beside int
-	// seq breaks ties in order of arrival.
+	// aboveThreshold marks a call that took an idle slot although its rank is not below the
+	// threshold.
+	aboveThreshold bool
+	// concurrentAtStart is the number of calls that were running when this one got its slot.
+	concurrentAtStart int
+	// seq is the arrival order and breaks ties.
 	seq uint64
-	// expiry is when the wait ends without a slot.
+	// expiry is the time at which the call is refused if it has no slot.
 	expiry time.Time
-	// byDeadline says that expiry follows from the deadline, not the wait bound.
+	// byDeadline is set if expiry follows from the deadline instead of the maximum wait.
 	byDeadline bool
-	pos        [heapSlots]int
+	heapIndex  [heapCount]int
 }
 
-// classes is the number of classes of waiting calls: for each level the deep
-// calls, on which work was already spent, and then the roots.
+// classes is the number of classes of waiting calls. Each level has one class for deep calls, on
+// which work was already spent, followed by one for root calls.
 const classes = 2 * callctx.Levels
 
 func classOf(level callctx.Level, depth int) int {
@@ -36,10 +38,11 @@
 	return 2*int(level) + 1
 }
 
-// isRoot reports whether a class holds root calls.
+// isRoot reports whether class holds root calls.
 func isRoot(class int) bool { return class%2 == 1 }
 
-// older orders calls of a class: earlier roots first, then earlier deadlines.
+// older orders the calls of a class by the admission time of their root, then by deadline, then
+// by arrival.
 func older(a, b *call) bool {
 	if c := a.request.RootAdmitted.Compare(b.request.RootAdmitted); c != 0 {
 		return c < 0
@@ -54,23 +57,22 @@
 
 func expiresSooner(a, b *call) bool { return a.expiry.Before(b.expiry) }
 
-// queue holds the waiting calls. Every class can be taken from both ends, since
-// the order of roots is reversed while newestFirst is set.
+// queue holds the waiting calls. Calls of each class can be taken from both ends, because the
+// order of root calls is reversed while lifo is set.
 type queue struct {
-	first, last [classes]indexedHeap
-	expiry      indexedHeap
-	// newestFirst is adaptive LIFO: under sustained overload the oldest roots
-	// are the ones whose callers give up first, and serving in order of arrival
-	// would answer every caller too late. Deep calls keep their order, since
-	// the oldest of them carries most work.
-	newestFirst bool
+	byOldest, byNewest [classes]indexedHeap
+	expiry             indexedHeap
+	// lifo enables adaptive LIFO for root calls. Under sustained overload the callers of the oldest
+	// root calls time out first, so FIFO order would answer every caller too late. Deep calls keep
+	// FIFO order, because most work was spent on the oldest of them.
+	lifo bool
 }
 
 func newQueue() *queue {
-	q := &queue{expiry: indexedHeap{slot: slotExpiry, less: expiresSooner}}
+	q := &queue{expiry: indexedHeap{kind: heapExpiry, less: expiresSooner}}
 	for i := range classes {
-		q.first[i] = indexedHeap{slot: slotFirst, less: older}
-		q.last[i] = indexedHeap{slot: slotLast, less: newer}
+		q.byOldest[i] = indexedHeap{kind: heapOldest, less: older}
+		q.byNewest[i] = indexedHeap{kind: heapNewest, less: newer}
 	}
 	return q
 }
@@ -79,49 +81,49 @@
 
 func (q *queue) push(c *call) {
 	class := classOf(c.request.Level, c.request.Depth)
-	q.first[class].push(c)
-	q.last[class].push(c)
+	q.byOldest[class].push(c)
+	q.byNewest[class].push(c)
 	q.expiry.push(c)
 }
 
 func (q *queue) remove(c *call) {
 	class := classOf(c.request.Level, c.request.Depth)
-	q.first[class].remove(c)
-	q.last[class].remove(c)
+	q.byOldest[class].remove(c)
+	q.byNewest[class].remove(c)
 	q.expiry.remove(c)
 }
 
-func (q *queue) reversed(class int) bool { return q.newestFirst && isRoot(class) }
+func (q *queue) reversed(class int) bool { return q.lifo && isRoot(class) }
 
-// next returns the call to start next, nil when none waits.
+// next returns the call to start next, or nil if none waits.
 func (q *queue) next() *call {
 	for class := range classes {
-		if q.first[class].len() == 0 {
+		if q.byOldest[class].len() == 0 {
 			continue
 		}
 		if q.reversed(class) {
-			return q.last[class].peek()
+			return q.byNewest[class].peek()
 		}
-		return q.first[class].peek()
+		return q.byOldest[class].peek()
 	}
 	return nil
 }
 
-// worst returns the call to give up first, nil when none waits.
-func (q *queue) worst() *call {
+// evictionCandidate returns the least important waiting call, or nil if none waits.
+func (q *queue) evictionCandidate() *call {
 	for class := classes - 1; class >= 0; class-- {
-		if q.first[class].len() == 0 {
+		if q.byOldest[class].len() == 0 {
 			continue
 		}
 		if q.reversed(class) {
-			return q.first[class].peek()
+			return q.byOldest[class].peek()
 		}
-		return q.last[class].peek()
+		return q.byNewest[class].peek()
 	}
 	return nil
 }
 
-// before reports whether a goes ahead of b.
+// before reports whether a starts before b.
 func (q *queue) before(a, b *call) bool {
 	ca := classOf(a.request.Level, a.request.Depth)
 	cb := classOf(b.request.Level, b.request.Depth)
@@ -134,21 +136,21 @@
 	return older(a, b)
 }
 
-// ahead returns how many waiting calls a new one would have before it. A root
-// that comes under newestFirst has none of its own class before it.
-func (q *queue) ahead(level callctx.Level, depth int) int {
+// countAhead returns the number of waiting calls that would start before a new one. With lifo
+// set, a new root call starts before all others of its class.
+func (q *queue) countAhead(level callctx.Level, depth int) int {
 	class := classOf(level, depth)
 	n := 0
 	for i := range class {
-		n += q.first[i].len()
+		n += q.byOldest[i].len()
 	}
 	if !q.reversed(class) {
-		n += q.first[class].len()
+		n += q.byOldest[class].len()
 	}
 	return n
 }
 
-// expired returns a call whose wait has ended, nil when there is none.
+// expired returns a call whose wait has ended, or nil if there is none.
 func (q *queue) expired(now time.Time) *call {
 	if q.expiry.len() == 0 {
 		return nil
--- a/internal/admission/refusals.go
+++ b/internal/admission/refusals.go
@@ -7,7 +7,7 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// reason is why a call is refused.
+// reason is the reason for a refusal.
 type reason int
 
 const (
@@ -18,68 +18,68 @@
 	reasonDeadline
 	reasonExpired
 	reasonDraining
-	reasons
+	reasonCount
 )
 
 const (
-	// spreads is the number of different times to come back, by caller, so that
-	// refused callers do not return all at once.
-	spreads = 4
-	// shedRetryAfter is the least time after which a shed caller may come back:
-	// about the time in which the threshold opens.
+	// jitterSteps is the number of different retry delays, chosen by the hash of the caller, so
+	// that refused callers do not all retry at once.
+	jitterSteps = 4
+	// shedRetryAfter is the minimum retry delay after a shed. It is about the time that the
+	// threshold takes to open.
 	shedRetryAfter = 500 * time.Millisecond
-	// shedRetrySpread is the step between spreads.
-	shedRetrySpread = 250 * time.Millisecond
-	// minRetryAfter is the least hint of all.
+	// shedRetryJitterStep is the difference between two consecutive retry delays.
+	shedRetryJitterStep = 250 * time.Millisecond
+	// minRetryAfter is the minimum of all retry delays.
 	minRetryAfter = 100 * time.Millisecond
-	// drainRetryAfter is when callers know that the upstream is leaving.
+	// drainRetryAfter is the time until callers have learned that the upstream is leaving.
 	drainRetryAfter = 2 * time.Second
 )
 
-// refusalCache holds the refusals of the present interval. Under overload a
-// refusal is the most frequent answer; formatting each would cost more than the
-// decision. The figures in a detail are at most one interval old.
-type refusalCache [reasons][callctx.Levels][spreads]*result.Refusal
+// refusalCache holds the refusals of the current interval. Under overload a refusal is the most
+// frequent result, and formatting each one would cost more than the decision. The numbers in a
+// detail are therefore up to one interval old.
+type refusalCache [reasonCount][callctx.Levels][jitterSteps]*result.Refusal
 
 func (c *Controller) refusal(why reason, r *Request) *result.Refusal {
-	spread := r.CallerHash % spreads
-	kept := &c.refusals[why][r.Level][spread]
-	if *kept == nil {
-		*kept = c.newRefusal(why, r.Level, time.Duration(spread))
+	jitter := r.CallerHash % jitterSteps
+	cached := &c.refusals[why][r.Level][jitter]
+	if *cached == nil {
+		*cached = c.newRefusal(why, r.Level, time.Duration(jitter))
 	}
-	return *kept
+	return *cached
 }
 
-func (c *Controller) newRefusal(why reason, level callctx.Level, spread time.Duration) *result.Refusal {
-	shedAfter := shedRetryAfter + spread*shedRetrySpread
+func (c *Controller) newRefusal(why reason, level callctx.Level, jitter time.Duration) *result.Refusal {
+	retryAfter := shedRetryAfter + jitter*shedRetryJitterStep
 	switch why {
 	case reasonQueueFull:
-		return result.Refuse(result.Shed, "%d of %d places in the queue taken, %d of %d slots in use",
-			c.queue.len(), c.cfg.QueueLimit, c.inFlight, c.limiter.limit).After(shedAfter)
+		return result.Refuse(result.Shed, "queue is full: %d of %d places taken, %d of %d slots in use",
+			c.queue.len(), c.cfg.QueueLimit, c.inFlight, c.limiter.limit).After(retryAfter)
 	case reasonDisplaced:
-		return result.Refuse(result.Shed, "displaced by a more important call, %d places in the queue, %d of %d slots in use",
-			c.cfg.QueueLimit, c.inFlight, c.limiter.limit).After(shedAfter)
+		return result.Refuse(result.Shed, "displaced from the full queue by a more important call, %d places in the queue, %d of %d slots in use",
+			c.cfg.QueueLimit, c.inFlight, c.limiter.limit).After(retryAfter)
 	case reasonThreshold:
 		return result.Refuse(result.Shed, "rank of this %s caller is at or above the shed threshold %#08x, %d of %d slots in use",
-			level, c.shedder.threshold, c.inFlight, c.limiter.limit).After(shedAfter)
+			level, c.shedder.threshold, c.inFlight, c.limiter.limit).After(retryAfter)
 	case reasonNeverWaits:
-		return result.Refuse(result.Shed, "worth of level %s is 0 and %d of %d slots are in use",
-			level, c.inFlight, c.limiter.limit).After(shedAfter)
+		return result.Refuse(result.Shed, "calls of level %s have worth 0 and do not wait, %d of %d slots in use",
+			level, c.inFlight, c.limiter.limit).After(retryAfter)
 	case reasonDeadline:
 		wait := c.expectedWait(level, 0)
-		return result.Refuse(result.DeadlineTooNear, "less time left than service time %v (10%% quantile) plus expected wait %v",
+		return result.Refuse(result.DeadlineTooNear, "time until the deadline is shorter than service time %v (10%% quantile) plus expected wait %v",
 			c.serviceTime(level), wait).After(max(minRetryAfter, wait))
 	case reasonExpired:
-		return result.Refuse(result.QueueExpired, "no slot within the bound of the wait (at most %v), %d of %d slots in use",
-			c.cfg.MaxWait, c.inFlight, c.limiter.limit).After(shedAfter)
+		return result.Refuse(result.QueueExpired, "no slot became free within the maximum wait (at most %v), %d of %d slots in use",
+			c.cfg.MaxWait, c.inFlight, c.limiter.limit).After(retryAfter)
 	}
-	return result.Refuse(result.Draining, "upstream takes no new work, %d calls still run",
+	return result.Refuse(result.Draining, "upstream is draining and accepts no new calls, %d calls are still running",
 		c.inFlight).After(drainRetryAfter)
 }
 
-// refuseDuplicate answers a call ID that runs or waits already. Not run would
-// be false, since the first call of this ID may take effect.
+// refuseDuplicate refuses a call whose ID is already running or waiting. It reports an unknown
+// outcome instead of "not run", because the first call with this ID may take effect.
 func refuseDuplicate(id string) Decision {
-	r := result.Refuse(result.OutcomeUnknown, "call ID is already admitted here").After(minRetryAfter)
+	r := result.Refuse(result.OutcomeUnknown, "a call with this ID is already running or waiting here").After(minRetryAfter)
 	return Decision{ID: id, Verdict: Refuse, Refusal: r}
 }
--- a/internal/admission/reserve.go
+++ b/internal/admission/reserve.go
@@ -3,167 +3,168 @@
 import "time"
 
 const (
-	// reserveShare: a step of a trial is a sixteenth of the slots, rounded up: the least
-	// that shows in the answers of one measurement.
-	reserveShare = 16
-	// fullSlots of the slots in use means that throughput is bounded by them and by
-	// nothing else: with less, a change of demand would be taken for one of the upstream.
-	fullSlots = 0.97
-	// reserveAnswers and reserveMeasure are what a measurement needs at least: two of
-	// them differ by some 4 % by chance.
-	reserveAnswers = 200
-	reserveMeasure = 500 * time.Millisecond
-	// reserveLongest ends a trial at an upstream that answers too little to tell: below
-	// 25 answers a second. A trial costs a sixteenth of the slots meanwhile.
-	reserveLongest = 8 * time.Second
-	// reserveGain is what a step that leaves more slots empty must add to the answers.
-	// It lies between what the slots are worth where each helps (a sixteenth less) and
-	// what an upstream gains that is a quarter slower with its last slots in use.
-	reserveGain = 1.03
-	// reserveSame is the part of the answers that counts as no fewer, where slots stay
-	// empty though there are less of them.
-	reserveSame = 0.97
+	// reserveStepDivisor: a step is a sixteenth of the slots, rounded up. This is the smallest step
+	// with a measurable effect on throughput.
+	reserveStepDivisor = 16
+	// reserveMinUse is the share of slots in use from which only the slots limit throughput. With a
+	// lower share, a change of demand would be mistaken for an effect of the step.
+	reserveMinUse = 0.97
+	// reserveMinResponses and reserveMinDuration are the minimum size of a measurement. Two
+	// measurements of this size differ by about 4 % by chance.
+	reserveMinResponses = 200
+	reserveMinDuration  = 500 * time.Millisecond
+	// reserveMaxDuration ends a trial whose upstream returns too few responses for a decision:
+	// fewer than 25 per second. The trial costs a sixteenth of the slots meanwhile.
+	reserveMaxDuration = 8 * time.Second
+	// reserveMinGain is the throughput ratio that confirms a step to more empty slots. It lies
+	// between the ratio if every slot contributes (a sixteenth less) and the gain of an upstream
+	// that is a quarter slower with its last slots in use.
+	reserveMinGain = 1.03
+	// reserveMinKept is the throughput ratio that counts as unchanged. It applies if slots stay
+	// idle although there are fewer of them.
+	reserveMinKept = 0.97
 )
 
-// reserve is how many slots are left empty because the upstream answers more with
-// fewer calls at once. Load pattern: more demand than slots for seconds on end,
-// at an upstream that slows all its calls as its last slots fill. With all slots in
-// use such an upstream loses throughput just when it is short.
+// reserve is the number of slots that are left empty because the upstream has a higher
+// throughput with fewer concurrent calls. It matters when demand exceeds the slots for seconds
+// and all calls of the upstream become slower as its last slots fill. With all slots in use,
+// such an upstream loses throughput when it is needed most.
 //
-// It is found by trial: one step, the answers before and after, and the step is kept or
-// taken back. Steps go on in the direction that helped, and turn round when one did
-// not, after a pause that doubles.
+// The value is found by trials. A trial changes the reserve by one step, compares the throughput
+// before and after, and keeps or reverts the step. Steps continue in a direction that helped.
+// Otherwise the direction reverses after a pause, which doubles each time.
 type reserve struct {
 	slots int
-	// fewer is the direction of the next step: fewer empty slots.
-	fewer bool
-	next  time.Time
-	pause time.Duration
+	// shrinking is the direction of the next step: to fewer empty slots if set, otherwise to more.
+	shrinking bool
+	nextTrial time.Time
+	backoff   time.Duration
 
 	phase reservePhase
-	// tried is in force in place of slots while a step is on trial.
-	tried int
-	// before is the rate of answers that the step has to beat.
-	before float64
-
-	since   time.Time
-	answers int
-	// full says that hardly a slot was empty in the measurement.
-	full bool
+	// trialSlots replaces slots while a step is on trial.
+	trialSlots int
+	// rateBefore is the rate of responses before the step.
+	rateBefore float64
+
+	measureStart time.Time
+	responses    int
+	// allSlotsBusy is set if nearly all slots were in use throughout the measurement.
+	allSlotsBusy bool
 }
 
-// reservePhase is where a trial stands.
+// reservePhase is the phase of a trial.
 type reservePhase int
 
 const (
-	// reserveWatched: no trial; the rate of answers with full slots is measured.
-	reserveWatched reservePhase = iota
-	// reserveSettling: calls from before the step are still running.
+	// reserveBaseline means that no trial is running. The rate of responses with full slots is
+	// measured.
+	reserveBaseline reservePhase = iota
+	// reserveSettling means that calls from before the step are still running.
 	reserveSettling
-	// reserveMeasured: the rate after the step is measured.
-	reserveMeasured
+	// reserveMeasuring means that the rate of responses after the step is being measured.
+	reserveMeasuring
 )
 
-// inForce returns how many slots are left empty now.
-func (h *reserve) inForce() int {
-	if h.phase == reserveWatched {
-		return h.slots
+// effective returns the number of slots that are left empty now.
+func (r *reserve) effective() int {
+	if r.phase == reserveBaseline {
+		return r.slots
 	}
-	return h.tried
+	return r.trialSlots
 }
 
-func (h *reserve) restart(now time.Time) {
-	h.since = now
-	h.answers = 0
-	h.full = true
+func (r *reserve) restart(now time.Time) {
+	r.measureStart = now
+	r.responses = 0
+	r.allSlotsBusy = true
 }
 
-// abort ends a trial that something else upset.
-func (h *reserve) abort(now time.Time) {
-	h.phase = reserveWatched
-	h.restart(now)
+// abort ends a trial that another change of the limit has invalidated.
+func (r *reserve) abort(now time.Time) {
+	r.phase = reserveBaseline
+	r.restart(now)
 }
 
-// adjust is called once per interval; full says that hardly a slot was empty in it,
-// median is how long a call takes.
-func (h *reserve) adjust(now time.Time, full bool, median time.Duration, cfg Config) {
-	h.full = h.full && full
-	length := now.Sub(h.since)
-	switch h.phase {
-	case reserveWatched:
-		if !h.full {
-			h.restart(now)
+// adjust is called once per interval. allSlotsBusy states that nearly all slots were in use in
+// it, and median is the median latency.
+func (r *reserve) adjust(now time.Time, allSlotsBusy bool, median time.Duration, cfg Config) {
+	r.allSlotsBusy = r.allSlotsBusy && allSlotsBusy
+	length := now.Sub(r.measureStart)
+	switch r.phase {
+	case reserveBaseline:
+		if !r.allSlotsBusy {
+			r.restart(now)
 			return
 		}
-		if h.measured(length) && !now.Before(h.next) {
-			h.propose(now, float64(h.answers)/length.Seconds(), cfg)
+		if r.enoughData(length) && !now.Before(r.nextTrial) {
+			r.startTrial(now, float64(r.responses)/length.Seconds(), cfg)
 		}
 	case reserveSettling:
 		if length >= max(cfg.SojournInterval, median) {
-			h.phase = reserveMeasured
-			h.restart(now)
+			r.phase = reserveMeasuring
+			r.restart(now)
 		}
-	case reserveMeasured:
+	case reserveMeasuring:
 		switch {
-		case h.measured(length):
-			h.conclude(now, float64(h.answers)/length.Seconds())
-		case length >= reserveLongest:
-			h.turn(now)
-			h.abort(now)
+		case r.enoughData(length):
+			r.finishTrial(now, float64(r.responses)/length.Seconds())
+		case length >= reserveMaxDuration:
+			r.reverse(now)
+			r.abort(now)
 		}
 	}
 }
 
-func (h *reserve) measured(length time.Duration) bool {
-	return h.answers >= reserveAnswers && length >= reserveMeasure
+func (r *reserve) enoughData(length time.Duration) bool {
+	return r.responses >= reserveMinResponses && length >= reserveMinDuration
 }
 
-// propose begins a trial, unless the next step would leave the bounds.
-func (h *reserve) propose(now time.Time, rate float64, cfg Config) {
-	step := (cfg.Slots + reserveShare - 1) / reserveShare
-	if h.slots == 0 {
-		h.fewer = false
+// startTrial starts a trial, unless the next step would exceed the bounds.
+func (r *reserve) startTrial(now time.Time, rate float64, cfg Config) {
+	step := (cfg.Slots + reserveStepDivisor - 1) / reserveStepDivisor
+	if r.slots == 0 {
+		r.shrinking = false
 	}
-	h.tried = h.slots + step
-	if h.fewer {
-		h.tried = max(0, h.slots-step)
+	r.trialSlots = r.slots + step
+	if r.shrinking {
+		r.trialSlots = max(0, r.slots-step)
 	}
-	if cfg.Slots-h.tried < cfg.MinLimit {
-		h.turn(now)
+	if cfg.Slots-r.trialSlots < cfg.MinLimit {
+		r.reverse(now)
 		return
 	}
-	h.before = rate
-	h.phase = reserveSettling
-	h.restart(now)
+	r.rateBefore = rate
+	r.phase = reserveSettling
+	r.restart(now)
 }
 
-func (h *reserve) conclude(now time.Time, rate float64) {
-	if h.better(rate / h.before) {
-		h.slots = h.tried
-		h.pause = 0
+func (r *reserve) finishTrial(now time.Time, rate float64) {
+	if r.improved(rate / r.rateBefore) {
+		r.slots = r.trialSlots
+		r.backoff = 0
 	} else {
-		h.turn(now)
+		r.reverse(now)
 	}
-	h.phase = reserveWatched
-	h.restart(now)
+	r.phase = reserveBaseline
+	r.restart(now)
 }
 
-// better reports whether the answers after the step speak for it; ratio is their rate
-// over the one before.
-func (h *reserve) better(ratio float64) bool {
+// improved reports whether the step is to be kept. ratio is the rate of responses after the step
+// divided by the rate before it.
+func (r *reserve) improved(ratio float64) bool {
 	switch {
-	case h.fewer:
-		return h.full && ratio >= 1
-	case h.full:
-		return ratio >= reserveGain
+	case r.shrinking:
+		return r.allSlotsBusy && ratio >= 1
+	case r.allSlotsBusy:
+		return ratio >= reserveMinGain
 	}
-	// Slots stayed empty though there are less of them: what waited has been answered.
-	return ratio >= reserveSame
+	// Slots stayed idle although there are fewer of them, so the backlog has been served.
+	return ratio >= reserveMinKept
 }
 
-// turn goes on in the other direction, after a pause.
-func (h *reserve) turn(now time.Time) {
-	h.fewer = !h.fewer
-	h.pause = min(max(2*h.pause, minBackoff), maxBackoff)
-	h.next = now.Add(h.pause)
+// reverse changes the direction of the steps and pauses.
+func (r *reserve) reverse(now time.Time) {
+	r.shrinking = !r.shrinking
+	r.backoff = min(max(2*r.backoff, minBackoff), maxBackoff)
+	r.nextTrial = now.Add(r.backoff)
 }
--- a/internal/admission/reserve_test.go
+++ b/internal/admission/reserve_test.go
@@ -7,39 +7,40 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a trial of the reserve that is decided by chance, on too few answers.
-func TestReserveWaitsForItsAnswers(t *testing.T) {
-	h := &reserve{}
-	begun := time.Date(2026, 3, 6, 8, 0, 0, 0, time.UTC)
-	h.restart(begun)
+// Guards against a trial of the reserve that is decided by chance because it has too few
+// responses.
+func TestReserveTrialNeedsEnoughResponses(t *testing.T) {
+	r := &reserve{}
+	start := time.Date(2026, 3, 6, 8, 0, 0, 0, time.UTC)
+	r.restart(start)
 	cfg := DefaultConfig(32)
-	decidedWith := 0
+	responsesAtDecision := 0
 	for i := range 200 {
-		now := begun.Add(time.Duration(i+1) * 100 * time.Millisecond)
-		h.answers += 6
-		answers, before := h.answers, h.phase
-		h.adjust(now, true, 300*time.Millisecond, cfg)
-		if before == reserveMeasured && h.phase == reserveWatched {
-			decidedWith = answers
+		now := start.Add(time.Duration(i+1) * 100 * time.Millisecond)
+		r.responses += 6
+		answers, before := r.responses, r.phase
+		r.adjust(now, true, 300*time.Millisecond, cfg)
+		if before == reserveMeasuring && r.phase == reserveBaseline {
+			responsesAtDecision = answers
 			break
 		}
 	}
-	must.GreaterEq(t, reserveAnswers, decidedWith)
+	must.GreaterEq(t, reserveMinResponses, responsesAtDecision)
 }
 
-// An upstream answers ten calls a second: nothing can be told from that, and a trial
-// must end without keeping its step.
-func TestReserveGivesUpOnFewAnswers(t *testing.T) {
-	h := &reserve{before: 1000, phase: reserveMeasured, tried: 2}
+// Guards against a trial of the reserve that never ends, or keeps its step, because the upstream
+// returns only 10 responses per second, too few for a decision.
+func TestReserveTrialEndsOnFewResponses(t *testing.T) {
+	r := &reserve{rateBefore: 1000, phase: reserveMeasuring, trialSlots: 2}
 	begun := time.Date(2026, 3, 6, 8, 0, 0, 0, time.UTC)
-	h.restart(begun)
+	r.restart(begun)
 	for i := range 100 {
-		h.answers++
-		h.adjust(begun.Add(time.Duration(i+1)*100*time.Millisecond), true, 300*time.Millisecond, DefaultConfig(32))
-		if h.phase == reserveWatched {
+		r.responses++
+		r.adjust(begun.Add(time.Duration(i+1)*100*time.Millisecond), true, 300*time.Millisecond, DefaultConfig(32))
+		if r.phase == reserveBaseline {
 			break
 		}
 	}
-	must.EqOp(t, reserveWatched, h.phase)
-	must.EqOp(t, 0, h.inForce())
+	must.EqOp(t, reserveBaseline, r.phase)
+	must.EqOp(t, 0, r.effective())
 }
--- a/internal/admission/story_test.go
+++ b/internal/admission/scenario_test.go
@@ -10,8 +10,8 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// mixed offers all four levels in equal parts.
-func mixed(slots int, timeout time.Duration, service func(*model, *modelCall) time.Duration, rate func(time.Duration) float64) *model {
+// newMixedModel offers calls of all four levels at equal rates.
+func newMixedModel(slots int, timeout time.Duration, service func(*model, *modelCall) time.Duration, rate func(time.Duration) float64) *model {
 	m := newModel(DefaultConfig(slots), service)
 	for l := range callctx.Levels {
 		m.stream(func(t time.Duration) float64 { return rate(t) / callctx.Levels }, m.request(callctx.Level(l), timeout))
@@ -19,7 +19,7 @@
 	return m
 }
 
-func between(from, to time.Duration, inside, outside time.Duration) func(*model, *modelCall) time.Duration {
+func latencyWithin(from, to time.Duration, inside, outside time.Duration) func(*model, *modelCall) time.Duration {
 	return func(m *model, _ *modelCall) time.Duration {
 		if e := m.Elapsed(); e >= from && e < to {
 			return m.jittered(inside)
@@ -28,48 +28,50 @@
 	}
 }
 
-// Guards against a surge that costs critical calls or throughput, or whose refusals outlast it.
+// Guards against a surge that reduces throughput or the success of critical calls, or that
+// causes refusals after it has ended.
 func TestSurgeShedsLowLevelsFirst(t *testing.T) {
 	const capacity = 2500 // 25 slots, 10 ms
-	m := mixed(25, time.Second, between(0, 0, 0, 10*time.Millisecond), func(e time.Duration) float64 {
+	m := newMixedModel(25, time.Second, latencyWithin(0, 0, 0, 10*time.Millisecond), func(e time.Duration) float64 {
 		if e >= 3*time.Second && e < 7*time.Second {
 			return 3 * capacity
 		}
 		return 0.6 * capacity
 	})
 	m.Run(10 * time.Second)
-	all, good := m.sum(m.good, 4, 7)
+	all, good := m.sum(m.answeredInTime, 4, 7)
 	_, offered := m.sum(m.offered, 4, 7)
 	must.Greater(t, 0.95*3*capacity, float64(all))
 	must.Greater(t, 0.98*float64(offered[callctx.LevelCritical]), float64(good[callctx.LevelCritical]))
 	must.Less(t, 30, good[callctx.LevelLow])
-	after, _ := m.sum(m.good, 8, 10)
+	after, _ := m.sum(m.answeredInTime, 8, 10)
 	demand, _ := m.sum(m.offered, 8, 10)
 	must.Greater(t, 0.98*float64(demand), float64(after))
 }
 
-// Guards against a limit that follows the latency of a slow deeper service down.
+// Guards against a limit that falls because a deeper service is slow and latency rises.
 func TestUniformSlowdownKeepsLimit(t *testing.T) {
-	m := mixed(25, time.Second, between(3*time.Second, 12*time.Second, 200*time.Millisecond, 20*time.Millisecond), steady(800))
+	m := newMixedModel(25, time.Second, latencyWithin(3*time.Second, 12*time.Second, 200*time.Millisecond, 20*time.Millisecond), steady(800))
 	least := 25
 	for s := range 15 {
 		m.Run(time.Duration(s+1) * time.Second)
 		least = min(least, m.ctl.Load().Limit)
 	}
 	must.GreaterEq(t, 18, least)
-	slowed, _ := m.sum(m.good, 4, 12)
+	slowed, _ := m.sum(m.answeredInTime, 4, 12)
 	must.Greater(t, int(0.85*125*8), slowed)
 	must.Eq(t, 25, m.ctl.Load().Limit)
-	after, _ := m.sum(m.good, 13, 15)
+	after, _ := m.sum(m.answeredInTime, 13, 15)
 	demand, _ := m.sum(m.offered, 13, 15)
 	must.Greater(t, 0.97*float64(demand), float64(after))
 }
 
-// Guards against calls sent to an upstream that takes fewer than it announced.
+// Guards against sending more calls than the upstream accepts, when it accepts fewer than it
+// announced.
 func TestLimitFollowsUpstreamShedding(t *testing.T) {
-	m := mixed(25, time.Second, between(0, 0, 0, 10*time.Millisecond), steady(2000))
+	m := newMixedModel(25, time.Second, latencyWithin(0, 0, 0, 10*time.Millisecond), steady(2000))
 	shed := 0
-	m.sheds = func(m *model) bool {
+	m.shedsCall = func(m *model) bool {
 		e := m.Elapsed()
 		full := e >= 3*time.Second && e < 8*time.Second && m.ctl.Load().InFlight > 10
 		if full {
@@ -84,28 +86,30 @@
 	must.Eq(t, 25, m.ctl.Load().Limit)
 }
 
-// Guards against a limit that follows an ill upstream's random refusals while slots stand idle.
+// Guards against a limit that falls although an unhealthy upstream refuses calls at random, so
+// that slots are idle.
 func TestRefusalsAtRandomKeepLimit(t *testing.T) {
 	for _, share := range []float64{0.3, 0.4, 0.55, 0.7} {
 		for _, demand := range []float64{800, 1200, 2000} {
-			m := mixed(122, 2*time.Second, between(0, 0, 0, 70*time.Millisecond), steady(demand))
-			ill := func() bool { return m.Elapsed() >= 3*time.Second && m.Elapsed() < 11*time.Second }
-			m.sheds = func(m *model) bool { return ill() && m.rng.Float64() < share }
+			m := newMixedModel(122, 2*time.Second, latencyWithin(0, 0, 0, 70*time.Millisecond), steady(demand))
+			shedding := func() bool { return m.Elapsed() >= 3*time.Second && m.Elapsed() < 11*time.Second }
+			m.shedsCall = func(m *model) bool { return shedding() && m.rng.Float64() < share }
 			m.Run(11 * time.Second)
-			answered, _ := m.sum(m.good, 5, 11)
+			answered, _ := m.sum(m.answeredInTime, 5, 11)
 			must.Greater(t, 0.9*(1-share)*demand*6, float64(answered), must.Sprintf("share %.2f of %.0f calls/s", share, demand))
 		}
 	}
 }
 
-// Guards against an upstream that lost most of its slots being taken for an ill one.
+// Guards against classifying the refusals of an upstream that has lost most of its slots as
+// random.
 func TestLimitFollowsCollapsedUpstream(t *testing.T) {
-	for _, x := range []struct{ room, sheds int }{
+	for _, x := range []struct{ capacity, sheds int }{
 		{20, 2100}, // a quarter of the calls of 7 s
-		{4, 8400},  // the least limit is above the room
+		{4, 8400},  // the minimum limit exceeds the capacity
 	} {
-		room, shed := x.room, 0
-		m := mixed(122, 2*time.Second, between(0, 0, 0, 70*time.Millisecond), steady(1200))
+		capacity, shed := x.capacity, 0
+		m := newMixedModel(122, 2*time.Second, latencyWithin(0, 0, 0, 70*time.Millisecond), steady(1200))
 		running := 0
 		service := m.service
 		m.service = func(m *model, c *modelCall) time.Duration {
@@ -114,8 +118,8 @@
 			m.After(took, func() { running-- })
 			return took
 		}
-		m.sheds = func(m *model) bool {
-			full := m.Elapsed() >= 3*time.Second && running >= room
+		m.shedsCall = func(m *model) bool {
+			full := m.Elapsed() >= 3*time.Second && running >= capacity
 			if full && m.Elapsed() >= 5*time.Second {
 				shed++
 			}
@@ -123,15 +127,15 @@
 		}
 		for second := range 7 {
 			m.Run(time.Duration(5+second) * time.Second)
-			must.Between(t, 15, m.ctl.Load().Limit, 25, must.Sprintf("room %d, %v", room, m.Elapsed()))
+			must.Between(t, 15, m.ctl.Load().Limit, 25, must.Sprintf("capacity %d, %v", capacity, m.Elapsed()))
 		}
 		must.Less(t, x.sheds, shed)
 	}
 }
 
-// Guards against an upstream that announces more slots than it has processors for.
+// Guards against overload of an upstream that announces more slots than it has processors for.
 func TestLimitFindsOverstatedSlots(t *testing.T) {
-	m := mixed(25, 2*time.Second, nil, func(e time.Duration) float64 {
+	m := newMixedModel(25, 2*time.Second, nil, func(e time.Duration) float64 {
 		if e < 2*time.Second {
 			return 300
 		}
@@ -147,11 +151,12 @@
 		least = min(least, m.ctl.Load().Limit)
 	}
 	must.Less(t, 19, least)
-	all, _ := m.sum(m.good, 4, 10)
+	all, _ := m.sum(m.answeredInTime, 4, 10)
 	must.Greater(t, int(0.95*800*6), all)
 }
 
-// Guards against answers that all come after their callers have given up.
+// Guards against FIFO order under sustained overload, which answers all callers after their
+// timeout.
 func TestNewestFirstUnderSustainedOverload(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	cfg := DefaultConfig(1)
@@ -185,9 +190,10 @@
 	must.False(t, c.Load().Overloaded)
 }
 
-// Guards against every caller losing some of its calls, so that none gets a whole result.
-func TestWholeCallersAreShedTogether(t *testing.T) {
-	m := newModel(DefaultConfig(25), between(0, 0, 0, 10*time.Millisecond))
+// Guards against shedding that refuses some calls of every caller, so that no caller gets a
+// complete result.
+func TestCallersAreShedAsAWhole(t *testing.T) {
+	m := newModel(DefaultConfig(25), latencyWithin(0, 0, 0, 10*time.Millisecond))
 	offered := map[uint32]int{}
 	callers := make([]uint32, 16)
 	for i := range callers {
@@ -204,45 +210,45 @@
 	clear(offered)
 	clear(m.refused)
 	m.Run(6 * time.Second)
-	served, dropped, mixed := 0, 0, 0
+	mostlyServed, mostlyRefused, partlyServed := 0, 0, 0
 	for _, hash := range callers {
 		switch share := float64(m.refused[hash]) / float64(offered[hash]); {
 		case share < 0.05:
-			served++
+			mostlyServed++
 		case share > 0.95:
-			dropped++
+			mostlyRefused++
 		default:
-			mixed++
+			partlyServed++
 		}
 	}
-	must.GreaterEq(t, 6, served)
-	must.GreaterEq(t, 6, dropped)
-	must.LessEq(t, 3, mixed, must.Sprintf("served %d dropped %d mixed %d", served, dropped, mixed))
+	must.GreaterEq(t, 6, mostlyServed)
+	must.GreaterEq(t, 6, mostlyRefused)
+	must.LessEq(t, 3, partlyServed, must.Sprintf("callers mostly served %d, mostly refused %d, partly served %d", mostlyServed, mostlyRefused, partlyServed))
 }
 
-// Guards against a stale estimate of the service time that refuses all calls for good.
-func TestProbeLeadsOutOfStaleEstimate(t *testing.T) {
-	m := mixed(25, 100*time.Millisecond, between(3*time.Second, 8*time.Second, 200*time.Millisecond, 20*time.Millisecond), steady(800))
+// Guards against an outdated estimate of the service time that refuses all calls permanently.
+func TestProbesCorrectStaleEstimate(t *testing.T) {
+	m := newMixedModel(25, 100*time.Millisecond, latencyWithin(3*time.Second, 8*time.Second, 200*time.Millisecond, 20*time.Millisecond), steady(800))
 	started := 0
-	recovers := m.service
+	service := m.service
 	m.service = func(m *model, c *modelCall) time.Duration {
 		started++
-		return recovers(m, c)
+		return service(m, c)
 	}
-	m.Run(6 * time.Second) // two generations of samples and a half
+	m.Run(6 * time.Second) // 2.5 generations of samples
 	started = 0
 	m.Run(8 * time.Second)
-	must.Between(t, 3, started, 40) // probes only, of 1,600 offered
+	must.Between(t, 3, started, 40) // only probes, of 1,600 offered
 	m.Run(11 * time.Second)
-	good, _ := m.sum(m.good, 9, 11)
+	good, _ := m.sum(m.answeredInTime, 9, 11)
 	demand, _ := m.sum(m.offered, 9, 11)
 	must.Greater(t, 0.97*float64(demand), float64(good))
 }
 
-// Guards against quick calls refused for good because only slow ones are measured.
-func TestProbeWinsBackQuickCalls(t *testing.T) {
+// Guards against fast calls that are refused permanently because only slow calls are measured.
+func TestProbesAdmitFastCallsAgain(t *testing.T) {
 	m := newModel(DefaultConfig(25), nil)
-	quick := func() Request {
+	fastRequest := func() Request {
 		return Request{Level: callctx.LevelHigh, CallerHash: m.rng.Uint32(), Deadline: m.Now().Add(50 * time.Millisecond)}
 	}
 	m.stream(steady(100), m.request(callctx.LevelHigh, 2*time.Second))
@@ -251,7 +257,7 @@
 			return 0
 		}
 		return 200
-	}, quick)
+	}, fastRequest)
 	m.service = func(m *model, c *modelCall) time.Duration {
 		if c.req.Deadline.Sub(m.Now()) <= 50*time.Millisecond {
 			return m.jittered(10 * time.Millisecond)
@@ -259,11 +265,11 @@
 		return m.jittered(100 * time.Millisecond)
 	}
 	m.Run(8 * time.Second)
-	_, good := m.sum(m.good, 5, 8)
+	_, good := m.sum(m.answeredInTime, 5, 8)
 	must.Greater(t, int(0.95*300*3), good[callctx.LevelHigh])
 }
 
-// Guards against a critical call refused while low ones wait in the queue.
+// Guards against refusing a critical call while calls of low importance wait in the queue.
 func TestImportantCallDisplacesLeastImportant(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	cfg := DefaultConfig(1)
@@ -281,9 +287,9 @@
 	must.Eq(t, []Decision{{ID: "officer", Verdict: Run}}, c.Finish(now, "runs", Answered, time.Millisecond))
 }
 
-// An operator drains an upstream. What runs ends in peace; what waits and what
-// comes is told at once that it was not run.
-func TestDrainRefusesTruthfully(t *testing.T) {
+// Guards against a drain that aborts running calls, or that leaves waiting or new calls without
+// an immediate refusal that states that they were not run.
+func TestDrainRefusesWaitingAndNewCalls(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	c := New(DefaultConfig(1), now)
 	c.Offer(now, Request{ID: "runs"})
@@ -293,7 +299,7 @@
 	must.Eq(t, result.Draining, out[0].Refusal.Code)
 	d, _ := c.Offer(now, Request{ID: "late"})
 	must.Eq(t, result.Draining, d.Refusal.Code)
-	must.Eq(t, Load{InFlight: 1, Limit: 1, Threshold: nothingShed, Draining: true}, c.Load())
+	must.Eq(t, Load{InFlight: 1, Limit: 1, Threshold: openThreshold, Draining: true}, c.Load())
 	must.SliceEmpty(t, c.Finish(now, "runs", Answered, time.Millisecond))
 	must.Eq(t, 0, c.Load().InFlight)
 }
--- a/internal/admission/surge_test.go
+++ b/internal/admission/surge_test.go
@@ -9,73 +9,75 @@
 	"github.com/galenagrade/galenagrade/internal/callctx"
 )
 
-// surged is what became of the requests of a surge from two seconds after its step on.
-type surged struct {
+// surgeResult counts the requests of a surge, starting 2 s after the step in demand.
+type surgeResult struct {
 	treeTally
-	// room is how many requests the guards had room for.
-	room float64
+	// capacity is the number of requests that the guards can serve.
+	capacity float64
 }
 
-func (s surged) completedShare() float64 {
+func (s surgeResult) completedShare() float64 {
 	return float64(s.completed) / float64(s.completed+s.failed)
 }
 
-// surge is a step to 1.8 times the usual callers, of whom each request makes four calls of
-// three guards in a row.
-func surge(entries int) surged {
+// runSurge simulates a step in demand to 1.8 times the normal rate. Each request makes four
+// sequential calls to a service with three guards.
+func runSurge(entries int) surgeResult {
 	const (
 		step, settled, end = 5 * time.Second, 7 * time.Second, 17 * time.Second
 		guards, slots      = 3, 39
 		calls              = 4
 		usualUse           = 0.75
 	)
-	capacity := float64(guards*slots) / usualCall.Seconds() / calls
+	capacity := float64(guards*slots) / meanCallDuration.Seconds() / calls
 	f := newTreeModel(entries, guards, slots, []treeRoute{
 		{level: callctx.LevelNormal, rate: usualUse * capacity, calls: calls, work: 250 * time.Millisecond, worth: 1, timeout: 2 * time.Second},
 	})
-	f.demand = func() float64 {
+	f.demandFactor = func() float64 {
 		if f.model.Elapsed() < step {
 			return 1
 		}
 		return 1.8
 	}
-	f.from = settled
+	f.countFrom = settled
 	f.run(end)
-	return surged{f.tally[0], capacity * (end - settled).Seconds()}
+	return surgeResult{f.tally[0], capacity * (end - settled).Seconds()}
 }
 
-// Guards against entries that let in what fails behind because each of many hears too few
-// answers to know.
-func TestSurgeIsRefusedAlikeAtFewAndManyEntries(t *testing.T) {
-	few, many := surge(4), surge(400)
+// Guards against entry nodes that admit requests which fail later, because each of many entry
+// nodes receives too few responses to know the threshold.
+func TestManyEntriesCompleteAsMuchAsFew(t *testing.T) {
+	few, many := runSurge(4), runSurge(400)
 	must.GreaterEq(t, few.completedShare()-0.05, many.completedShare())
 }
 
-// Guards against slots that stay empty because too much was refused at the entries.
+// Guards against idle slots because entry nodes refuse too many requests.
 func TestSurgeKeepsTheSlotsBusy(t *testing.T) {
 	for _, entries := range []int{4, 40, 400} {
-		s := surge(entries)
-		must.GreaterEq(t, 0.95*s.room, float64(s.completed), must.Sprintf("%d entries", entries))
+		s := runSurge(entries)
+		must.GreaterEq(t, 0.95*s.capacity, float64(s.completed), must.Sprintf("%d entries", entries))
 	}
 }
 
-// Guards against a surge after which requests are let in for seconds only to fail behind.
+// Guards against a surge after which entry nodes admit requests for seconds that then fail at
+// the deepest service.
 func TestSurgeCompletesWhatIsLetIn(t *testing.T) {
 	for _, entries := range []int{4, 40, 400} {
-		s := surge(entries)
+		s := runSurge(entries)
 		must.GreaterEq(t, 0.95, s.completedShare(), must.Sprintf("%d entries: %+v", entries, s.treeTally))
 	}
 }
 
-// Guards against slots that go to trees of which a later call is refused.
-func TestTreeThatWasServedIsServedToItsEnd(t *testing.T) {
+// Guards against spending slots on trees of which a later call is refused.
+func TestTreeWithPriorWorkIsNotRefusedLater(t *testing.T) {
 	for _, entries := range []int{4, 40, 400} {
-		s := surge(entries)
+		s := runSurge(entries)
 		must.LessEq(t, 0.005*float64(s.admitted), float64(s.failedLate), must.Sprintf("%d entries: %+v", entries, s.treeTally))
 	}
 }
 
-// Guards against a guard of few slots that leaves some empty under lasting mild overload.
+// Guards against a guard with few slots that leaves some of them idle under sustained mild
+// overload.
 func TestFewSlotsStayBusyUnderMildOverload(t *testing.T) {
 	const slots, overload, settled, end = 8, 1.2, 2, 22
 	usual := 20 * time.Millisecond
@@ -83,6 +85,6 @@
 	capacity := slots / usual.Seconds()
 	m.stream(steady(overload*capacity), m.request(callctx.LevelNormal, time.Second))
 	m.Run(end * time.Second)
-	answered, _ := m.sum(m.good, settled, end)
+	answered, _ := m.sum(m.answeredInTime, settled, end)
 	must.GreaterEq(t, 0.95*capacity*(end-settled), float64(answered))
 }
--- a/internal/admission/threshold.go
+++ b/internal/admission/threshold.go
@@ -1,51 +1,49 @@
 package admission
 
 const (
-	// rankBuckets counts offers by rank: 64 buckets for each level.
+	// rankBuckets is the number of buckets that count offers by rank: 64 per level.
 	rankBuckets = 256
 	bucketShift = 32 - 8
-	// bucketWidth is the range of ranks of one bucket.
+	// bucketWidth is the range of ranks in one bucket.
 	bucketWidth = 1 << bucketShift
-	// minThreshold keeps a sixteenth of the critical callers whatever comes.
+	// minThreshold always admits a sixteenth of the critical callers.
 	minThreshold = 4 * bucketWidth
-	// decay of all sums per period: they cover about four periods.
+	// decay is the factor applied to all sums per period. They cover about four periods.
 	decay = 0.75
-	// smallOpen is the step up per interval while most slots are in use, a 16th
-	// of a level.
-	smallOpen = 4 * bucketWidth
-	// firstOpen is the first step up with many slots idle, a quarter of a level;
-	// it doubles up to a level, so that a threshold at its lowest opens in six
+	// smallRaise is the step per interval while most slots are in use: a 16th of a level.
+	smallRaise = 4 * bucketWidth
+	// firstRaise is the first step while many slots are idle: a quarter of a level. The step
+	// doubles up to a level (maxRaise), so that the threshold opens from its minimum in 6
 	// intervals.
-	firstOpen = 16 * bucketWidth
-	maxOpen   = 64 * bucketWidth
-	// fitMargin is the work admitted over what was started, so that the slots
-	// stay busy.
-	fitMargin = 1.25
-	// rejectedShare is the part of offers rejected by a full queue that counts
-	// as pressure even without a standing delay.
+	firstRaise = 16 * bucketWidth
+	maxRaise   = 64 * bucketWidth
+	// capacityMargin is the ratio of admitted to started calls that keeps the slots busy.
+	capacityMargin = 1.25
+	// rejectedShare is the share of offers rejected by a full queue that counts as pressure even
+	// without a standing delay.
 	rejectedShare = 0.05
-	// Below fullUse of the slots there is room for some more callers; below
-	// easyUse the threshold opens fast.
-	fullUse = 0.95
-	easyUse = 0.75
+	// Below fullUse of the slots, some more callers can be admitted. Below lightUse, the threshold
+	// opens fast.
+	fullUse  = 0.95
+	lightUse = 0.75
 )
 
-// shedder moves the threshold over (level, caller hash). Offers are counted by
-// rank, so the threshold that fits the present capacity is read off directly.
+// shedder adjusts the shed threshold over (level, caller hash). It counts offers by rank, so
+// that the threshold for the current capacity can be looked up.
 type shedder struct {
 	threshold uint32
-	open      uint32
+	nextRaise uint32
 	offers    [rankBuckets]float32
 	offered   float32
 	started   float32
-	// rejected counts calls refused for a full queue or an ended wait, rejectedNow
-	// those of this interval alone.
-	rejected    float32
-	rejectedNow int
+	// rejected counts calls refused because of a full queue or an expired wait, decaying over
+	// periods. rejectedInPeriod counts those of the current period.
+	rejected         float32
+	rejectedInPeriod int
 }
 
 func newShedder() *shedder {
-	return &shedder{threshold: nothingShed, open: firstOpen}
+	return &shedder{threshold: openThreshold, nextRaise: firstRaise}
 }
 
 func (s *shedder) offer(rank uint32) {
@@ -57,72 +55,70 @@
 
 func (s *shedder) reject() {
 	s.rejected++
-	s.rejectedNow++
+	s.rejectedInPeriod++
 }
 
-// pressed reports whether more is admitted than the slots can take.
-func (s *shedder) pressed(overloaded bool) bool {
-	return overloaded || (s.rejectedNow > 0 && s.rejected > rejectedShare*s.offered)
+// underPressure reports whether more calls are admitted than the slots can serve.
+func (s *shedder) underPressure(overloaded bool) bool {
+	return overloaded || (s.rejectedInPeriod > 0 && s.rejected > rejectedShare*s.offered)
 }
 
-// relax is called once per interval with the part of the slots that calls below
-// the threshold use, and the part in use at all. Unlike
-// pressure, which shows only as calls end, idle slots are a fact of the moment,
-// so there is no need to wait for a service time between steps. With the slots
-// full it leaves the threshold alone, so that callers are not shed and taken in
-// turns.
-func (s *shedder) relax(below, use float64) {
+// raiseWhenIdle is called once per interval with the share of slots used by calls below the
+// threshold and the share used by all calls. Pressure is only visible as calls end, but idle
+// slots are visible at once, so the steps need not be a service time apart. While the slots are
+// full the threshold does not change, so that callers are not shed and admitted alternately.
+func (s *shedder) raiseWhenIdle(useBelow, use float64) {
 	switch {
-	case s.threshold == nothingShed || s.rejectedNow > 0 || below > fullUse:
-		s.open = firstOpen
-	case below > easyUse:
-		s.open = firstOpen
-		s.raise(smallOpen, use)
+	case s.threshold == openThreshold || s.rejectedInPeriod > 0 || useBelow > fullUse:
+		s.nextRaise = firstRaise
+	case useBelow > lightUse:
+		s.nextRaise = firstRaise
+		s.raise(smallRaise, use)
 	default:
-		s.raise(s.open, use)
-		s.open = min(2*s.open, maxOpen)
+		s.raise(s.nextRaise, use)
+		s.nextRaise = min(2*s.nextRaise, maxRaise)
 	}
 }
 
 // endPeriod is called once per period.
 func (s *shedder) endPeriod(overloaded bool) {
-	if s.pressed(overloaded) {
+	if s.underPressure(overloaded) {
 		s.lower()
 	}
 	s.age()
 }
 
-// lower sheds at least one bucket more. Where the fit ends inside a bucket, that
-// bucket is kept: a single caller with most of the traffic would otherwise be
-// shed as a whole and the slots stay empty.
+// lower lowers the threshold by at least one bucket. If the capacity ends within a bucket, this
+// bucket is kept. Otherwise a single caller with most of the traffic would be shed completely,
+// and slots would stay idle.
 func (s *shedder) lower() {
-	next := min(s.threshold, s.fit(s.started*fitMargin))
+	next := min(s.threshold, s.thresholdFor(s.started*capacityMargin))
 	if next == s.threshold && next > minThreshold {
 		next -= min(bucketWidth, next-minThreshold)
 	}
 	s.threshold = max(next, minThreshold)
 }
 
-// fit returns the threshold below which that many offers were made.
-func (s *shedder) fit(room float32) uint32 {
+// thresholdFor returns the threshold below which the given number of calls was offered.
+func (s *shedder) thresholdFor(capacity float32) uint32 {
 	for i, n := range s.offers {
-		room -= n
-		if room < 0 {
-			return uint32(min((i+1)*bucketWidth, nothingShed))
+		capacity -= n
+		if capacity < 0 {
+			return uint32(min((i+1)*bucketWidth, openThreshold))
 		}
 	}
-	return nothingShed
+	return openThreshold
 }
 
-// raise opens the threshold to what would fill the slots, but at most by step:
-// entry nodes refuse early what this guard would shed, so the offers that wait
-// behind the threshold are not all seen.
+// raise raises the threshold to the value that would fill the slots, but by at most step. Entry
+// nodes refuse requests early that this guard would shed, so the offers above the threshold are
+// not all counted here.
 func (s *shedder) raise(step uint32, use float64) {
-	if s.threshold > nothingShed-step {
-		step = nothingShed - s.threshold
+	if s.threshold > openThreshold-step {
+		step = openThreshold - s.threshold
 	}
-	fit := s.fit(s.started / float32(max(use, 0.01)))
-	s.threshold = min(s.threshold+step, max(fit, s.threshold))
+	fitting := s.thresholdFor(s.started / float32(max(use, 0.01)))
+	s.threshold = min(s.threshold+step, max(fitting, s.threshold))
 }
 
 func (s *shedder) age() {
@@ -132,5 +128,5 @@
 	s.offered *= decay
 	s.started *= decay
 	s.rejected *= decay
-	s.rejectedNow = 0
+	s.rejectedInPeriod = 0
 }
--- a/internal/admission/above_test.go
+++ b/internal/admission/threshold_test.go
@@ -9,12 +9,12 @@
 	"github.com/galenagrade/galenagrade/internal/callctx"
 )
 
-// Guards against critical calls refused while calls above the threshold hold the slots.
-func TestIdleSlotsTakenFromAboveDoNotKeepImportantCallsOut(t *testing.T) {
+// Guards against refusing critical calls while calls above the threshold occupy the slots.
+func TestCallsAboveThresholdDoNotDisplaceCriticalCalls(t *testing.T) {
 	cfg := DefaultConfig(25)
 	slow := func(*model, *modelCall) time.Duration { return 800 * time.Millisecond }
 	m := newModel(cfg, slow)
-	const criticalRate, normalRate = 33, 120 // a second; 25 slots serve 31
+	const criticalRate, normalRate = 33, 120 // per second; 25 slots serve 31
 	arrive := func(level callctx.Level, rate float64) {
 		var next func()
 		next = func() {
@@ -28,9 +28,9 @@
 	m.Run(30 * time.Second)
 	critical, normal := 0, 0
 	for second := 10; second < 30; second++ {
-		critical += count(m.good, second)[callctx.LevelCritical]
-		normal += count(m.good, second)[callctx.LevelNormal]
+		critical += countsIn(m.answeredInTime, second)[callctx.LevelCritical]
+		normal += countsIn(m.answeredInTime, second)[callctx.LevelNormal]
 	}
-	must.Greater(t, 20*25, critical, must.Sprintf("%d normal calls took the rest", normal))
+	must.Greater(t, 20*25, critical, must.Sprintf("%d normal calls were answered", normal))
 	must.Greater(t, 20*28, critical+normal)
 }
--- a/internal/admission/tree.go
+++ b/internal/admission/tree.go
@@ -9,70 +9,68 @@
 )
 
 const (
-	// treeAge is how long what a route's answers said is believed without a new one: ten
-	// of the longest periods in which a guard moves its threshold, since one entry of
-	// hundreds hears an answer a second.
-	treeAge = 3 * time.Second
-	// treeGain is the least weight of an answer: each of them met one guard's threshold,
-	// and guards of one service differ. Seven answers at once move what is believed by
-	// two thirds.
-	treeGain = 0.15
-	// treeMemory is how long an answer counts where few come.
-	treeMemory = 300 * time.Millisecond
-	// treeProbe is the share of requests let through against the threshold, so
-	// that it shows when there is room again though every other one is refused.
-	treeProbe = 0.02
-	// treePause and treeSpread are when a refused caller may come back, in parts
-	// of the latency objective: soon enough that an answer is still in time, and
-	// spread so that the returns don't come as one wave.
-	treePause  = 0.1
-	treeSpread = 0.5
+	// treeMaxAge is how long a threshold is used without a new response of the route. It is ten
+	// times the longest period between threshold changes of a guard, because with hundreds of entry
+	// nodes each of them receives about one response per second.
+	treeMaxAge = 3 * time.Second
+	// treeMinGain is the minimum weight of a response. A response carries the threshold of one
+	// guard, and the guards of a service differ. Seven responses in quick succession move the
+	// threshold by two thirds of the difference.
+	treeMinGain = 0.15
+	// treeTimeConstant is the time constant of the average if responses are rare.
+	treeTimeConstant = 300 * time.Millisecond
+	// treeProbeShare is the share of requests admitted regardless of the threshold, so that free
+	// capacity is detected even if all other requests are refused.
+	treeProbeShare = 0.02
+	// treeMinRetry and treeRetryJitter determine the retry delay of a refused caller, as fractions
+	// of the latency objective. The delay is short enough for a response in time, and the jitter
+	// prevents all callers from retrying at once.
+	treeMinRetry    = 0.1
+	treeRetryJitter = 0.5
 )
 
-// TreeGate turns requests of one route away at their entry by what the services
-// behind their upstream shed. The zero value is open. It is not safe for
-// concurrent use.
+// TreeGate refuses requests of one route at their entry node, based on what the services called
+// behind their upstream shed. The zero value is open. It is not safe for concurrent use.
 //
-// Load pattern: the deepest service of a chain is short of room and sheds
-// calls from some rank on. All calls of a tree have the rank of its root, so a
-// root of that rank will fail: after three services have worked for it, and
-// beside other calls of its tree that took room and were in vain. Refused at its
-// entry it costs nothing. The more entries there are, the fewer answers each one hears:
-// an answer after a silence counts for more than one of many. Only what a route's own
-// answers met counts against it: another route to the same service that calls nothing
-// behind goes on.
+// It handles overload of the deepest service of a call chain, which sheds calls from some rank
+// upwards. All calls of a tree have the rank of its root, so a root of such a rank fails after
+// three services have worked for it, and its other calls have used capacity without a result. A
+// refusal at the entry node avoids this cost. The more entry nodes there are, the fewer
+// responses each of them receives, so a response after a long interval has more weight than one
+// of many. Only the responses of a route count against it: another route to the same service
+// that calls no deeper service is not affected.
 type TreeGate struct {
 	threshold float64
-	at        time.Time
+	updated   time.Time
 }
 
-// ObserveThreshold takes the rank from which on services behind an upstream shed, as an
-// answer of this route said; nothingShed where none do.
+// ObserveThreshold records the lowest rank that services behind the upstream shed, as reported
+// in a response of this route. shedsFrom is MaxUint32 if they shed nothing.
 func (g *TreeGate) ObserveThreshold(now time.Time, shedsFrom uint32) {
-	if g.at.IsZero() || now.Sub(g.at) > treeAge {
-		g.threshold = nothingShed
+	if g.updated.IsZero() || now.Sub(g.updated) > treeMaxAge {
+		g.threshold = openThreshold
 	}
-	gain := max(treeGain, 1-math.Exp(-now.Sub(g.at).Seconds()/treeMemory.Seconds()))
-	g.at = now
+	gain := max(treeMinGain, 1-math.Exp(-now.Sub(g.updated).Seconds()/treeTimeConstant.Seconds()))
+	g.updated = now
 	g.threshold += gain * (float64(shedsFrom) - g.threshold)
 }
 
-// Threshold returns the rank from which on requests are refused at now.
+// Threshold returns the lowest rank that is refused at now; MaxUint32 if none is.
 func (g *TreeGate) Threshold(now time.Time) uint32 {
-	if g.at.IsZero() || now.Sub(g.at) > treeAge || g.threshold > nothingShed-1 {
-		return nothingShed
+	if g.updated.IsZero() || now.Sub(g.updated) > treeMaxAge || g.threshold > openThreshold-1 {
+		return openThreshold
 	}
 	return uint32(g.threshold)
 }
 
-// Admit returns a refusal when a request has to be rejected. u and v are
-// random numbers in [0, 1).
+// Admit returns a refusal if the request must be rejected, and nil otherwise. u and v are random
+// numbers in [0, 1).
 func (g *TreeGate) Admit(now time.Time, level callctx.Level, hash uint32, objective time.Duration, u, v float64) *result.Refusal {
 	threshold := g.Threshold(now)
-	if Rank(level, hash) < threshold || u < treeProbe {
+	if Rank(level, hash) < threshold || u < treeProbeShare {
 		return nil
 	}
-	pause := time.Duration(float64(objective) * (treePause + treeSpread*v))
-	return result.Refuse(result.ShedEarly, "the services behind shed from rank %#08x on, as answers of this route said up to %v ago",
-		threshold, now.Sub(g.at).Round(time.Millisecond)).After(max(pause, minRetryAfter))
+	retryAfter := time.Duration(float64(objective) * (treeMinRetry + treeRetryJitter*v))
+	return result.Refuse(result.ShedEarly, "deeper services shed calls from rank %#08x upwards, according to responses of this route, the latest received %v ago",
+		threshold, now.Sub(g.updated).Round(time.Millisecond)).After(max(retryAfter, minRetryAfter))
 }
--- a/internal/admission/tree_test.go
+++ b/internal/admission/tree_test.go
@@ -10,11 +10,11 @@
 	"github.com/galenagrade/galenagrade/internal/callctx"
 )
 
-// mid is a rank in the middle of the normal level.
-var mid = Rank(callctx.LevelNormal, 1<<31)
+// midNormalRank is the rank in the middle of the normal level.
+var midNormalRank = Rank(callctx.LevelNormal, 1<<31)
 
-// Guards against requests that are run by three services and then fail at the deepest.
-func TestTreeGateRefusesWhatWouldFail(t *testing.T) {
+// Guards against requests that three services process before the deepest service refuses them.
+func TestTreeGateRefusesRequestsThatWouldFail(t *testing.T) {
 	var g TreeGate
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1000, 0)
@@ -27,12 +27,12 @@
 			refused++
 			continue
 		}
-		g.ObserveThreshold(now, mid)
+		g.ObserveThreshold(now, midNormalRank)
 		if i < 500 {
 			continue
 		}
 		sent++
-		if rank >= mid {
+		if rank >= midNormalRank {
 			failed++
 		}
 	}
@@ -40,12 +40,13 @@
 	must.Between(t, 0.4, float64(refused)/4000, 0.6)
 }
 
-// A more important level must not feel that a less important one is shed.
-func TestTreeGateLetsMoreImportantPass(t *testing.T) {
+// Guards against refusing requests of a more important level because a less important one is
+// shed.
+func TestTreeGateAdmitsMoreImportantLevel(t *testing.T) {
 	var g TreeGate
 	now := time.Unix(1000, 0)
 	for range 100 {
-		g.ObserveThreshold(now, mid)
+		g.ObserveThreshold(now, midNormalRank)
 	}
 	for _, hash := range []uint32{0, 1 << 31, 1<<32 - 1} {
 		must.Nil(t, g.Admit(now, callctx.LevelHigh, hash, time.Second, 0.5, 0.5))
@@ -53,25 +54,25 @@
 	must.NotNil(t, g.Admit(now, callctx.LevelLow, 0, time.Second, 0.5, 0.5))
 }
 
-// The deepest service has room again. Answers say so, and the gate opens; when no
-// answers come at all it opens by itself.
+// Guards against a gate that stays closed after the deepest service has capacity again: it must
+// open when responses report it, and also when no responses arrive.
 func TestTreeGateOpens(t *testing.T) {
 	var g TreeGate
 	now := time.Unix(1000, 0)
 	for range 100 {
-		g.ObserveThreshold(now, mid)
+		g.ObserveThreshold(now, midNormalRank)
 	}
-	old := now.Add(treeAge + time.Millisecond)
-	must.EqOp(t, uint32(nothingShed), g.Threshold(old))
+	expired := now.Add(treeMaxAge + time.Millisecond)
+	must.EqOp(t, uint32(openThreshold), g.Threshold(expired))
 	for range 100 {
-		g.ObserveThreshold(now, nothingShed)
+		g.ObserveThreshold(now, openThreshold)
 	}
 	must.Nil(t, g.Admit(now, callctx.LevelNormal, 1<<31, time.Second, 0.5, 0.5))
 }
 
-// A refused caller is told to come back while its answer can still be in time,
-// and not all of them at once.
-func TestTreeGatePausesWithinTheObjective(t *testing.T) {
+// Guards against a retry delay that is too long for a response within the objective, and against
+// all refused callers retrying at once.
+func TestTreeGateRetryAfterIsWithinObjective(t *testing.T) {
 	var g TreeGate
 	now := time.Unix(1000, 0)
 	for range 100 {
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -1,11 +1,11 @@
-// Package admission decides which calls an upstream runs now, which wait and
-// which are refused. It is a pure state machine: the time comes in as an
-// argument and decisions come out as values.
+// Package admission decides which calls an upstream runs now, which ones wait and which ones are
+// refused. It is a pure state machine: the time is passed in as an argument, and decisions are
+// returned as values.
 //
-// Four parts work together: a concurrency limit that adapts (limit.go), a short
-// queue ordered by importance (queue.go), a shed threshold over (level, caller)
-// (threshold.go), and low quantiles of the service time by which doomed calls
-// are refused at once (latency.go).
+// It has four parts: an adaptive concurrency limit (limit.go), a short queue ordered by
+// importance (queue.go), a shed threshold over (level, caller) (threshold.go), and low quantiles
+// of the service time, by which calls that cannot meet their deadline are refused at once
+// (latency.go).
 package admission
 
 import (
@@ -16,32 +16,32 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// Request is a call that asks to run.
+// Request is a call offered to a Controller.
 type Request struct {
-	// ID names the call; it must be unique among the calls of the Controller.
+	// ID identifies the call. It must be unique among the calls of the Controller.
 	ID    string
 	Level callctx.Level
-	// CallerHash decides together with Level which callers are shed.
+	// CallerHash determines, together with Level, which callers are shed.
 	CallerHash uint32
-	// Deadline is the caller's; zero means none.
+	// Deadline is the deadline of the caller; zero means none.
 	Deadline time.Time
-	// RootAdmitted is when the root of the call tree entered.
+	// RootAdmitted is the time at which the root of the call tree was admitted. Zero means now.
 	RootAdmitted time.Time
-	// Depth is 0 for a root call.
+	// Depth is the depth in the call tree, 0 for a root call.
 	Depth int
-	// HasPriorWork says that other calls of its tree were served already.
+	// HasPriorWork is set if other calls of the same tree have already been served.
 	HasPriorWork bool
 }
 
-// Verdict is what becomes of a call.
+// Verdict is the result of a decision.
 type Verdict int
 
 const (
-	// Run means: run it now, then call Finish.
+	// Run means that the caller must run the call now and then call Finish.
 	Run Verdict = iota + 1
-	// Wait means that a later Decision runs or refuses it.
+	// Wait means that a later Decision runs or refuses the call.
 	Wait
-	// Refuse means that the call was not run and is forgotten.
+	// Refuse means that the call was not run and its record was removed.
 	Refuse
 )
 
@@ -58,50 +58,50 @@
 	return "unknown"
 }
 
-// Decision is the verdict on one call. Refusal is set only with Refuse; it is
-// shared between calls and must not be changed.
+// Decision is the verdict on one call. Refusal is set only with Refuse. It is shared between
+// calls and must not be modified.
 type Decision struct {
 	ID      string
 	Verdict Verdict
 	Refusal *result.Refusal
 }
 
-// Outcome is how a running call ended.
+// Outcome is the outcome of a running call.
 type Outcome int
 
 const (
-	// Answered is a whole answer.
+	// Answered is a complete response.
 	Answered Outcome = iota + 1
-	// Failed is a server error or a broken answer.
+	// Failed is a server error or an incomplete response.
 	Failed
-	// UpstreamShed is the upstream's own refusal as overloaded.
+	// UpstreamShed means that the upstream refused the call because of overload.
 	UpstreamShed
-	// Cancelled means that the caller left.
+	// Cancelled means that the caller cancelled the call.
 	Cancelled
-	// TimedOut means that the deadline passed while the call ran.
+	// TimedOut means that the deadline passed while the call was running.
 	TimedOut
 )
 
-// Load is a reading of a Controller, to be put on answers and metrics.
+// Load is the current load of a Controller, for responses and metrics.
 type Load struct {
 	InFlight, Queued, Limit int
-	// Threshold is the rank from which on calls are shed; MaxUint32: none.
+	// Threshold is the lowest rank that is shed; MaxUint32 if none is.
 	Threshold            uint32
 	Overloaded, Draining bool
 }
 
 const (
-	// nothingShed is the threshold above every rank.
-	nothingShed = math.MaxUint32
-	// levelShift puts the level into the two top bits of a rank.
+	// openThreshold is above every rank, so that nothing is shed.
+	openThreshold = math.MaxUint32
+	// levelShift places the level in the top two bits of a rank.
 	levelShift = 30
 )
 
-// Rank orders calls by importance, lower first: the level in the top bits, the
-// caller's hash below. It is always below MaxUint32, so that this threshold
-// sheds nothing.
+// Rank orders calls by importance, with lower ranks more important. It has the level in the top
+// bits and the caller's hash below. It is always less than MaxUint32, the threshold that sheds
+// nothing.
 func Rank(level callctx.Level, callerHash uint32) uint32 {
 	level = min(level, callctx.LevelLow)
 	rank := uint32(level)<<levelShift | callerHash>>2
-	return min(rank, nothingShed-1)
+	return min(rank, openThreshold-1)
 }
