--- a/internal/logstore/appender.go
+++ b/internal/logstore/appender.go
@@ -9,35 +9,35 @@
 	"time"
 )
 
-// ErrQueueFull matches a record that the Appender refused for want of room;
-// nothing was sent.
+// ErrQueueFull is returned for a record that the Appender rejects because its queue is full;
+// the record was not sent.
 var ErrQueueFull = errors.New("append queue is full")
 
-// AppenderConfig bounds what one node asks of the log.
+// AppenderConfig limits the load that one node puts on the log.
 type AppenderConfig struct {
-	// PerSecond is the node's budget of appends a second.
+	// PerSecond is the maximum sustained rate of appends per second.
 	PerSecond float64
-	// Burst is how many appends may follow each other at once; at least 1.
+	// Burst is the number of appends that may be sent without a pause; at least 1.
 	Burst int
-	// MaxQueue bounds the records that wait or are in flight.
+	// MaxQueue limits the number of records that are queued or in flight.
 	MaxQueue int
-	// MaxGroup bounds the records of one append.
+	// MaxGroup limits the number of records in one append.
 	MaxGroup int
-	// MinBackoff and MaxBackoff bound the pause after a failed append.
+	// MinBackoff and MaxBackoff limit the delay after a failed append.
 	MinBackoff, MaxBackoff time.Duration
-	// Timeout bounds one append at the log.
+	// Timeout limits one append request to the log.
 	Timeout time.Duration
-	// RepeatFor is how long a record is appended again after its first
-	// attempt. Dedup's window must cover it; see Dedup.
+	// RepeatFor is the time after the first attempt during which an append of a record is
+	// retried. The window of Dedup must cover it; see Dedup.
 	RepeatFor time.Duration
-	// Now reads the clock; nil means time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
-	// Rand spreads the backoff; nil seeds one from the global source.
+	// Rand is the source of the backoff's jitter; nil means one seeded from the global source.
 	Rand *rand.Rand
 }
 
-// DefaultAppenderConfig returns the settings of an ordinary node: 5 appends a
-// second leaves room for 60 busy nodes below the log's 300 or more.
+// DefaultAppenderConfig returns the settings of an ordinary node. At 5 appends per second, 60
+// busy nodes stay within the log's capacity of 300 or more appends per second.
 func DefaultAppenderConfig() AppenderConfig {
 	return AppenderConfig{
 		PerSecond:  5,
@@ -51,7 +51,7 @@
 	}
 }
 
-// Validate reports the first setting out of bounds.
+// Validate returns an error for the first setting that is out of bounds.
 func (c *AppenderConfig) Validate() error {
 	switch {
 	case c.PerSecond <= 0:
@@ -63,7 +63,7 @@
 	case c.MaxGroup < 1 || c.MaxGroup > MaxAppendRecords:
 		return fmt.Errorf("max_group is %d, bound 1..%d", c.MaxGroup, MaxAppendRecords)
 	case c.MinBackoff <= 0 || c.MaxBackoff < c.MinBackoff:
-		return fmt.Errorf("backoff is %v..%v, must be above 0 and ascend", c.MinBackoff, c.MaxBackoff)
+		return fmt.Errorf("backoff is %v..%v, must be above 0 and ascending", c.MinBackoff, c.MaxBackoff)
 	case c.Timeout <= 0:
 		return fmt.Errorf("timeout is %v, must be above 0", c.Timeout)
 	case c.RepeatFor < c.Timeout:
@@ -72,40 +72,42 @@
 	return nil
 }
 
-// pending is one record on its way. It is settled once: by Observe, or by the
-// run loop when it gives the record up.
-type pending struct {
+// pendingRecord is one record that is queued or in flight. It is settled exactly once: by
+// Observe when the reader has folded it, by the run loop when it stops retrying or is
+// canceled, or when the caller of Append is canceled.
+type pendingRecord struct {
 	rec     Record
-	settled chan struct{}
+	settled chan struct{} // closed once offset and err are final
 	offset  int64
 	err     error
-	// firstTried is zero until the record was first sent.
-	firstTried time.Time
-	// inFlight says that an append with it has not returned.
+	// firstSent is the time of the first attempt; zero before it.
+	firstSent time.Time
+	// inFlight is true while an append with the record has not returned.
 	inFlight bool
-	// acked says that the log acknowledged it; the reader still has to see it.
+	// acked is true once the log has acknowledged the record; the reader has not folded it yet.
 	acked bool
-	// uncertain says that an attempt may have taken effect.
+	// uncertain is true once an attempt may have taken effect.
 	uncertain bool
 }
 
-// Appender groups the records of one node: one append is in flight, and what
-// arrives meanwhile goes with the next. Run must run, and the node's reader
-// must pass every entry it folded to Observe.
+// Appender batches the records of one node. One append is in flight at a time; records that
+// arrive meanwhile are sent with the next one. Run must be running, and the node's reader must
+// pass every entry that it has folded to Observe.
 type Appender struct {
 	log  Log
 	cfg  AppenderConfig
 	wake chan struct{}
 
 	mu    sync.Mutex
-	queue []*pending
-	byID  map[string]*pending
+	queue []*pendingRecord
+	byID  map[string]*pendingRecord
 	stats AppenderStats
 }
 
-// AppenderStats counts since the start; Queued is the present value.
+// AppenderStats holds counters since the start of the Appender, and in Queued the current
+// number of records that are queued or in flight.
 type AppenderStats struct {
-	Appends, Records, Failures, Uncertain, Repeats, GaveUp, Refused int64
+	Appends, Records, Failures, Uncertain, Retries, GaveUp, Refused int64
 	Queued                                                          int
 }
 
@@ -124,20 +126,20 @@
 		log:  log,
 		cfg:  cfg,
 		wake: make(chan struct{}, 1),
-		byID: map[string]*pending{},
+		byID: map[string]*pendingRecord{},
 	}, nil
 }
 
-// Append hands rec over and returns its offset once the reader has folded it.
-// The offset is that of the first copy. With ErrUncertain the record may be in
-// the log or come there; every other error says that it is not and won't be.
+// Append queues rec and waits until the reader has folded it. It returns the offset of the
+// record's first copy. If the error matches ErrUncertain, the record may be in the log or may
+// still reach it; every other error means that it is not in the log and never will be.
 func (a *Appender) Append(ctx context.Context, rec Record) (int64, error) {
 	p, err := a.enqueue(rec)
 	if err != nil {
 		return 0, err
 	}
-	// The bound frees the queue of records that no reader will ever confirm,
-	// such as those that a reader skipped by taking a peer's state.
+	// The timeout removes records that the reader never passes to Observe, such as those that
+	// it skipped by adopting the state of a peer.
 	ctx, cancel := context.WithTimeout(ctx, 2*a.cfg.RepeatFor)
 	defer cancel()
 	select {
@@ -150,7 +152,7 @@
 	return p.offset, p.err
 }
 
-// Stats returns the counters.
+// Stats returns a copy of the counters.
 func (a *Appender) Stats() AppenderStats {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/logstore/appender_run.go
+++ b/internal/logstore/appender_run.go
@@ -9,11 +9,11 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// Run sends groups until ctx ends, then settles what is left. It must be
-// called once.
+// Run sends queued records in groups until ctx ends, then settles the remaining records with
+// an error. It must be called once.
 func (a *Appender) Run(ctx context.Context) error {
 	defer a.settleAll()
-	bucket := newBucket(a.cfg.PerSecond, a.cfg.Burst, a.cfg.Now())
+	bucket := newTokenBucket(a.cfg.PerSecond, a.cfg.Burst, a.cfg.Now())
 	failures := 0
 	for {
 		if !a.waitForWork(ctx) {
@@ -38,10 +38,9 @@
 	}
 }
 
-// Observe tells the Appender which entries the node's reader has folded. A
-// record is settled by what was read, never by an acknowledgement alone: an
-// acknowledgement can be lost, and one that came does not say what the fold
-// decided.
+// Observe settles the records among entries, which the node's reader has folded. An
+// acknowledgement of the log does not settle a record: it can be lost, and it does not tell
+// what the fold decided.
 func (a *Appender) Observe(entries []Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,7 +57,10 @@
 	}
 }
 
-func (a *Appender) enqueue(rec Record) (*pending, error) {
+// enqueue adds rec to the queue. If a record with the same ID is pending, it returns that one.
+// enqueue adds rec to the queue. If a record with the same ID is pending, it returns that one.
+// enqueue adds rec to the queue. If a record with the same ID is pending, it returns that one.
+func (a *Appender) enqueue(rec Record) (*pendingRecord, error) {
 	if err := CheckRecords([]Record{rec}); err != nil {
 		return nil, err
 	}
@@ -74,22 +76,23 @@
 	if len(a.queue) >= 2*a.cfg.MaxQueue {
 		a.dropAbandonedLocked()
 	}
-	p := &pending{rec: rec, settled: make(chan struct{})}
+	p := &pendingRecord{rec: rec, settled: make(chan struct{})}
 	a.byID[rec.ID] = p
 	a.queue = append(a.queue, p)
 	a.wakeRun()
 	return p, nil
 }
 
-// dropAbandonedLocked bounds the queue while the log hangs: callers come and
-// give up, and nothing takes their records out.
+// dropAbandonedLocked removes the records of canceled callers from the queue. While an append
+// hangs, the run loop takes nothing from the queue, and these records would accumulate.
 func (a *Appender) dropAbandonedLocked() {
-	a.queue = slices.DeleteFunc(a.queue, func(p *pending) bool { return a.byID[p.rec.ID] != p })
+	a.queue = slices.DeleteFunc(a.queue, func(p *pendingRecord) bool { return a.byID[p.rec.ID] != p })
 }
 
-// abandon ends the wait for p. What was never sent is taken back, so that its
-// caller may say that it was not recorded; the rest may still come true.
-func (a *Appender) abandon(p *pending, cause error) error {
+// abandon settles p after its caller was canceled. A record that was never sent is withdrawn,
+// so that the caller can report that it was not recorded. A record that was sent may be in the
+// log or still reach it, so the error is an UncertainError.
+func (a *Appender) abandon(p *pendingRecord, cause error) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	select {
@@ -98,17 +101,17 @@
 	default:
 	}
 	err := cause
-	if p.mayStand() {
+	if p.mayBeInLog() {
 		err = &UncertainError{Cause: cause}
 	}
 	a.settleLocked(p, err)
 	return err
 }
 
-// mayStand reports whether some attempt of p may be in the log or come there.
-func (p *pending) mayStand() bool { return p.inFlight || p.uncertain || p.acked }
+// mayBeInLog reports whether an attempt to append p may have taken effect or may still do so.
+func (p *pendingRecord) mayBeInLog() bool { return p.inFlight || p.uncertain || p.acked }
 
-func (a *Appender) settleLocked(p *pending, err error) {
+func (a *Appender) settleLocked(p *pendingRecord, err error) {
 	select {
 	case <-p.settled:
 		return
@@ -119,19 +122,22 @@
 	close(p.settled)
 }
 
+// settleAll settles all pending records when Run returns.
+// settleAll settles all pending records when Run returns.
+// settleAll settles all pending records when Run returns.
 func (a *Appender) settleAll() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, p := range a.byID {
-		a.settleLocked(p, lastError(p, context.Canceled))
+		a.settleLocked(p, finalError(p, context.Canceled))
 	}
 	a.queue = nil
 }
 
-// lastError says what giving p up means: a record that was ever sent without a
-// clear refusal may be in the log.
-func lastError(p *pending, cause error) error {
-	if p.mayStand() {
+// finalError returns the error with which retries of p end. A record that was sent and not
+// definitely rejected may be in the log.
+func finalError(p *pendingRecord, cause error) error {
+	if p.mayBeInLog() {
 		return &UncertainError{Cause: cause}
 	}
 	return &UnavailableError{Cause: cause}
@@ -144,6 +150,9 @@
 	}
 }
 
+// waitForWork blocks until the queue is not empty; it returns false if ctx ends first.
+// waitForWork blocks until the queue is not empty; it returns false if ctx ends first.
+// waitForWork blocks until the queue is not empty; it returns false if ctx ends first.
 func (a *Appender) waitForWork(ctx context.Context) bool {
 	for {
 		a.mu.Lock()
@@ -160,12 +169,12 @@
 	}
 }
 
-// takeGroup removes the next group from the queue and marks it as tried.
-func (a *Appender) takeGroup() []*pending {
+// takeGroup removes the records of the next append from the queue and marks them as sent.
+func (a *Appender) takeGroup() []*pendingRecord {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.cfg.Now()
-	var group []*pending
+	var group []*pendingRecord
 	bytes := 0
 	for len(a.queue) > 0 && len(group) < a.cfg.MaxGroup {
 		p := a.queue[0]
@@ -174,39 +183,39 @@
 			break
 		}
 		a.queue = a.queue[1:]
-		if a.byID[p.rec.ID] != p || a.expiredLocked(p, now) {
+		if a.byID[p.rec.ID] != p || a.settleIfExpiredLocked(p, now) {
 			continue
 		}
-		a.markTriedLocked(p, now)
+		a.markSentLocked(p, now)
 		group = append(group, p)
 	}
 	return group
 }
 
-// expiredLocked gives p up once its time to repeat is over. Without this bound
-// a record could come into the log again after folds forgot its ID, and would
-// then count twice.
-func (a *Appender) expiredLocked(p *pending, now time.Time) bool {
-	if p.firstTried.IsZero() || now.Sub(p.firstTried) < a.cfg.RepeatFor {
+// settleIfExpiredLocked settles p and returns true once RepeatFor has passed since its first
+// attempt. A later retry could reach the log after Dedup has dropped the record's ID, and the
+// record would then be folded twice.
+func (a *Appender) settleIfExpiredLocked(p *pendingRecord, now time.Time) bool {
+	if p.firstSent.IsZero() || now.Sub(p.firstSent) < a.cfg.RepeatFor {
 		return false
 	}
 	a.stats.GaveUp++
-	a.settleLocked(p, lastError(p, context.DeadlineExceeded))
+	a.settleLocked(p, finalError(p, context.DeadlineExceeded))
 	return true
 }
 
-func (a *Appender) markTriedLocked(p *pending, now time.Time) {
+func (a *Appender) markSentLocked(p *pendingRecord, now time.Time) {
 	p.inFlight = true
-	if p.firstTried.IsZero() {
-		p.firstTried = now
+	if p.firstSent.IsZero() {
+		p.firstSent = now
 		return
 	}
-	a.stats.Repeats++
+	a.stats.Retries++
 }
 
-// send makes one append and files its outcome. hint is the pause that the log
-// asked for.
-func (a *Appender) send(ctx context.Context, group []*pending) (hint time.Duration, failed bool) {
+// send appends one group and records the outcome. hint is the delay that the log requested
+// before the next append.
+func (a *Appender) send(ctx context.Context, group []*pendingRecord) (hint time.Duration, failed bool) {
 	records := make([]Record, len(group))
 	for i, p := range group {
 		records[i] = p.rec
@@ -228,21 +237,23 @@
 	}
 	a.stats.Failures++
 	a.failLocked(group, err)
-	var over *OverloadedError
-	if errors.As(err, &over) {
-		hint = min(over.RetryAfter, a.cfg.MaxBackoff)
+	var overloaded *OverloadedError
+	if errors.As(err, &overloaded) {
+		hint = min(overloaded.RetryAfter, a.cfg.MaxBackoff)
 	}
 	return hint, true
 }
 
-// failLocked puts the records of a failed append back to the front, in order.
-func (a *Appender) failLocked(group []*pending, err error) {
+// failLocked returns the records of a failed append to the front of the queue, in order.
+// Records of an invalid request are settled instead, unless an earlier attempt may have taken
+// effect.
+func (a *Appender) failLocked(group []*pendingRecord, err error) {
 	uncertain := !errors.Is(err, ErrBadRequest) && !errors.Is(err, ErrOverloaded) &&
 		(errors.Is(err, ErrUncertain) || !errors.Is(err, ErrUnavailable))
 	if uncertain {
 		a.stats.Uncertain++
 	}
-	again := make([]*pending, 0, len(group)+len(a.queue))
+	retry := make([]*pendingRecord, 0, len(group)+len(a.queue))
 	for _, p := range group {
 		if a.byID[p.rec.ID] != p {
 			continue
@@ -252,23 +263,24 @@
 			a.settleLocked(p, err)
 			continue
 		}
-		again = append(again, p)
+		retry = append(retry, p)
 	}
-	a.queue = append(again, a.queue...)
+	a.queue = append(retry, a.queue...)
 }
 
-// bucket is the budget of appends.
-type bucket struct {
+// tokenBucket limits the rate of appends. A negative balance is allowed: it is the debt that
+// take returns as a delay.
+type tokenBucket struct {
 	rate, burst, tokens float64
 	last                time.Time
 }
 
-func newBucket(rate float64, burst int, now time.Time) *bucket {
-	return &bucket{rate: rate, burst: float64(burst), tokens: float64(burst), last: now}
+func newTokenBucket(rate float64, burst int, now time.Time) *tokenBucket {
+	return &tokenBucket{rate: rate, burst: float64(burst), tokens: float64(burst), last: now}
 }
 
-// take spends one token and returns how long to wait until it is there.
-func (b *bucket) take(now time.Time) time.Duration {
+// take removes one token and returns the delay until that token is available.
+func (b *tokenBucket) take(now time.Time) time.Duration {
 	b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.last).Seconds())
 	b.last = now
 	b.tokens--
--- a/internal/logstore/appender_test.go
+++ b/internal/logstore/appender_test.go
@@ -16,7 +16,7 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// sink counts what folds and hands every page to an Appender.
+// sink counts the copies and the folds of each record and passes every page to an Appender.
 type sink struct {
 	app   *logstore.Appender
 	dedup *logstore.Dedup
@@ -54,38 +54,38 @@
 
 func (s *sink) Failed(error) {}
 
-// slowReader refuses reads while blind.
-type slowReader struct {
+// failingReader is a Log whose reads fail while failing is set.
+type failingReader struct {
 	logstore.Log
-	blind atomic.Bool
+	failing atomic.Bool
 }
 
-func (l *slowReader) Read(ctx context.Context, from int64, max int, wait time.Duration) (logstore.Page, error) {
+func (l *failingReader) Read(ctx context.Context, from int64, max int, wait time.Duration) (logstore.Page, error) {
 	page, err := l.Log.Read(ctx, from, max, wait)
-	// Asked after the read: one that waits at the log since before the reader
-	// went blind must not show the records either.
-	if l.blind.Load() {
+	// Checked after the read, so that a read that was already waiting at the log when failing
+	// was set fails as well.
+	if l.failing.Load() {
 		return logstore.Page{}, &logstore.UnavailableError{Cause: context.DeadlineExceeded}
 	}
 	return page, err
 }
 
-// bench is one writer and one reader against a stand-in, in a synctest bubble.
-type bench struct {
+// harness runs one Appender and one reader against a stand-in log server in a synctest bubble.
+type harness struct {
 	log  *logd.Server
-	read *slowReader
+	read *failingReader
 	app  *logstore.Appender
 	sink *sink
 	stop func()
 }
 
-func newBench(t *testing.T, change func(*logstore.AppenderConfig)) *bench {
+func newHarness(t *testing.T, configure func(*logstore.AppenderConfig)) *harness {
 	t.Helper()
 	log := logd.New(logd.Options{Seed: 1})
 	cfg := logstore.DefaultAppenderConfig()
 	cfg.Rand = rand.New(rand.NewPCG(1, 2))
-	if change != nil {
-		change(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	app, err := logstore.NewAppender(log, cfg)
 	must.NoError(t, err)
@@ -95,129 +95,133 @@
 	wg.Go(func() { _ = app.Run(ctx) })
 	fc := logstore.DefaultFollowConfig()
 	fc.Rand = rand.New(rand.NewPCG(3, 4))
-	read := &slowReader{Log: log}
+	read := &failingReader{Log: log}
 	wg.Go(func() { _ = logstore.Follow(ctx, read, fc, s) })
-	return &bench{log: log, read: read, app: app, sink: s, stop: func() { cancel(); wg.Wait() }}
+	return &harness{log: log, read: read, app: app, sink: s, stop: func() { cancel(); wg.Wait() }}
 }
 
 func rec(id string) logstore.Record {
 	return logstore.Record{ID: id, Kind: logstore.KindClaim, At: time.Now(), Body: []byte(`{}`)}
 }
 
-// Guards against a publication that counts twice after its acknowledgement was lost.
-func TestLostAckIsSettledByRepeatAndRead(t *testing.T) {
+// Guards against a publication that is folded twice, or never reported as done, after its
+// acknowledgement was lost.
+func TestLostAckIsSettledByRetryAndRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, nil)
-		b.log.Update(func(k *logd.Knobs) { k.LoseAcks = 1 })
-		offset, err := b.app.Append(t.Context(), rec("a"))
+		h := newHarness(t, nil)
+		h.log.Update(func(k *logd.Knobs) { k.LoseAcks = 1 })
+		offset, err := h.app.Append(t.Context(), rec("a"))
 		must.NoError(t, err)
 		must.Eq(t, 0, offset)
 		time.Sleep(10 * time.Second)
-		b.stop()
-		must.Eq(t, 1, b.sink.folds["a"])
-		must.Eq(t, 1, b.app.Stats().Uncertain)
+		h.stop()
+		must.Eq(t, 1, h.sink.folds["a"])
+		must.Eq(t, 1, h.app.Stats().Uncertain)
 	})
 }
 
-// Guards against repeats of a record being folded more than once.
-func TestRepeatsFoldOnce(t *testing.T) {
+// Guards against several copies of a record being folded. The copies arise because
+// acknowledgements are lost and the reader fails, so that the Appender retries.
+func TestRetriedRecordsFoldOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, nil)
-		b.read.blind.Store(true)
-		time.AfterFunc(5*time.Second, func() { b.read.blind.Store(false) })
-		b.log.Update(func(k *logd.Knobs) { k.AckLoss = 0.7; k.DelayMillis = 300 })
+		h := newHarness(t, nil)
+		h.read.failing.Store(true)
+		time.AfterFunc(5*time.Second, func() { h.read.failing.Store(false) })
+		h.log.Update(func(k *logd.Knobs) { k.AckLoss = 0.7; k.DelayMillis = 300 })
 		var wg sync.WaitGroup
 		for i := range 50 {
 			wg.Go(func() {
-				_, err := b.app.Append(t.Context(), rec(fmt.Sprint("r", i)))
+				_, err := h.app.Append(t.Context(), rec(fmt.Sprint("r", i)))
 				must.NoError(t, err)
 			})
 		}
 		wg.Wait()
 		time.Sleep(time.Minute)
-		b.stop()
+		h.stop()
 		copies := 0
 		for i := range 50 {
-			must.Eq(t, 1, b.sink.folds[fmt.Sprint("r", i)])
-			copies += b.sink.copies[fmt.Sprint("r", i)]
+			must.Eq(t, 1, h.sink.folds[fmt.Sprint("r", i)])
+			copies += h.sink.copies[fmt.Sprint("r", i)]
 		}
 		must.Greater(t, 50, copies)
 	})
 }
 
-// A surge of claims arrives at one node. They share appends and stay within
-// the node's budget, so that the log has room for the other nodes.
-func TestSurgeStaysWithinBudget(t *testing.T) {
+// Guards against a surge of claims at one node that uses the log's capacity for other nodes.
+// The records must share appends, and the appends must stay within the node's rate.
+func TestSurgeStaysWithinAppendRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, func(c *logstore.AppenderConfig) { c.PerSecond, c.Burst = 4, 2 })
-		b.log.Update(func(k *logd.Knobs) { k.DelayMillis = 5 })
+		h := newHarness(t, func(c *logstore.AppenderConfig) { c.PerSecond, c.Burst = 4, 2 })
+		h.log.Update(func(k *logd.Knobs) { k.DelayMillis = 5 })
 		start := time.Now()
 		var wg sync.WaitGroup
 		for i := range 2000 {
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 5 * time.Millisecond)
-				_, err := b.app.Append(t.Context(), rec(fmt.Sprint("r", i)))
+				_, err := h.app.Append(t.Context(), rec(fmt.Sprint("r", i)))
 				must.NoError(t, err)
 			})
 		}
 		wg.Wait()
 		budget := 2 + 4*time.Since(start).Seconds() + 1
-		must.Less(t, budget, float64(b.log.Appends()))
-		must.Eq(t, 2000, b.app.Stats().Records)
-		b.stop()
+		must.Less(t, budget, float64(h.log.Appends()))
+		must.Eq(t, 2000, h.app.Stats().Records)
+		h.stop()
 	})
 }
 
-// Guards against a record that may be in the log being reported as absent.
-func TestGivingUpTellsSentFromUnsent(t *testing.T) {
+// Guards against a record that may be in the log being reported as not recorded. Both callers
+// are canceled while the log hangs: the record of the first was sent, that of the second not.
+func TestCanceledAppendIsUncertainOnlyIfSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, nil)
-		b.log.Update(func(k *logd.Knobs) { k.Hang = true })
+		h := newHarness(t, nil)
+		h.log.Update(func(k *logd.Knobs) { k.Hang = true })
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		sent, unsent := make(chan error), make(chan error)
-		go func() { _, err := b.app.Append(ctx, rec("sent")); sent <- err }()
+		go func() { _, err := h.app.Append(ctx, rec("sent")); sent <- err }()
 		synctest.Wait()
-		go func() { _, err := b.app.Append(ctx, rec("unsent")); unsent <- err }()
+		go func() { _, err := h.app.Append(ctx, rec("unsent")); unsent <- err }()
 		must.ErrorIs(t, <-sent, logstore.ErrUncertain)
 		err := <-unsent
 		must.ErrorIs(t, err, context.DeadlineExceeded)
-		must.False(t, isUncertain(err))
-		b.log.Update(func(k *logd.Knobs) { k.Hang = false })
+		must.False(t, isUncertainError(err))
+		h.log.Update(func(k *logd.Knobs) { k.Hang = false })
 		time.Sleep(10 * time.Second)
-		b.stop()
-		must.Zero(t, b.sink.copies["unsent"])
+		h.stop()
+		must.Zero(t, h.sink.copies["unsent"])
 	})
 }
 
-func isUncertain(err error) bool {
+func isUncertainError(err error) bool {
 	_, ok := err.(*logstore.UncertainError)
 	return ok
 }
 
-// Guards against a record that appears long after its writer has given it up.
-func TestLongOutageGivesUpInBoundedTime(t *testing.T) {
+// Guards against a record that reaches the log after its caller received an error, because
+// retries continue after an outage.
+func TestLongOutageFailsAppendInBoundedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, nil)
-		b.log.Update(func(k *logd.Knobs) { k.Outage = true })
+		h := newHarness(t, nil)
+		h.log.Update(func(k *logd.Knobs) { k.Outage = true })
 		start := time.Now()
-		_, err := b.app.Append(t.Context(), rec("old"))
+		_, err := h.app.Append(t.Context(), rec("old"))
 		must.ErrorIs(t, err, logstore.ErrUnavailable)
 		must.LessEq(t, 40*time.Second, time.Since(start))
-		b.log.Update(func(k *logd.Knobs) { k.Outage = false })
-		_, err = b.app.Append(t.Context(), rec("new"))
+		h.log.Update(func(k *logd.Knobs) { k.Outage = false })
+		_, err = h.app.Append(t.Context(), rec("new"))
 		must.NoError(t, err)
-		b.stop()
-		must.Zero(t, b.sink.copies["old"])
+		h.stop()
+		must.Zero(t, h.sink.copies["old"])
 	})
 }
 
-// Callers come and give up all through an outage; the queue refuses beyond its
-// bound and holds nothing of those who left.
+// Guards against a queue that grows during an outage. Callers enqueue records and are
+// canceled; the queue must reject records above its limit and keep none of canceled callers.
 func TestQueueIsBoundedThroughOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, func(c *logstore.AppenderConfig) { c.MaxQueue = 8 })
-		b.log.Update(func(k *logd.Knobs) { k.Hang = true })
+		h := newHarness(t, func(c *logstore.AppenderConfig) { c.MaxQueue = 8 })
+		h.log.Update(func(k *logd.Knobs) { k.Hang = true })
 		refused := 0
 		for round := range 20 {
 			var wg sync.WaitGroup
@@ -225,7 +229,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			for i := range 10 {
 				wg.Go(func() {
-					_, err := b.app.Append(ctx, rec(fmt.Sprint(round, "-", i)))
+					_, err := h.app.Append(ctx, rec(fmt.Sprint(round, "-", i)))
 					mu.Lock()
 					defer mu.Unlock()
 					if err == logstore.ErrQueueFull {
@@ -235,22 +239,23 @@
 			}
 			wg.Wait()
 			cancel()
-			must.Zero(t, b.app.Stats().Queued)
+			must.Zero(t, h.app.Stats().Queued)
 		}
 		must.Eq(t, 40, refused)
-		b.stop()
+		h.stop()
 	})
 }
 
-func TestAppenderConfigNamesWhatIsWrong(t *testing.T) {
+func TestAppenderConfigErrorNamesSettingAndBound(t *testing.T) {
 	cfg := logstore.DefaultAppenderConfig()
 	cfg.RepeatFor = time.Second
 	_, err := logstore.NewAppender(logd.New(logd.Options{}), cfg)
 	must.ErrorContains(t, err, "repeat_for is 1s, must be at least timeout 2s")
 }
 
-// Two replicas read the same log, one from further back. A repeat within the
-// window is not new to either; past the window the memory is empty again.
+// Guards against replicas that disagree on which copy of a record is the first. Two replicas
+// read the same log from different offsets. Both must recognize a copy within the window, and
+// IDs beyond the window must be removed.
 func TestDedupWindow(t *testing.T) {
 	long, short := logstore.NewDedup(10), logstore.NewDedup(10)
 	entry := func(o int64, id string) logstore.Entry {
--- a/internal/logstore/client.go
+++ b/internal/logstore/client.go
@@ -16,24 +16,24 @@
 	"unicode/utf8"
 )
 
-// ClientOptions tunes a Client; the zero value is usable.
+// ClientOptions configures a Client; the zero value is usable.
 type ClientOptions struct {
-	// HTTP sends the requests; nil makes one with bounded timeouts.
+	// HTTP sends the requests; nil creates a client with bounded timeouts.
 	HTTP *http.Client
-	// Timeout bounds each request, beyond the wait of a read; 0 means 5 s.
+	// Timeout limits each request; the wait of a read is added to it. 0 means 5 s.
 	Timeout time.Duration
 }
 
 const (
 	defaultTimeout = 5 * time.Second
-	// maxErrorBytes bounds what is read of a failed answer.
+	// maxErrorBytes limits the response body of a failed request.
 	maxErrorBytes = 4 << 10
-	// maxSmallBytes bounds the answers of append and head.
+	// maxSmallBytes limits the response bodies of append and head.
 	maxSmallBytes = 4 << 10
 )
 
-// Client speaks to the log service over HTTP. It does not retry: the Appender
-// and the readers own their backoff.
+// Client accesses the log service over HTTP. It does not retry: the Appender and the readers
+// retry with their own backoff.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -74,7 +74,7 @@
 	var out AppendResponse
 	err = c.do(ctx, c.timeout, http.MethodPost, PathAppend, body, maxSmallBytes, &out)
 	if err != nil {
-		return 0, appendError(err)
+		return 0, classifyAppendError(err)
 	}
 	return out.First, nil
 }
@@ -90,7 +90,7 @@
 	var page Page
 	err := c.do(ctx, c.timeout+wait, http.MethodGet, PathRead+"?"+q.Encode(), nil, MaxPageBytes, &page)
 	if err != nil {
-		return Page{}, readError(err, from)
+		return Page{}, classifyReadError(err, from)
 	}
 	return page, checkPage(page, from)
 }
@@ -100,15 +100,15 @@
 	var out HeadResponse
 	err := c.do(ctx, c.timeout, http.MethodGet, PathHead, nil, maxSmallBytes, &out)
 	if err != nil {
-		return 0, readError(err, 0)
+		return 0, classifyReadError(err, 0)
 	}
 	return out.Head, nil
 }
 
-// CheckRecords reports the first bound that an append would break.
+// CheckRecords returns an error for the first limit that an append of records exceeds.
 func CheckRecords(records []Record) error {
 	if len(records) == 0 || len(records) > MaxAppendRecords {
-		return fmt.Errorf("%w: records is %d, bound 1..%d", ErrBadRequest, len(records), MaxAppendRecords)
+		return fmt.Errorf("%w: append has %d records, bound 1..%d", ErrBadRequest, len(records), MaxAppendRecords)
 	}
 	total := 0
 	for i := range records {
@@ -116,8 +116,8 @@
 		if r.ID == "" || len(r.ID) > MaxIDBytes {
 			return fmt.Errorf("%w: records[%d].id has %d bytes, bound 1..%d", ErrBadRequest, i, len(r.ID), MaxIDBytes)
 		}
-		// An ID that is not UTF-8 would change on its way through JSON, and a
-		// repeat of it would not be known as one.
+		// JSON encoding changes an ID that is not UTF-8, so that Dedup would not recognize a
+		// retry of the record.
 		if !utf8.ValidString(r.ID) || len(r.Kind) > MaxIDBytes {
 			return fmt.Errorf("%w: records[%d].id and kind must be UTF-8 of at most %d bytes", ErrBadRequest, i, MaxIDBytes)
 		}
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// statusError is an answer other than 200.
+// statusError is a response with a status other than 200.
 type statusError struct {
 	status int
 	doc    ErrorResponse
@@ -140,7 +140,7 @@
 
 // Error implements error.
 func (e *statusError) Error() string {
-	return fmt.Sprintf("log answered %d: %s", e.status, e.doc.Error)
+	return fmt.Sprintf("log service returned status %d: %s", e.status, e.doc.Error)
 }
 
 func (c *Client) do(ctx context.Context, timeout time.Duration, method, path string, body []byte, limit int64, out any) error {
@@ -161,28 +161,34 @@
 	return decodeBounded(resp.Body, limit, out)
 }
 
+// decodeFailure returns the statusError of a response other than 200.
 func decodeFailure(resp *http.Response) error {
 	e := &statusError{status: resp.StatusCode}
-	// The document is a hint only; the status decides.
+	// The body is optional: callers classify the error by its status, so a decoding error is
+	// ignored.
 	_ = decodeBounded(resp.Body, maxErrorBytes, &e.doc)
 	return e
 }
 
+// decodeBounded decodes JSON of at most limit bytes into out.
+// decodeBounded decodes JSON of at most limit bytes into out.
+// decodeBounded decodes JSON of at most limit bytes into out.
 func decodeBounded(r io.Reader, limit int64, out any) error {
 	data, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
 		return err
 	}
 	if int64(len(data)) > limit {
-		return fmt.Errorf("log's answer exceeds %d bytes", limit)
+		return fmt.Errorf("response of the log service exceeds %d bytes", limit)
 	}
 	return json.Unmarshal(data, out)
 }
 
-// appendError sorts the failures of an append by what they promise. Only a
-// refusal that the log itself gave, or a connection that was never made, says
-// that nothing took effect; whatever else happened, the write may stand.
-func appendError(err error) error {
+// classifyAppendError maps the failure of an append to an error that tells whether the append
+// may have taken effect. Only two failures prove that it had no effect: the log rejected the
+// request, or the connection could not be established. Every other failure is an
+// UncertainError.
+func classifyAppendError(err error) error {
 	var se *statusError
 	if errors.As(err, &se) {
 		switch se.status {
@@ -200,7 +206,10 @@
 	return &UncertainError{Cause: &UnavailableError{Cause: err}}
 }
 
-func readError(err error, from int64) error {
+// classifyReadError maps the failure of a read from offset from to one of the package's errors.
+// classifyReadError maps the failure of a read from offset from to one of the package's errors.
+// classifyReadError maps the failure of a read from offset from to one of the package's errors.
+func classifyReadError(err error, from int64) error {
 	var se *statusError
 	if errors.As(err, &se) {
 		switch se.status {
@@ -215,16 +224,16 @@
 	return &UnavailableError{Cause: err}
 }
 
-// checkPage guards the folds against an answer that is not a contiguous run
-// from the offset asked: folded, it would let replicas of one log differ.
+// checkPage returns an error unless the entries are contiguous and begin at offset from.
+// Folding any other page would make replicas of the same log diverge.
 func checkPage(p Page, from int64) error {
 	for i := range p.Entries {
 		if p.Entries[i].Offset != from+int64(i) {
-			return &UnavailableError{Cause: fmt.Errorf("entry %d has offset %d, want %d", i, p.Entries[i].Offset, from+int64(i))}
+			return &UnavailableError{Cause: fmt.Errorf("entry %d of the page has offset %d, want %d", i, p.Entries[i].Offset, from+int64(i))}
 		}
 	}
 	if p.Next != from+int64(len(p.Entries)) {
-		return &UnavailableError{Cause: fmt.Errorf("next is %d, want %d", p.Next, from+int64(len(p.Entries)))}
+		return &UnavailableError{Cause: fmt.Errorf("next offset of the page is %d, want %d", p.Next, from+int64(len(p.Entries)))}
 	}
 	return nil
 }
--- a/internal/logstore/client_test.go
+++ b/internal/logstore/client_test.go
@@ -15,7 +15,7 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-func overHTTP(t *testing.T) (*logd.Server, *logstore.Client, string) {
+func newHTTPClient(t *testing.T) (*logd.Server, *logstore.Client, string) {
 	t.Helper()
 	log := logd.New(logd.Options{Seed: 1})
 	srv := httptest.NewUnstartedServer(log.Handler())
@@ -26,7 +26,7 @@
 }
 
 func TestClientRoundTrip(t *testing.T) {
-	log, c, _ := overHTTP(t)
+	log, c, _ := newHTTPClient(t)
 	ctx := t.Context()
 	first, err := c.Append(ctx, []logstore.Record{rec("a"), rec("b")})
 	must.NoError(t, err)
@@ -45,9 +45,10 @@
 	must.Eq(t, 2, head)
 }
 
-// Guards against a failed append reported as not recorded without proof.
-func TestAppendErrorsPromiseNoMoreThanIsKnown(t *testing.T) {
-	log, c, _ := overHTTP(t)
+// Guards against a failed append being reported as not recorded although it may have taken
+// effect. Only a rejection by the log or a refused connection proves that it did not.
+func TestFailedAppendIsUncertainUnlessRejected(t *testing.T) {
+	log, c, _ := newHTTPClient(t)
 	ctx := t.Context()
 	log.SetKnobs(logd.Knobs{LoseAcks: 1})
 	_, err := c.Append(ctx, []logstore.Record{rec("a")})
@@ -60,17 +61,17 @@
 	_, err = c.Append(ctx, []logstore.Record{rec("c")})
 	must.ErrorIs(t, err, logstore.ErrOverloaded)
 	must.Eq(t, 1, log.Appends())
-	dead := logstore.NewClient("http://127.0.0.1:1", logstore.ClientOptions{})
-	_, err = dead.Append(ctx, []logstore.Record{rec("d")})
+	unreachable := logstore.NewClient("http://127.0.0.1:1", logstore.ClientOptions{})
+	_, err = unreachable.Append(ctx, []logstore.Record{rec("d")})
 	must.ErrorIs(t, err, logstore.ErrUnavailable)
-	must.False(t, isUncertain(err))
+	must.False(t, isUncertainError(err))
 	_, err = c.Append(ctx, nil)
 	must.ErrorIs(t, err, logstore.ErrBadRequest)
 }
 
-// A proxy between node and log answers with something else: too much, or a
-// page that skips entries. Folded, it would let replicas of one log differ.
-func TestClientRefusesAnswersThatAreNoPage(t *testing.T) {
+// Guards against replicas that diverge because a malformed page was folded. A proxy between
+// node and log can return a page that skips entries, is cut off or is too large.
+func TestClientRejectsMalformedPages(t *testing.T) {
 	body := ""
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(body))
@@ -89,7 +90,7 @@
 }
 
 func TestReadWaitsForAnAppend(t *testing.T) {
-	_, c, _ := overHTTP(t)
+	_, c, _ := newHTTPClient(t)
 	got := make(chan logstore.Page)
 	go func() {
 		page, err := c.Read(t.Context(), 0, 10, logstore.MaxWait)
@@ -102,7 +103,7 @@
 }
 
 func TestKnobsOverHTTP(t *testing.T) {
-	log, _, url := overHTTP(t)
+	log, _, url := newHTTPClient(t)
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPut, url+logd.PathKnobs,
 		bytes.NewBufferString(`{"outage":true,"delay_ms":3}`))
 	must.NoError(t, err)
@@ -112,9 +113,9 @@
 	must.Eq(t, logd.Knobs{Outage: true, DelayMillis: 3}, log.Knobs())
 }
 
-// Records expire by age while a reader is away; it is told from where on it
-// can read.
-func TestRetention(t *testing.T) {
+// Guards against a reader that cannot resume after its offset expired: the error must contain
+// the oldest offset that is still readable.
+func TestReadBelowRetentionFails(t *testing.T) {
 	now := time.Unix(0, 0)
 	log := logd.New(logd.Options{Now: func() time.Time { return now }})
 	log.SetKnobs(logd.Knobs{RetentionMillis: 1000})
--- a/internal/logstore/dedup.go
+++ b/internal/logstore/dedup.go
@@ -1,24 +1,23 @@
 package logstore
 
-// Dedup remembers the IDs of the last window offsets, so that a record that a
-// writer appended again after a lost acknowledgement folds once.
+// Dedup keeps the record IDs of the last window offsets, so that a fold applies a record once
+// even if its writer retried the append after a lost acknowledgement.
 //
-// What makes the bound sound: a writer repeats a record for at most
-// AppenderConfig.RepeatFor plus one Timeout after its first attempt, and the
-// log takes a bounded number of records in that time. A window of at least
-// that number still holds the first copy when the last repeat arrives. At the
-// log's several hundred appends a second and groups of up to 32 records this
-// is 500 x 32 x 32 s = 512,000 offsets at the very most; a fold that sees only
-// its own kind may use fewer.
+// The window must be large enough to hold the first copy of a record when its last retry
+// arrives. A writer retries a record for at most AppenderConfig.RepeatFor plus one Timeout
+// after its first attempt, so the window must cover the number of records that the log accepts
+// in that time. At several hundred appends per second and up to 32 records per append this is
+// at most 500 x 32 x 32 s = 512,000 offsets; a fold that passes only its own kind of records
+// can use a smaller window.
 //
-// The answer depends on nothing but the entries of the window, so replicas
-// that have read them agree. A replica that starts at offset V must first feed
-// the entries from V-window on (without folding them).
+// The result depends only on the entries of the window, so replicas that have read them agree.
+// A replica that starts at offset V must first pass the entries from V-window on to Fresh,
+// without folding them.
 type Dedup struct {
 	window int64
-	seen   map[string]int64
-	order  []seenID
-	first  int
+	seen   map[string]int64 // offset by record ID
+	order  []seenID         // in ascending order of offset
+	head   int              // index of the oldest ID in order; those before it are evicted
 }
 
 type seenID struct {
@@ -26,16 +25,16 @@
 	offset int64
 }
 
-// NewDedup returns a memory over window offsets; window below 1 means 1.
+// NewDedup returns an empty Dedup with a window in offsets; a window below 1 means 1.
 func NewDedup(window int64) *Dedup {
 	return &Dedup{window: max(1, window), seen: map[string]int64{}}
 }
 
-// Fresh reports whether e is the first copy of its record, and remembers it.
-// Entries must come in ascending order of offset; one that comes again is not
-// fresh.
+// Fresh adds the record ID of e and reports whether e is the first copy of its record in the
+// window. Entries must be passed in ascending order of offset; the result is false for an
+// entry that is passed again.
 func (d *Dedup) Fresh(e Entry) bool {
-	d.forget(e.Offset - d.window)
+	d.evict(e.Offset - d.window)
 	if _, ok := d.seen[e.Record.ID]; ok {
 		return false
 	}
@@ -44,16 +43,19 @@
 	return true
 }
 
-// Len returns how many IDs are remembered.
+// Len returns the number of stored IDs.
 func (d *Dedup) Len() int { return len(d.seen) }
 
-func (d *Dedup) forget(below int64) {
-	for d.first < len(d.order) && d.order[d.first].offset < below {
-		delete(d.seen, d.order[d.first].id)
-		d.first++
+// evict removes the IDs of offsets below the given one.
+// evict removes the IDs of offsets below the given one.
+// evict removes the IDs of offsets below the given one.
+func (d *Dedup) evict(below int64) {
+	for d.head < len(d.order) && d.order[d.head].offset < below {
+		delete(d.seen, d.order[d.head].id)
+		d.head++
 	}
-	if d.first > len(d.order)/2 {
-		d.order = append([]seenID(nil), d.order[d.first:]...)
-		d.first = 0
+	if d.head > len(d.order)/2 {
+		d.order = append([]seenID(nil), d.order[d.head:]...)
+		d.head = 0
 	}
 }
--- a/internal/logstore/follow.go
+++ b/internal/logstore/follow.go
@@ -9,35 +9,34 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// Sink is what a follower feeds. Its methods are called by one goroutine.
+// Sink consumes the entries that Follow reads. Its methods are called by one goroutine.
 type Sink interface {
 	// Next returns the offset to read from.
 	Next() int64
-	// Take gets a page that was read from Next. sent is when the read was
-	// sent, by the local clock: the page holds every append acknowledged
-	// before that, up to its Next.
+	// Take consumes a page that was read from Next. sent is the local time at which the read
+	// was sent: the page contains every append acknowledged before that, up to its Next.
 	Take(page Page, sent time.Time)
-	// Truncated says that the entries below oldest have expired.
+	// Truncated reports that the entries below oldest have expired.
 	Truncated(oldest int64)
-	// Failed gets the error of a read that is tried again.
+	// Failed reports the error of a read, which Follow retries.
 	Failed(err error)
 }
 
-// FollowConfig bounds the reads of one follower.
+// FollowConfig configures the reads of Follow.
 type FollowConfig struct {
-	// Wait is how long a read waits at the head.
+	// Wait is how long a read waits at the log's head for a new entry.
 	Wait time.Duration
-	// MaxEntries bounds one page.
+	// MaxEntries limits the number of entries in one page.
 	MaxEntries int
-	// MinBackoff and MaxBackoff bound the pause after a failed read.
+	// MinBackoff and MaxBackoff limit the delay after a failed read.
 	MinBackoff, MaxBackoff time.Duration
-	// Now reads the clock; nil means time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
-	// Rand spreads the backoff; nil seeds one from the global source.
+	// Rand is the source of the backoff's jitter; nil means one seeded from the global source.
 	Rand *rand.Rand
 }
 
-// DefaultFollowConfig returns the settings of a reader in a zone.
+// DefaultFollowConfig returns the settings of a zone's reader.
 func DefaultFollowConfig() FollowConfig {
 	return FollowConfig{
 		Wait:       time.Second,
@@ -47,8 +46,8 @@
 	}
 }
 
-// Follow reads log into sink until ctx ends. An outage is ridden out: what was
-// read stays in force, and reading goes on where it stopped.
+// Follow reads log into sink until ctx ends. During an outage it retries with backoff; the
+// sink keeps what it has, and reading resumes at sink.Next.
 func Follow(ctx context.Context, log Log, cfg FollowConfig, sink Sink) error {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -63,7 +62,7 @@
 		if err == nil {
 			failures = 0
 			sink.Take(page, sent)
-			// A log that does not wait at its head must not make this spin.
+			// Prevents a busy loop if the log returns an empty page without waiting.
 			if len(page.Entries) == 0 && cfg.Now().Sub(sent) < cfg.MinBackoff {
 				wait.For(ctx, cfg.MinBackoff)
 			}
@@ -75,8 +74,8 @@
 		} else {
 			sink.Failed(err)
 		}
-		// The pause covers truncation too: with a log that expires faster
-		// than it can be read, the loop must not spin.
+		// The delay also follows a truncation, to prevent a busy loop if records expire faster
+		// than they can be read.
 		failures++
 		if !wait.For(ctx, backoff(cfg.Rand, cfg.MinBackoff, cfg.MaxBackoff, failures)) {
 			break
@@ -85,8 +84,9 @@
 	return ctx.Err()
 }
 
-// backoff doubles from low up to high and spreads over its upper half: nodes
-// that lost the log together must not come back together.
+// backoff returns an exponential delay between low and high. The delay has jitter over its
+// upper half, so that nodes that lost the log at the same time do not all return to it at the
+// same time.
 func backoff(rng *rand.Rand, low, high time.Duration, failures int) time.Duration {
 	bound := high
 	if shift := failures - 1; shift < 16 {
--- a/internal/logstore/fuzz_test.go
+++ b/internal/logstore/fuzz_test.go
@@ -14,21 +14,24 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-type answerer []byte
+// staticTransport is an http.RoundTripper that returns the same body for every request.
+// staticTransport is an http.RoundTripper that returns the same body for every request.
+// staticTransport is an http.RoundTripper that returns the same body for every request.
+type staticTransport []byte
 
-func (a answerer) RoundTrip(*http.Request) (*http.Response, error) {
+func (a staticTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(a))}, nil
 }
 
-// FuzzPage gives the client hostile pages: it fails, or what it returns is one
-// contiguous run from the offset asked.
+// FuzzPage guards against malformed pages that reach the folds: the client must return an
+// error or entries that are contiguous from the requested offset.
 func FuzzPage(f *testing.F) {
 	good, err := json.Marshal(logstore.Page{Entries: []logstore.Entry{{Offset: 5, Record: rec("a")}}, Next: 6, Head: 9})
 	must.NoError(f, err)
 	f.Add(good)
 	f.Add([]byte(`{"entries":[{"offset":5},{"offset":5}],"next":7}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c := logstore.NewClient("http://log", logstore.ClientOptions{HTTP: &http.Client{Transport: answerer(data)}})
+		c := logstore.NewClient("http://log", logstore.ClientOptions{HTTP: &http.Client{Transport: staticTransport(data)}})
 		page, err := c.Read(t.Context(), 5, 10, 0)
 		if err != nil {
 			must.ErrorIs(t, err, logstore.ErrUnavailable)
@@ -41,8 +44,8 @@
 	})
 }
 
-// FuzzAppend sends hostile documents to the stand-in: what it takes reads back
-// as valid records.
+// FuzzAppend guards against malformed documents that the stand-in log server accepts: every
+// accepted document must read back as valid records.
 func FuzzAppend(f *testing.F) {
 	good, err := json.Marshal(logstore.AppendRequest{Records: []logstore.Record{rec("a"), rec("b")}})
 	must.NoError(f, err)
--- a/internal/logstore/log.go
+++ b/internal/logstore/log.go
@@ -1,7 +1,7 @@
-// Package logstore is the client of the platform's append-only log service,
-// the only place where something lasts. It holds the Log interface, its HTTP
-// client, the Appender that groups a node's records into few appends, and the
-// Dedup memory that lets a repeated record fold once.
+// Package logstore is the client of the platform's append-only log service, the only durable
+// storage. It contains the Log interface and its HTTP client, the Appender, which batches the
+// records of a node into few appends, and Dedup, with which a fold applies a record only once
+// when the log holds several copies of it.
 package logstore
 
 import (
@@ -12,90 +12,91 @@
 	"time"
 )
 
-// Kind says which fold a record belongs to. A fold ignores kinds that it does
-// not know, so that nodes of two releases can read one log.
+// Kind is the type of a record and selects the fold that applies it. A fold ignores unknown
+// kinds, so that nodes of two releases can read the same log.
 type Kind string
 
 const (
-	// KindTemplate publishes a template revision.
+	// KindTemplate is the publication of a template revision.
 	KindTemplate Kind = "template"
-	// KindInstance publishes an instance.
+	// KindInstance is the publication of an instance.
 	KindInstance Kind = "instance"
-	// KindSnapshot repeats accepted configuration before its records expire.
+	// KindSnapshot is a copy of the accepted configuration, written before its records expire.
 	KindSnapshot Kind = "snapshot"
-	// KindJoin announces a node incarnation.
+	// KindJoin adds a node incarnation to the members.
 	KindJoin Kind = "join"
-	// KindLeave ends a node incarnation by its own will.
+	// KindLeave removes a node incarnation; the node itself writes it at a planned stop.
 	KindLeave Kind = "leave"
-	// KindEvict ends a node incarnation that its peers found dead.
+	// KindEvict removes a node incarnation; another node writes it after the failure detector
+	// reports the node dead.
 	KindEvict Kind = "evict"
 	// KindClaim claims an idempotency key before its call runs.
 	KindClaim Kind = "claim"
 	// KindTakeover moves a slot of the key space to another owner.
 	KindTakeover Kind = "takeover"
-	// KindDrain asks an upstream to take no new work.
+	// KindDrain requests that an upstream take no new work.
 	KindDrain Kind = "drain"
 )
 
-// Record is what a writer appends.
+// Record is one record as a writer appends it.
 type Record struct {
-	// ID is unique to the record. A writer that cannot tell whether an append
-	// took effect appends the same ID again; folds count it once.
+	// ID is unique to the record. A writer that cannot tell whether an append took effect
+	// retries it with the same ID; folds apply only the first copy.
 	ID   string `json:"id"`
 	Kind Kind   `json:"kind"`
-	// At is the writer's clock; no fold may decide by it.
+	// At is the time of the writer's clock. A fold must not base a decision on it.
 	At   time.Time       `json:"at"`
 	Body json.RawMessage `json:"body,omitempty"`
 }
 
-// Entry is a record at its place in the log.
+// Entry is a record with its offset in the log.
 type Entry struct {
 	Offset int64  `json:"offset"`
 	Record Record `json:"record"`
 }
 
-// Page is the answer to a read.
+// Page is the result of one read.
 type Page struct {
 	Entries []Entry `json:"entries"`
-	// Next is the offset to read from after this page.
+	// Next is the offset at which the next read continues.
 	Next int64 `json:"next"`
-	// Head is the offset that the next append will get.
+	// Head is the offset that the next append gets.
 	Head int64 `json:"head"`
 	// Oldest is the first offset that has not expired.
 	Oldest int64 `json:"oldest"`
 }
 
-// Log is the log service. Reads see every append that was acknowledged before
-// the read was sent; what rests on that is named in docs/design.
+// Log is the log service. A read returns every append that was acknowledged before the read
+// was sent; docs/design names the parts that depend on this guarantee.
 type Log interface {
-	// Append adds the records in one step, contiguously, and returns the
-	// offset of the first. An error that matches ErrUncertain may have taken
-	// effect; one that matches ErrOverloaded or ErrUnavailable, and not
-	// ErrUncertain, has not.
+	// Append adds the records atomically at contiguous offsets and returns the offset of the
+	// first. If the error matches ErrUncertain, the append may have taken effect. If it matches
+	// ErrOverloaded or ErrUnavailable but not ErrUncertain, the append had no effect.
 	Append(ctx context.Context, records []Record) (first int64, err error)
-	// Read returns at most max entries from offset from on. With none there it
-	// waits up to wait for one, then returns an empty page. It fails with
-	// ErrTruncated (as *TruncatedError) when from has expired.
+	// Read returns at most max entries, beginning at offset from. If there are none, it waits
+	// up to wait for an entry, then returns an empty page. It fails with ErrTruncated (as
+	// *TruncatedError) if from has expired.
 	Read(ctx context.Context, from int64, max int, wait time.Duration) (Page, error)
-	// Head returns the offset that the next append will get.
+	// Head returns the offset that the next append gets.
 	Head(ctx context.Context) (int64, error)
 }
 
 var (
-	// ErrTruncated matches a read below the oldest offset kept.
+	// ErrTruncated matches a read from an offset that has expired.
 	ErrTruncated = errors.New("log offset has expired")
-	// ErrUnavailable matches a log that could not be reached or is out.
+	// ErrUnavailable matches a request that did not reach the log or failed during an outage.
 	ErrUnavailable = errors.New("log is unavailable")
-	// ErrOverloaded matches an append above the log's rate.
+	// ErrOverloaded matches an append that the log rejected because its rate limit is exceeded.
 	ErrOverloaded = errors.New("log is overloaded")
 	// ErrUncertain matches an append that may or may not have taken effect.
 	ErrUncertain = errors.New("append may have taken effect")
-	// ErrBadRequest matches a request that the log will never take; nothing of
-	// it took effect and to repeat it is useless.
+	// ErrBadRequest matches an invalid request. It had no effect, and every retry of it fails
+	// as well.
 	ErrBadRequest = errors.New("log refused the request")
 )
 
-// TruncatedError is a read below the oldest offset kept.
+// TruncatedError is the error of a read from an offset that has expired. From is the requested
+// offset, Oldest the first one that has not expired.
 type TruncatedError struct {
 	From   int64
 	Oldest int64
@@ -103,15 +104,16 @@
 
 // Error implements error.
 func (e *TruncatedError) Error() string {
-	return fmt.Sprintf("%v: asked from %d, oldest is %d", ErrTruncated, e.From, e.Oldest)
+	return fmt.Sprintf("%v: requested offset %d, oldest retained offset is %d", ErrTruncated, e.From, e.Oldest)
 }
 
 // Is reports whether target is ErrTruncated.
 func (e *TruncatedError) Is(target error) bool { return target == ErrTruncated }
 
-// OverloadedError is an append that the log refused for its rate.
+// OverloadedError is the error of an append that the log rejected because its rate limit is
+// exceeded.
 type OverloadedError struct {
-	// RetryAfter is the log's hint; 0 when it gave none.
+	// RetryAfter is the delay that the log requests before a retry; 0 if it sent none.
 	RetryAfter time.Duration
 }
 
@@ -123,7 +125,8 @@
 // Is reports whether target is ErrOverloaded.
 func (e *OverloadedError) Is(target error) bool { return target == ErrOverloaded }
 
-// UnavailableError is an outage as one call saw it.
+// UnavailableError is the error of one request to an unavailable log, with the underlying
+// error in Cause.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -135,7 +138,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// UncertainError is an append without a usable answer.
+// UncertainError is the error of an append that may have taken effect, because no usable
+// response was received.
 type UncertainError struct{ Cause error }
 
 // Error implements error.
--- a/internal/logstore/wire.go
+++ b/internal/logstore/wire.go
@@ -2,49 +2,51 @@
 
 import "time"
 
-// Paths of the log service.
+// HTTP paths of the log service.
 const (
 	PathAppend = "/v1/append"
 	PathRead   = "/v1/read"
 	PathHead   = "/v1/head"
 )
 
-// Bounds that client and stand-in share.
+// Limits that the client and the stand-in log server both enforce.
 const (
-	// MaxRecordBytes bounds the body of one record. The largest is a snapshot;
+	// MaxRecordBytes limits the body of one record. The largest record is a snapshot;
 	// docs/design/configuration.md gives its size at 1,700 services.
 	MaxRecordBytes = 2 << 20
-	// MaxAppendBytes bounds the document of one append.
+	// MaxAppendBytes limits the JSON document of one append.
 	MaxAppendBytes = 4 << 20
-	// MaxPageBytes bounds what a client reads as one page.
+	// MaxPageBytes limits the response body that a client accepts for one read.
 	MaxPageBytes = 8 << 20
-	// MaxPageEntries bounds the entries of one page.
+	// MaxPageEntries limits the number of entries in one page.
 	MaxPageEntries = 4096
-	// MaxAppendRecords bounds the records of one append.
+	// MaxAppendRecords limits the number of records in one append.
 	MaxAppendRecords = 1024
-	// MaxIDBytes bounds a record ID.
+	// MaxIDBytes limits the length of a record ID.
 	MaxIDBytes = 128
-	// MaxWait bounds how long a read waits at the log's head.
+	// MaxWait limits how long a read waits at the log's head for a new entry.
 	MaxWait = 30 * time.Second
 )
 
-// AppendRequest is the document of PathAppend.
+// AppendRequest is the request body of PathAppend.
 type AppendRequest struct {
 	Records []Record `json:"records"`
 }
 
-// AppendResponse answers PathAppend.
+// AppendResponse is the response body of PathAppend. First is the offset of the first record.
 type AppendResponse struct {
 	First int64 `json:"first"`
 }
 
-// HeadResponse answers PathHead.
+// HeadResponse is the response body of PathHead. Head is the offset that the next append
+// gets; Oldest is the first offset that has not expired.
 type HeadResponse struct {
 	Head   int64 `json:"head"`
 	Oldest int64 `json:"oldest"`
 }
 
-// ErrorResponse is the document of every failed request.
+// ErrorResponse is the response body of every failed request. Oldest is set when the
+// requested offset has expired, RetryAfterMillis when the log rejects an append for its rate.
 type ErrorResponse struct {
 	Error            string `json:"error"`
 	Oldest           int64  `json:"oldest,omitempty"`
