--- a/internal/control/twelve_test.go
+++ b/internal/control/call_sim_test.go
@@ -26,50 +26,50 @@
 )
 
 const (
-	minuteOneWay = 500 * time.Microsecond
-	minuteTick   = 10 * time.Millisecond
+	oneWayDelay       = 500 * time.Microsecond
+	guardTickInterval = 10 * time.Millisecond
 )
 
-// epoch is when the minute begins.
+// epoch is the start of the simulated time.
 var epoch = time.Date(2026, 5, 1, 9, 0, 0, 0, time.UTC)
 
-// freeAuthority permits every start without a claim.
-type freeAuthority struct{}
+// allowAllAuthority is a node.Authority that permits every call to start without a claim.
+type allowAllAuthority struct{}
 
 // NeedsClaim implements node.Authority.
-func (freeAuthority) NeedsClaim(*node.Call) bool { return false }
+func (allowAllAuthority) NeedsClaim(*node.Call) bool { return false }
 
 // MayStart implements node.Authority.
-func (freeAuthority) MayStart(time.Time, *node.Call) (time.Time, *result.Refusal) {
+func (allowAllAuthority) MayStart(time.Time, *node.Call) (time.Time, *result.Refusal) {
 	return time.Time{}, nil
 }
 
-func doneAnswer(call *node.Call) *node.Response {
+func okResponse(call *node.Call) *node.Response {
 	return &node.Response{CallID: call.Ctx.CallID, Code: result.OK, Status: 200, Body: []byte("done")}
 }
 
-// minute drives nodes, the log and the network in one goroutine of virtual time.
-type minute struct {
+// callSim simulates nodes, the log and the network in one goroutine with virtual time.
+type callSim struct {
 	*testclock.Clock
 	t     *testing.T
 	rng   *rand.Rand
 	log   *logd.Server
-	nodes []*minuteNode
+	nodes []*callSimNode
 	lines []string
 }
 
-type minuteNode struct {
+type callSimNode struct {
 	*node.Node
-	s       *minute
-	service string
-	replica *control.Replica
-	life    int // counts the upstream's crashes
+	sim             *callSim
+	service         string
+	replica         *control.Replica
+	upstreamCrashes int // number of crashes of the upstream
 }
 
-// newMinute makes four nodes for each of three services; front calls middle, and
-// middle calls back.
-func newMinute(t *testing.T, seed uint64) *minute {
-	s := &minute{Clock: testclock.New(epoch), t: t, rng: rand.New(rand.NewPCG(seed, 1))}
+// newCallSim starts four nodes for each of three services; front calls middle, and middle calls
+// back.
+func newCallSim(t *testing.T, seed uint64) *callSim {
+	s := &callSim{Clock: testclock.New(epoch), t: t, rng: rand.New(rand.NewPCG(seed, 1))}
 	s.log = logd.New(logd.Options{Now: s.Now, Seed: seed})
 	s.publish()
 	for i := range 12 {
@@ -78,7 +78,7 @@
 	return s
 }
 
-func (s *minute) publish() {
+func (s *callSim) publish() {
 	var records []logstore.Record
 	add := func(p policy.Publication) {
 		rec, err := p.Record(s.Now())
@@ -97,11 +97,11 @@
 	must.NoError(s.t, err)
 }
 
-func (s *minute) start(i int, seed uint64) {
-	n := &minuteNode{s: s, service: []string{"front", "middle", "back"}[i%3], replica: control.NewReplica()}
+func (s *callSim) start(i int, seed uint64) {
+	n := &callSimNode{sim: s, service: []string{"front", "middle", "back"}[i%3], replica: control.NewReplica()}
 	id := node.Identity{Node: fmt.Sprintf("n%02d", i), Incarnation: 1, Region: "r", Zone: fmt.Sprintf("z%d", i%2), InnerAddr: fmt.Sprintf("10.0.0.%d:1", i)}
 	n.Node = node.New(node.Config{
-		Identity: id, Clock: s, Runner: n, Authority: freeAuthority{}, Guard: node.DefaultGuardConfig(), Routing: routing.DefaultConfig(),
+		Identity: id, Clock: s, Runner: n, Authority: allowAllAuthority{}, Guard: node.DefaultGuardConfig(), Routing: routing.DefaultConfig(),
 		Retry: retry.DefaultPolicy(), Throttle: retry.DefaultThrottleConfig(), Seed: [32]byte{byte(i), byte(seed)},
 		Ring: timeline.NewRing(id.Node, 1<<15, &timeline.Clock{}), Sample: 1,
 	})
@@ -118,52 +118,52 @@
 	n.follow()
 }
 
-func (n *minuteNode) announce() {
-	n.UpstreamAnnounced(n.s.Now(), node.Announcement{Service: n.service, Address: "10.0.0.1:2", Slots: 6})
+func (n *callSimNode) announce() {
+	n.UpstreamAnnounced(n.sim.Now(), node.Announcement{Service: n.service, Address: "10.0.0.1:2", Slots: 6})
 }
 
-func (n *minuteNode) tick() {
-	n.Guard().Tick(n.s.Now())
-	n.s.After(minuteTick, n.tick)
+func (n *callSimNode) tick() {
+	n.Guard().Tick(n.sim.Now())
+	n.sim.After(guardTickInterval, n.tick)
 }
 
-// follow reads the log once a second.
-func (n *minuteNode) follow() {
-	page, err := n.s.log.Read(context.Background(), n.replica.Next(), 1000, 0)
-	must.NoError(n.s.t, err)
-	n.replica.Take(n.s.Now(), page)
-	n.SetPolicy(n.s.Now(), n.replica.Policy())
-	n.SetEndpoints(n.s.Now(), control.Endpoints(n.replica.Members(), func(membership.Identity) bool { return false }))
-	n.s.After(time.Second, n.follow)
+// follow reads the log once per second.
+func (n *callSimNode) follow() {
+	page, err := n.sim.log.Read(context.Background(), n.replica.Next(), 1000, 0)
+	must.NoError(n.sim.t, err)
+	n.replica.Take(n.sim.Now(), page)
+	n.SetPolicy(n.sim.Now(), n.replica.Policy())
+	n.SetEndpoints(n.sim.Now(), control.Endpoints(n.replica.Members(), func(membership.Identity) bool { return false }))
+	n.sim.After(time.Second, n.follow)
 }
 
 // Claim implements Runner.
-func (n *minuteNode) Claim(call *node.Call) {
-	n.s.t.Fatalf("call %s asked for a claim", call.Ctx.CallID)
+func (n *callSimNode) Claim(call *node.Call) {
+	n.sim.t.Fatalf("call %s requested a claim", call.Ctx.CallID)
 }
 
-// Run implements Runner: the upstream works, then calls deeper.
-func (n *minuteNode) Run(call *node.Call, _ time.Time) {
-	life := n.life
+// Run implements Runner: the upstream works, then calls the next service, if any.
+func (n *callSimNode) Run(call *node.Call, _ time.Time) {
+	crashesAtStart := n.upstreamCrashes
 	end := func(a *node.Response) {
-		if n.life != life {
+		if n.upstreamCrashes != crashesAtStart {
 			a = node.Refused(call.Ctx.CallID, result.Refuse(result.LostAnswer, "the upstream died"))
-			a.Crashed = n.UpstreamCrashed(n.s.Now())
+			a.Crashed = n.UpstreamCrashed(n.sim.Now())
 		}
-		n.Guard().Finish(n.s.Now(), call.Ctx.CallID, a)
+		n.Guard().Finish(n.sim.Now(), call.Ctx.CallID, a)
 	}
-	deeper := map[string]string{"front": "middle", "middle": "back"}[n.service]
-	n.s.After(time.Duration((0.5+n.s.rng.Float64())*float64(20*time.Millisecond)), func() {
-		if deeper == "" || n.life != life {
-			end(doneAnswer(call))
+	callee := map[string]string{"front": "middle", "middle": "back"}[n.service]
+	n.sim.After(time.Duration((0.5+n.sim.rng.Float64())*float64(20*time.Millisecond)), func() {
+		if callee == "" || n.upstreamCrashes != crashesAtStart {
+			end(okResponse(call))
 			return
 		}
-		n.callDeeper(call, deeper, end)
+		n.callNext(call, callee, end)
 	})
 }
 
-func (n *minuteNode) callDeeper(call *node.Call, service string, end func(*node.Response)) {
-	child, account, refusal := n.Child(n.s.Now(), callctx.Raw{Parent: call.Ctx.CallID, Service: service}, "GET")
+func (n *callSimNode) callNext(call *node.Call, service string, end func(*node.Response)) {
+	child, account, refusal := n.Child(n.sim.Now(), callctx.Raw{Parent: call.Ctx.CallID, Service: service}, "GET")
 	if refusal != nil {
 		end(node.Refused(call.Ctx.CallID, refusal))
 		return
@@ -174,27 +174,27 @@
 			end(&node.Response{CallID: call.Ctx.CallID, Code: result.UpstreamFailed, Status: 502})
 			return
 		}
-		end(doneAnswer(call))
+		end(okResponse(call))
 	})
 }
 
-// dispatch follows a Dispatch over the simulated network.
-func (n *minuteNode) dispatch(call *node.Call, account *retry.Account, done func(*node.Response)) {
-	d := node.NewDispatch(n.Node, n.s.rng, call, account)
+// dispatch performs the actions of a Dispatch over the simulated network.
+func (n *callSimNode) dispatch(call *node.Call, account *retry.Account, done func(*node.Response)) {
+	d := node.NewDispatch(n.Node, n.sim.rng, call, account)
 	var next func()
 	next = func() {
-		switch o := d.Next(n.s.Now()); o.Kind {
+		switch action := d.Next(n.sim.Now()); action.Kind {
 		case node.ActionDone:
-			n.Answered(call, o.Response, d)
-			done(o.Response)
+			n.Answered(call, action.Response, d)
+			done(action.Response)
 		case node.ActionPause:
-			n.s.After(o.Pause, next)
+			n.sim.After(action.Pause, next)
 		case node.ActionSend:
-			to := n.s.node(o.Target.Endpoint().Node)
-			n.s.After(minuteOneWay, func() {
-				to.arrive(o.Attempt, func(a *node.Response) {
-					n.s.After(minuteOneWay, func() {
-						d.Observe(n.s.Now(), a)
+			to := n.sim.node(action.Target.Endpoint().Node)
+			n.sim.After(oneWayDelay, func() {
+				to.receive(action.Attempt, func(a *node.Response) {
+					n.sim.After(oneWayDelay, func() {
+						d.Observe(n.sim.Now(), a)
 						next()
 					})
 				})
@@ -204,13 +204,13 @@
 	next()
 }
 
-func (n *minuteNode) arrive(call *node.Call, answer func(*node.Response)) {
-	if _, a := n.Guard().Arrive(n.s.Now(), call, answer); a != nil {
-		answer(a)
+func (n *callSimNode) receive(call *node.Call, respond func(*node.Response)) {
+	if _, a := n.Guard().Arrive(n.sim.Now(), call, respond); a != nil {
+		respond(a)
 	}
 }
 
-func (s *minute) node(name string) *minuteNode {
+func (s *callSim) node(name string) *callSimNode {
 	for _, n := range s.nodes {
 		if n.ID() == name {
 			return n
@@ -220,13 +220,14 @@
 	return nil
 }
 
-// offer makes root requests, four times as many from the 30th to the 40th second.
-func (s *minute) offer() {
+// generateLoad sends root requests, at four times the normal rate from the 30th to the 40th
+// second.
+func (s *callSim) generateLoad() {
 	rate := 100.0
 	if e := s.Now().Sub(epoch); e >= 30*time.Second && e < 40*time.Second {
 		rate = 400
 	}
-	s.After(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), s.offer)
+	s.After(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), s.generateLoad)
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	raw := callctx.Raw{Workspace: "w", Service: "front", HasLevel: true, Level: callctx.Level(s.rng.IntN(callctx.Levels)), Timeout: time.Second}
 	call, allowance, refusal := n.Root(s.Now(), raw, "GET", fmt.Sprint(s.rng.IntN(50)))
@@ -240,12 +241,12 @@
 	})
 }
 
-// simulatedMinute returns the outcomes and every event of a minute with a
-// crash, a drain and a surge.
-func simulatedMinute(t *testing.T, seed uint64) []string {
-	s := newMinute(t, seed)
-	s.After(time.Second, s.offer)
-	s.After(10*time.Second, func() { s.nodes[2].life++; s.nodes[2].UpstreamCrashed(s.Now()) })
+// simulateMinute runs a minute with a crash, a drain and a surge. It returns the outcomes of all
+// requests and the events of all nodes.
+func simulateMinute(t *testing.T, seed uint64) []string {
+	s := newCallSim(t, seed)
+	s.After(time.Second, s.generateLoad)
+	s.After(10*time.Second, func() { s.nodes[2].upstreamCrashes++; s.nodes[2].UpstreamCrashed(s.Now()) })
 	s.After(12*time.Second, s.nodes[2].announce)
 	s.After(20*time.Second, func() { s.nodes[4].Guard().Drain(s.Now()) })
 	s.Run(time.Minute)
@@ -257,9 +258,10 @@
 	return s.lines
 }
 
-// Guards against decisions that depend on a clock or randomness of their own.
-func TestTwelveNodesInOneGoroutineTwiceAlike(t *testing.T) {
-	first := simulatedMinute(t, 7)
+// Guards against decisions that depend on the wall clock or on a random source that is not
+// seeded: two runs with the same seed must produce the same events.
+func TestCallSimulationIsDeterministic(t *testing.T) {
+	first := simulateMinute(t, 7)
 	must.Greater(t, 5000, len(first))
 	answered := 0
 	for _, line := range first {
@@ -268,6 +270,6 @@
 		}
 	}
 	must.Greater(t, 4000, answered)
-	must.Eq(t, first, simulatedMinute(t, 7))
-	must.NotEq(t, first[100], simulatedMinute(t, 8)[100])
+	must.Eq(t, first, simulateMinute(t, 7))
+	must.NotEq(t, first[100], simulateMinute(t, 8)[100])
 }
--- a/internal/control/codec.go
+++ b/internal/control/codec.go
@@ -11,14 +11,15 @@
 	"github.com/galenagrade/galenagrade/internal/membership"
 )
 
-func age(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+func fromMicros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// Ref names a node to its peers, as briefly as the protocol allows.
+// Ref returns the shortest reference to a node that the protocol allows: its name and
+// incarnation.
 func Ref(id membership.Identity) *innerpb.NodeRef {
 	return &innerpb.NodeRef{NodeId: id.Node, Incarnation: strconv.FormatUint(id.Incarnation, 10)}
 }
 
-// IdentityOf returns whom a reference names.
+// IdentityOf returns the identity of the node that r refers to.
 func IdentityOf(r *innerpb.NodeRef) membership.Identity {
 	return identityOf(r.GetNodeId(), r.GetIncarnation())
 }
@@ -28,10 +29,11 @@
 	return membership.Identity{Node: node, Incarnation: n}
 }
 
-// OnCrashRecords takes suspects that a peer spread.
+// OnCrashRecords stores crash records that a peer has sent by gossip, until TakeCrashRecords
+// returns them.
 func (p *Plane) OnCrashRecords(now time.Time, list []*innerpb.Suspect) {
 	for _, s := range list {
-		p.incoming = append(p.incoming, inner.Suspect(now, s))
+		p.receivedCrashRecords = append(p.receivedCrashRecords, inner.Suspect(now, s))
 	}
 }
 
@@ -58,7 +60,7 @@
 		out = append(out, membership.Finding{
 			Target:   identityOf(l.GetNodeId(), l.GetIncarnation()),
 			Observer: identityOf(node, incarnation),
-			Age:      age(l.GetAgeUs()),
+			Age:      fromMicros(l.GetAgeUs()),
 			Alive:    l.GetState() == innerpb.LivenessState_LIVENESS_STATE_ALIVE,
 		})
 	}
@@ -87,52 +89,53 @@
 	return out
 }
 
-// ownBeat is the heartbeat that a question carries: only a zone's reader tells
-// its own, since all others hear of it from above.
-func (p *Plane) ownBeat() *innerpb.Relay {
+// ownHeartbeat returns the heartbeat that an exchange request contains. Only the zone's reader
+// sends one; the other nodes receive heartbeats from their parents, in responses.
+func (p *Plane) ownHeartbeat() *innerpb.Relay {
 	if !p.IsLeader() {
 		return nil
 	}
-	return p.elected()
+	return p.leaderRelay()
 }
 
-// elected names the zone's reader by the newest heartbeat known.
-func (p *Plane) elected() *innerpb.Relay {
-	if p.beat.seq == 0 {
+// leaderRelay returns the newest known heartbeat of the zone's reader; nil if there is none.
+func (p *Plane) leaderRelay() *innerpb.Relay {
+	if p.leaderHeartbeat.seq == 0 {
 		return nil
 	}
-	ref := Ref(p.beat.hb.From)
+	ref := Ref(p.leaderHeartbeat.hb.From)
 	ref.Zone = p.zone
-	ref.InnerAddr = p.beat.addr
-	return &innerpb.Relay{Node: ref, Rank: p.beat.hb.Rank, Sequence: p.beat.seq}
+	ref.InnerAddr = p.leaderHeartbeat.addr
+	return &innerpb.Relay{Node: ref, Rank: p.leaderHeartbeat.hb.Rank, Sequence: p.leaderHeartbeat.seq}
 }
 
-// takeElected hears a heartbeat that came by way of others. Its number tells
-// an old one that still goes round from a new one: otherwise a dead reader
-// would be heard of for as long as anyone repeats it.
-func (p *Plane) takeElected(now time.Time, r *innerpb.Relay) {
+// onLeaderRelay applies a heartbeat that a peer has relayed. Its sequence number must be newer
+// than the last one received from the same reader. Without this check, nodes that relay an old
+// heartbeat to each other would keep a dead reader elected.
+func (p *Plane) onLeaderRelay(now time.Time, r *innerpb.Relay) {
 	if r == nil || r.GetNode().GetZone() != p.zone {
 		return
 	}
 	hb := membership.Heartbeat{From: IdentityOf(r.GetNode()), Rank: r.GetRank()}
-	if hb.From == p.self || r.GetSequence() <= p.beaten[hb.From] {
+	if hb.From == p.self || r.GetSequence() <= p.receivedSeqs[hb.From] {
 		return
 	}
-	p.beaten[hb.From] = r.GetSequence()
-	before, led := p.election.Leader()
+	p.receivedSeqs[hb.From] = r.GetSequence()
+	before, hadLeader := p.election.Leader()
 	p.election.OnHeartbeat(now, hb)
 	after, _ := p.election.Leader()
 	if after != hb.From {
 		return
 	}
-	p.beat = beat{hb: hb, addr: r.GetNode().GetInnerAddr(), seq: r.GetSequence()}
-	if !led || before != after {
+	p.leaderHeartbeat = leaderHeartbeat{hb: hb, addr: r.GetNode().GetInnerAddr(), seq: r.GetSequence()}
+	if !hadLeader || before != after {
 		p.leaderChanged()
 	}
 }
 
+// leaderChanged updates the peers and notes an update for children and the parent.
 func (p *Plane) leaderChanged() {
 	p.setPeers()
 	p.updates++
-	p.fromBelow++
+	p.upwardUpdates++
 }
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// answerRecords and answerBytes bound the records of one answer.
-	answerRecords = 512
-	answerBytes   = 256 << 10
-	// failedFor is how long a peer that did not answer is passed over.
-	failedFor = 3 * time.Second
+	// maxResponseRecords and maxResponseBytes limit the records in one exchange response.
+	maxResponseRecords = 512
+	maxResponseBytes   = 256 << 10
+	// failedPeerBackoff is how long no request is sent to a peer after a failed one.
+	failedPeerBackoff = 3 * time.Second
 )
 
-// beat is the newest heartbeat of the zone's reader that came this way.
-type beat struct {
+// leaderHeartbeat is the newest heartbeat of the zone's reader that this node has sent or
+// received.
+type leaderHeartbeat struct {
 	hb   membership.Heartbeat
 	addr string
-	seq  uint64
+	seq  uint64 // 0 before the first heartbeat
 }
 
-// NextExchange returns whom to ask now; false when there is nobody. The parent
-// in the zone's tree comes first, then the zone's reader, its stand-by, others
-// of the zone, other zones and the seeds.
+// NextExchange returns the peer for the next exchange request; false if there is none. The
+// parent in the zone's tree has priority, followed by the zone's reader, its standby, other
+// nodes of the zone, other zones and the seeds.
 func (p *Plane) NextExchange(now time.Time) (Peer, bool) {
 	for _, peer := range p.candidates(now) {
 		if peer.Addr == "" || peer.Addr == p.addr || peer.ID.Node == p.self.Node {
 			continue
 		}
-		if at, ok := p.failed[peer.Addr]; ok && now.Sub(at) < failedFor {
+		if at, ok := p.failedAt[peer.Addr]; ok && now.Sub(at) < failedPeerBackoff {
 			continue
 		}
 		return peer, true
@@ -40,63 +41,66 @@
 	return Peer{}, false
 }
 
+// candidates returns the peers for the next exchange request, in order of preference.
 func (p *Plane) candidates(now time.Time) []Peer {
-	if p.ahead.Addr != "" {
-		return []Peer{p.ahead}
+	if p.peerAhead.Addr != "" {
+		return []Peer{p.peerAhead}
 	}
-	leader, led := p.election.Leader()
-	if led && leader == p.self {
-		if !p.stale(now) {
+	leader, hasLeader := p.election.Leader()
+	if hasLeader && leader == p.self {
+		if !p.headStale(now) {
 			return nil
 		}
-		return p.strangers(now)
+		return p.staleReaderTargets(now)
 	}
 	var out []Peer
 	live := p.detector.Live(now)
-	if parent, ok := membership.Parent(p.self, leader, live); led && ok {
+	if parent, ok := membership.Parent(p.self, leader, live); hasLeader && ok {
 		out = append(out, p.peer(parent))
 	}
-	if led {
-		out = append(out, p.peer(leader), p.peer(p.standBy(now)))
+	if hasLeader {
+		out = append(out, p.peer(leader), p.peer(p.standbyReader(now)))
 	}
-	known := len(out)
+	preferred := len(out)
 	for _, i := range p.rng.Perm(len(live)) {
 		out = append(out, p.peer(live[i]))
 	}
-	out = append(out, p.others(now)...)
-	if !led {
-		// The own zone may know as little as this node does.
-		p.rng.Shuffle(len(out)-known, func(i, j int) { out[known+i], out[known+j] = out[known+j], out[known+i] })
+	out = append(out, p.otherZonePeers(now)...)
+	if !hasLeader {
+		// Without a leader, the other nodes of the zone may lack the same state as this node,
+		// so other zones are tried equally early.
+		p.rng.Shuffle(len(out)-preferred, func(i, j int) { out[preferred+i], out[preferred+j] = out[preferred+j], out[preferred+i] })
 	}
 	return append(out, p.seedPeers()...)
 }
 
-// strangers are whom a zone's reader asks while it can't read the log itself.
-func (p *Plane) strangers(now time.Time) []Peer {
-	out := p.others(now)
+// staleReaderTargets returns the peers for the exchange requests of a zone's reader that cannot
+// read the log itself.
+func (p *Plane) staleReaderTargets(now time.Time) []Peer {
+	out := p.otherZonePeers(now)
 	if p.rng.IntN(len(out)+1) == 0 {
-		out = append(out, p.peer(p.standBy(now)))
+		out = append(out, p.peer(p.standbyReader(now)))
 	}
 	p.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return append(out, p.seedPeers()...)
 }
 
-// peer returns where an identity is reached.
+// peer returns the Peer with the address of id; the address is empty if it is not known.
 func (p *Plane) peer(id membership.Identity) Peer {
-	if s, ok := p.soft[id.Node]; ok && s.member.Identity == id {
+	if s, ok := p.softMembers[id.Node]; ok && s.member.Identity == id {
 		return Peer{ID: id, Addr: s.member.InnerAddr}
 	}
 	if m, ok := p.Members().Member(id.Node); ok && m.Identity == id {
 		return Peer{ID: id, Addr: m.InnerAddr}
 	}
-	if p.beat.hb.From == id {
-		return Peer{ID: id, Addr: p.beat.addr}
+	if p.leaderHeartbeat.hb.From == id {
+		return Peer{ID: id, Addr: p.leaderHeartbeat.addr}
 	}
 	return Peer{ID: id}
 }
 
-// others returns the nodes of other zones, one of each zone, in random order.
-func (p *Plane) others(time.Time) []Peer {
+// otherZonePeers returns one random node of each other zone, in random order.
+func (p *Plane) otherZonePeers(time.Time) []Peer {
 	byZone := map[string]Peer{}
 	var zones []string
 	members := p.Known()
@@ -126,102 +130,107 @@
 	return out
 }
 
-// NewRequest makes the question of an exchange. hold is how long it may be held for
-// updates; a node that was told too little yet asks for an answer at once.
+// NewRequest returns an exchange request. hold is how long the peer may hold it until there are
+// updates. A node that has not caught up yet and whose head observation is stale requests an
+// immediate response.
 func (p *Plane) NewRequest(now time.Time, hold time.Duration) *innerpb.ExchangeRequest {
-	if !p.caught && p.stale(now) {
+	if !p.caughtUp && p.headStale(now) {
 		hold = 0
 	}
-	p.sentUp = p.fromBelow
-	p.ahead = Peer{}
+	p.sentUpward = p.upwardUpdates
+	p.peerAhead = Peer{}
 	return &innerpb.ExchangeRequest{
 		From:        Ref(p.self),
-		Suspects:    p.suspectUpdates(now),
+		Suspects:    p.crashRecordUpdates(now),
 		Drains:      p.drainUpdates(now),
 		Liveness:    livenessOf(p.detector.Findings(now)),
-		SoftMembers: p.softUpdates(now),
-		Elected:     p.ownBeat(),
+		SoftMembers: p.softMemberUpdates(now),
+		Elected:     p.ownHeartbeat(),
 		HoldUs:      hold.Microseconds(),
 		RecordsFrom: uint64(p.replica.Next()),
 	}
 }
 
-// RequestDue reports whether there are updates that the asked peer does not have yet:
-// a question that is being held should be asked again.
-func (p *Plane) RequestDue() bool { return p.fromBelow > p.sentUp || p.ahead.Addr != "" }
+// RequestDue reports whether there are updates that the last request did not contain. A request
+// that the peer still holds should then be replaced by a new one.
+func (p *Plane) RequestDue() bool { return p.upwardUpdates > p.sentUpward || p.peerAhead.Addr != "" }
 
-// OnRequest takes the updates of a question. It is called once for each, before
-// its answer is waited for.
-func (p *Plane) OnRequest(now time.Time, q *innerpb.ExchangeRequest) {
-	p.takeUpdates(now, q, true)
-	if int64(q.GetRecordsFrom()) <= p.replica.Next() || !p.stale(now) && p.reads(now) {
+// OnRequest applies the updates of an exchange request. The caller calls it once per request,
+// before it holds the request for the response.
+func (p *Plane) OnRequest(now time.Time, req *innerpb.ExchangeRequest) {
+	p.applyUpdates(now, req, true)
+	if int64(req.GetRecordsFrom()) <= p.replica.Next() || !p.headStale(now) && p.shouldRead(now) {
 		return
 	}
-	// The asker has records that did not come here; it is asked for them.
-	if peer := p.peer(IdentityOf(q.GetFrom())); peer.Addr != "" && peer.Addr != p.addr {
-		p.ahead = peer
+	// The sender has records that this node lacks and does not currently get from the log, so
+	// the next request goes to the sender.
+	if peer := p.peer(IdentityOf(req.GetFrom())); peer.Addr != "" && peer.Addr != p.addr {
+		p.peerAhead = peer
 		p.updates++
 	}
 }
 
-// told is what the last answer to a node held.
-type told struct {
-	updates uint64
-	proof   time.Time
+// sentState describes the content of the last exchange response to a node.
+type sentState struct {
+	updates    uint64    // value of Plane.updates
+	headReadAt time.Time // t0 of the head observation
 }
 
-// ResponseDue reports whether a question should not be held any longer: there
-// is an update, or a fresher proof came late in an exchange.
+// ResponseDue reports whether the response to a held exchange request should be sent now: the
+// hold time has passed, there is an update, or there is a newer head observation and a minimum
+// hold time has passed.
 //
-// A proof is passed on as it comes, or its age would grow by up to an exchange
-// at each level of the tree. The zone's reader has one several times in an
-// exchange and keeps the pace; the others follow their parent's.
-func (p *Plane) ResponseDue(now, received time.Time, q *innerpb.ExchangeRequest) bool {
-	held := now.Sub(received)
-	last := p.told[q.GetFrom().GetNodeId()]
+// A new head observation ends the hold early, because otherwise the head age would grow by up
+// to one exchange at each level of the tree. The zone's reader makes several observations per
+// exchange, so its longer minimum hold time determines the rate; the other nodes respond when
+// they receive an observation from their parent.
+func (p *Plane) ResponseDue(now, received time.Time, req *innerpb.ExchangeRequest) bool {
+	heldFor := now.Sub(received)
+	lastResponse := p.lastResponses[req.GetFrom().GetNodeId()]
 	switch {
-	case held >= time.Duration(q.GetHoldUs())*time.Microsecond:
+	case heldFor >= time.Duration(req.GetHoldUs())*time.Microsecond:
 		return true
-	case p.replica.Next() > int64(q.GetRecordsFrom()):
+	case p.replica.Next() > int64(req.GetRecordsFrom()):
 		return true
-	case last.updates < p.updates:
+	case lastResponse.updates < p.updates:
 		return true
 	}
-	least := p.cfg.Exchange / 2
+	minHold := p.cfg.Exchange / 2
 	if p.IsLeader() {
-		least = p.cfg.Exchange * 3 / 5
+		minHold = p.cfg.Exchange * 3 / 5
 	}
-	return held >= least && p.head.known && p.head.t0.After(last.proof)
+	return heldFor >= minHold && p.head.known && p.head.t0.After(lastResponse.headReadAt)
 }
 
-// NewResponse makes the answer to a question that came at received.
-func (p *Plane) NewResponse(now, received time.Time, q *innerpb.ExchangeRequest) *innerpb.ExchangeResponse {
-	p.told[q.GetFrom().GetNodeId()] = told{updates: p.updates, proof: p.head.t0}
-	a := &innerpb.ExchangeResponse{
+// NewResponse returns the response to an exchange request that arrived at received.
+func (p *Plane) NewResponse(now, received time.Time, req *innerpb.ExchangeRequest) *innerpb.ExchangeResponse {
+	p.lastResponses[req.GetFrom().GetNodeId()] = sentState{updates: p.updates, headReadAt: p.head.t0}
+	resp := &innerpb.ExchangeResponse{
 		From:        Ref(p.self),
 		Head:        p.headOf(now),
 		HeldUs:      now.Sub(received).Microseconds(),
-		Suspects:    p.suspectUpdates(now),
+		Suspects:    p.crashRecordUpdates(now),
 		Drains:      p.drainUpdates(now),
 		Liveness:    livenessOf(p.detector.Findings(now)),
-		SoftMembers: p.softUpdates(now),
-		Elected:     p.elected(),
+		SoftMembers: p.softMemberUpdates(now),
+		Elected:     p.leaderRelay(),
 		RecordsNext: uint64(p.replica.Next()),
 	}
-	from := int64(q.GetRecordsFrom())
+	from := int64(req.GetRecordsFrom())
 	if from >= p.replica.Next() {
-		return a
+		return resp
 	}
-	records := p.feed.since(from, answerRecords, answerBytes)
+	records := p.recordCache.since(from, maxResponseRecords, maxResponseBytes)
 	if len(records) == 0 {
-		return a
+		return resp
 	}
-	a.Records = recordsOf(records)
-	a.RecordsNext = uint64(records[len(records)-1].Offset + 1)
-	a.More = int64(a.RecordsNext) < p.replica.Next()
-	return a
+	resp.Records = recordsOf(records)
+	resp.RecordsNext = uint64(records[len(records)-1].Offset + 1)
+	resp.More = int64(resp.RecordsNext) < p.replica.Next()
+	return resp
 }
 
+// headOf returns the newest head observation for a message; nil if there is none.
 func (p *Plane) headOf(now time.Time) *innerpb.LogHead {
 	if !p.head.known {
 		return nil
@@ -235,95 +244,97 @@
 	}
 }
 
-// OnResponse takes the answer to a question that was sent at sent. It reports
-// whether the peer's whole state has to be fetched, because the records
-// between are no longer kept there.
-func (p *Plane) OnResponse(now, sent time.Time, peer Peer, a *innerpb.ExchangeResponse) (fetch bool) {
-	delete(p.failed, peer.Addr)
-	p.answered = now
-	p.takeUpdates(now, a, false)
-	next := int64(a.GetRecordsNext())
-	if len(a.GetRecords()) == 0 && next > p.replica.Next() {
+// OnResponse applies the response to an exchange request that was sent at sent. It reports
+// whether the caller must fetch the complete state of the peer, because the peer's record cache
+// no longer contains the records that this node lacks.
+func (p *Plane) OnResponse(now, sent time.Time, peer Peer, resp *innerpb.ExchangeResponse) (fetch bool) {
+	delete(p.failedAt, peer.Addr)
+	p.lastResponseAt = now
+	p.applyUpdates(now, resp, false)
+	next := int64(resp.GetRecordsNext())
+	if len(resp.GetRecords()) == 0 && next > p.replica.Next() {
 		fetch = true
 	}
-	if p.takeRecords(now, a) && !p.above(now, peer) {
-		p.fromBelow++
+	if p.applyRecords(now, resp) && !p.isParent(now, peer) {
+		p.upwardUpdates++
 	}
-	if h := a.GetHead(); h.GetKnown() {
-		p.relayedProof(sent, a)
+	if h := resp.GetHead(); h.GetKnown() {
+		p.updateHeadFromResponse(sent, resp)
 	}
 	return fetch
 }
 
-// relayedProof counts a proof from the moment of sending: the peer received
-// the question after that, and its read was sent held_us less the age after it
-// was received. So the read was not sent before the result.
-func (p *Plane) relayedProof(sent time.Time, a *innerpb.ExchangeResponse) {
-	h := a.GetHead()
-	since := time.Duration(a.GetHeldUs()-h.GetAgeUs()) * time.Microsecond
+// updateHeadFromResponse applies the head observation of a response. Its t0 must not be later
+// than the time at which the log was read, on the local clock. The peer received the request
+// after sent, and held it for held_us until the observation's age was age_us. The read was
+// therefore sent held_us minus age_us after the request was received, and not before sent plus
+// that difference.
+func (p *Plane) updateHeadFromResponse(sent time.Time, resp *innerpb.ExchangeResponse) {
+	h := resp.GetHead()
+	since := time.Duration(resp.GetHeldUs()-h.GetAgeUs()) * time.Microsecond
 	if p.replica.Next() >= int64(h.GetNextOffset()) {
-		p.caught = true
-		p.settled = true
+		p.caughtUp = true
+		p.hasState = true
 	}
-	p.proof(logHead{
+	p.updateHead(logHead{
 		known: true, t0: sent.Add(since), hops: h.GetHops(),
 		next: int64(h.GetNextOffset()), oldest: int64(h.GetOldestOffset()),
 	})
 }
 
-// above reports whether peer is this node's parent in the tree of the zone:
-// what comes from there is known there.
-func (p *Plane) above(now time.Time, peer Peer) bool {
+// isParent reports whether peer is this node's parent in the tree of the zone. Updates received
+// from the parent need not be sent to it.
+func (p *Plane) isParent(now time.Time, peer Peer) bool {
 	leader, _ := p.election.Leader()
 	parent, ok := membership.Parent(p.self, leader, p.detector.Live(now))
 	return ok && parent == peer.ID
 }
 
-// takeRecords reports whether there were new records.
-func (p *Plane) takeRecords(now time.Time, a *innerpb.ExchangeResponse) bool {
-	if len(a.GetRecords()) == 0 {
+// applyRecords folds the records of a response and reports whether any of them was new.
+func (p *Plane) applyRecords(now time.Time, resp *innerpb.ExchangeResponse) bool {
+	if len(resp.GetRecords()) == 0 {
 		return false
 	}
 	before := p.replica.Next()
 	page := logstore.Page{
-		Entries: entriesOf(a.GetRecords()),
-		Next:    int64(a.GetRecordsNext()),
-		Head:    int64(a.GetHead().GetNextOffset()),
-		Oldest:  int64(a.GetHead().GetOldestOffset()),
+		Entries: entriesOf(resp.GetRecords()),
+		Next:    int64(resp.GetRecordsNext()),
+		Head:    int64(resp.GetHead().GetNextOffset()),
+		Oldest:  int64(resp.GetHead().GetOldestOffset()),
 	}
-	p.take(now, page)
+	p.applyPage(now, page)
 	return p.replica.Next() > before
 }
 
-// OnRequestFailed notes that a peer did not answer.
-func (p *Plane) OnRequestFailed(now time.Time, peer Peer) { p.failed[peer.Addr] = now }
+// OnRequestFailed records that an exchange request to a peer failed.
+func (p *Plane) OnRequestFailed(now time.Time, peer Peer) { p.failedAt[peer.Addr] = now }
 
-// ReaderTargets returns whom a zone's reader asks besides, for answers at once:
-// with updates one node of each other zone, and regularly one of its own zone.
-// Two readers that came up at the same time would never hear of each other
-// otherwise, since a reader has no parent to ask.
+// ReaderTargets returns the peers to which a zone's reader sends additional requests for an
+// immediate response: one node of each other zone if there are updates, and once per exchange a
+// random node of its own zone. Without the latter, two readers elected at the same time would
+// not receive each other's heartbeats, since a reader has no parent to send requests to.
 func (p *Plane) ReaderTargets(now time.Time) []Peer {
-	if !p.IsLeader() || now.Sub(p.asked) < p.cfg.Exchange/2 {
+	if !p.IsLeader() || now.Sub(p.zonesRequestedAt) < p.cfg.Exchange/2 {
 		return nil
 	}
 	var out []Peer
-	if now.Sub(p.askedOwn) >= p.cfg.Exchange {
-		p.askedOwn = now
-		out = append(out, p.neighbour(now)...)
+	if now.Sub(p.ownZoneRequestedAt) >= p.cfg.Exchange {
+		p.ownZoneRequestedAt = now
+		out = append(out, p.randomZonePeer(now)...)
 	}
-	if p.fromBelow != p.crossed {
-		p.asked = now
-		p.crossed = p.fromBelow
-		out = append(out, p.others(now)...)
+	if p.upwardUpdates != p.sentToZones {
+		p.zonesRequestedAt = now
+		p.sentToZones = p.upwardUpdates
+		out = append(out, p.otherZonePeers(now)...)
 	}
 	return slices.DeleteFunc(out, func(peer Peer) bool {
-		at, ok := p.failed[peer.Addr]
-		return peer.Addr == "" || ok && now.Sub(at) < failedFor
+		at, ok := p.failedAt[peer.Addr]
+		return peer.Addr == "" || ok && now.Sub(at) < failedPeerBackoff
 	})
 }
 
-// neighbour returns a random live member of the zone, if there is one.
-func (p *Plane) neighbour(now time.Time) []Peer {
+// randomZonePeer returns a random live member of the zone, if there is one.
+func (p *Plane) randomZonePeer(now time.Time) []Peer {
 	live := slices.DeleteFunc(p.detector.Live(now), func(id membership.Identity) bool { return id == p.self })
 	if len(live) == 0 {
 		return nil
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	// feedEntries and feedBytes bound the records kept for others: about a
-	// quarter of an hour of 13,000 changes a day, and a burst besides.
-	feedEntries = 4096
-	feedBytes   = 2 << 20
+	// maxCachedRecords and maxCachedBytes limit the records that are kept for peers. They hold
+	// the records of about a quarter of an hour at 13,000 changes per day, and a burst.
+	maxCachedRecords = 4096
+	maxCachedBytes   = 2 << 20
 )
 
-// feed keeps the newest records for those that ask.
-type feed struct {
-	from    int64
+// recordCache holds the newest contiguous records, to be sent to peers that request them.
+type recordCache struct {
+	from    int64 // offset of the first entry
 	entries []logstore.Entry
 	bytes   int
 }
 
-func (f *feed) add(entries []logstore.Entry, from, next int64) {
+// add appends the entries with offsets from from up to next. If they leave a gap after the
+// cached ones, the cache is cleared first.
+func (f *recordCache) add(entries []logstore.Entry, from, next int64) {
 	if from != f.from+int64(len(f.entries)) {
-		*f = feed{from: from}
+		*f = recordCache{from: from}
 	}
 	for _, e := range entries {
 		if e.Offset < from || e.Offset >= next {
@@ -33,7 +35,7 @@
 		f.bytes += recordSize(e)
 	}
 	drop := 0
-	for len(f.entries)-drop > feedEntries || f.bytes > feedBytes {
+	for len(f.entries)-drop > maxCachedRecords || f.bytes > maxCachedBytes {
 		f.bytes -= recordSize(f.entries[drop])
 		drop++
 	}
@@ -41,9 +43,9 @@
 	f.from += int64(drop)
 }
 
-// since returns the records from an offset on, at most max and at least one
-// if any, in at most about bytes.
-func (f *feed) since(from int64, max, bytes int) []logstore.Entry {
+// since returns at most max cached records from an offset on, limited to about the given number
+// of bytes. It returns at least one record if the cache has any; nil if from is not cached.
+func (f *recordCache) since(from int64, max, bytes int) []logstore.Entry {
 	if from < f.from || from-f.from >= int64(len(f.entries)) {
 		return nil
 	}
@@ -60,95 +62,97 @@
 
 func recordSize(e logstore.Entry) int { return len(e.Record.Body) + len(e.Record.ID) + 48 }
 
-// ReadFrom returns the offset to read the log from, and whether this node
-// should read it at all now.
+// ReadFrom returns the offset from which to read the log, and whether this node should read it
+// now.
 func (p *Plane) ReadFrom(now time.Time) (from int64, read bool) {
-	from = min(p.replica.Next(), p.replica.Strict())
-	return from, p.reads(now)
+	from = min(p.replica.Next(), p.replica.Contiguous())
+	return from, p.shouldRead(now)
 }
 
-// reads decides who reads the log: the zone's reader and a stand-by, whoever
-// has not seen all of it, and one whom nobody answers.
-func (p *Plane) reads(now time.Time) bool {
+// shouldRead reports whether this node reads the log. The zone's reader and its standby do, as
+// does every node that has not seen every record, has no leader, or has received no response
+// to its exchanges for the fallback time.
+func (p *Plane) shouldRead(now time.Time) bool {
 	leader, ok := p.election.Leader()
-	if !ok || leader == p.self || p.standBy(now) == p.self {
+	if !ok || leader == p.self || p.standbyReader(now) == p.self {
 		return true
 	}
-	if !p.Whole() {
+	if !p.Complete() {
 		return true
 	}
-	wait := p.cfg.FallBack + time.Duration(p.share()*float64(p.cfg.FallBack))
-	return now.Sub(p.answered) > wait
+	wait := p.cfg.FallBack + time.Duration(p.nodeJitter()*float64(p.cfg.FallBack))
+	return now.Sub(p.lastResponseAt) > wait
 }
 
-// standBy is the first live member of the zone after its reader; it reads too,
-// so that the reader's end leaves no gap in the proofs.
-func (p *Plane) standBy(now time.Time) membership.Identity {
+// standbyReader returns the first live member of the zone other than its reader. The standby
+// reads the log as well, so that the zone has fresh head observations when the reader fails.
+func (p *Plane) standbyReader(now time.Time) membership.Identity {
 	leader, _ := p.election.Leader()
 	for _, id := range p.detector.Live(now) {
-		if id != leader && p.joined(id) {
+		if id != leader && p.isMember(id) {
 			return id
 		}
 	}
 	return membership.Identity{}
 }
 
-func (p *Plane) joined(id membership.Identity) bool {
+// isMember reports whether id is a live member of the log or a soft member.
+func (p *Plane) isMember(id membership.Identity) bool {
 	if p.Members().Live(id) {
 		return true
 	}
-	s, ok := p.soft[id.Node]
+	s, ok := p.softMembers[id.Node]
 	return ok && s.member.Identity == id
 }
 
-// OnPage takes a page of the log; sent is when its read was sent.
+// OnPage applies a page of the log; sent is the local time at which its read was sent.
 func (p *Plane) OnPage(now, sent time.Time, page logstore.Page) {
-	p.failing = false
-	p.take(now, page)
+	p.readFailing = false
+	p.applyPage(now, page)
 	if page.Next >= page.Head {
-		p.caught = true
-		p.settled = true
+		p.caughtUp = true
+		p.hasState = true
 	}
-	p.proof(logHead{known: true, t0: sent, next: page.Head, oldest: page.Oldest})
+	p.updateHead(logHead{known: true, t0: sent, next: page.Head, oldest: page.Oldest})
 }
 
-// OnReadFailed says that a read of the log failed. What was read last may not
-// have reached other zones, so their readers are told how far this one is.
+// OnReadFailed records that a read of the log failed. The records read last may not have
+// reached other zones, so their readers are sent the offset of this one.
 func (p *Plane) OnReadFailed() {
-	if !p.failing {
-		p.fromBelow++
+	if !p.readFailing {
+		p.upwardUpdates++
 	}
-	p.failing = true
+	p.readFailing = true
 }
 
-// OnTruncated says that the log has dropped what is below oldest.
+// OnTruncated records that the log's entries below oldest have expired.
 func (p *Plane) OnTruncated(oldest int64) {
 	if p.replica.Truncated(oldest) && p.follower != nil {
 		p.follower.Truncated()
 	}
 }
 
-// take folds a page of the log, whoever read it.
-func (p *Plane) take(now time.Time, page logstore.Page) {
+// applyPage folds a page that this node or a peer has read from the log.
+func (p *Plane) applyPage(now time.Time, page logstore.Page) {
 	if len(page.Entries) == 0 {
 		return
 	}
 	before, members := p.replica.Next(), p.Members()
-	seen := p.replica.Take(now, page)
+	contiguous := p.replica.Take(now, page)
 	if next := p.replica.Next(); next > before {
-		p.feed.add(page.Entries, before, next)
+		p.recordCache.add(page.Entries, before, next)
 		p.updates++
 	}
-	if len(seen) > 0 && p.follower != nil {
-		p.follower.Applied(now, seen)
+	if len(contiguous) > 0 && p.follower != nil {
+		p.follower.Applied(now, contiguous)
 	}
 	if p.Members() != members {
 		p.membersChanged(now)
 	}
 }
 
-// proof keeps the newest proof of the log's head.
-func (p *Plane) proof(h logHead) {
+// updateHead stores h if it is newer than the current observation of the log's head.
+func (p *Plane) updateHead(h logHead) {
 	if p.head.known && !h.t0.After(p.head.t0) {
 		return
 	}
@@ -158,42 +162,47 @@
 	}
 }
 
-// HeadAge is the age of the newest proof of the log's head; false without one.
+// HeadAge returns the age of the newest observation of the log's head; false if there is none.
 func (p *Plane) HeadAge(now time.Time) (time.Duration, bool) {
 	return now.Sub(p.head.t0), p.head.known
 }
 
-func (p *Plane) stale(now time.Time) bool {
-	return p.failing && p.IsLeader() || !p.head.known || now.Sub(p.head.t0) > p.cfg.Stale
+// headStale reports whether the head age exceeds Stale, or this node is the zone's reader and
+// its reads fail.
+func (p *Plane) headStale(now time.Time) bool {
+	return p.readFailing && p.IsLeader() || !p.head.known || now.Sub(p.head.t0) > p.cfg.Stale
 }
 
-// membersChanged brings up to date what rests on who is a member.
+// membersChanged updates the state that depends on the members: soft members that the log now
+// lists or has removed, the peers of the zone and the endpoints.
 func (p *Plane) membersChanged(now time.Time) {
 	v := p.Members()
-	for node, s := range p.soft {
+	for node, s := range p.softMembers {
 		if v.Live(s.member.Identity) || v.Gone(s.member.Identity) {
-			delete(p.soft, node)
+			delete(p.softMembers, node)
 		}
 	}
 	if v.Live(p.self) {
-		p.member = true
+		p.wasMember = true
 	}
 	p.setPeers()
-	p.dirty = true
+	p.endpointsDirty = true
 	_ = now
 }
 
+// setPeers passes the members of the zone, soft members included, to the failure detector and
+// the election.
 func (p *Plane) setPeers() {
 	var ids []membership.Identity
 	var peers []membership.Peer
 	for _, m := range p.Members().InZone(p.region, p.zone) {
-		if s, ok := p.soft[m.Node]; ok && s.member.Incarnation > m.Incarnation {
+		if s, ok := p.softMembers[m.Node]; ok && s.member.Incarnation > m.Incarnation {
 			continue
 		}
 		ids = append(ids, m.Identity)
 		peers = append(peers, membership.Peer{ID: m.Identity, Started: m.JoinedAt})
 	}
-	for _, s := range p.soft {
+	for _, s := range p.softMembers {
 		if s.member.Region == p.region && s.member.Zone == p.zone {
 			ids = append(ids, s.member.Identity)
 			peers = append(peers, membership.Peer{ID: s.member.Identity, Started: s.member.JoinedAt})
@@ -205,8 +214,8 @@
 	p.election.SetPeers(peers)
 }
 
-// Evicted reports whether the log says that this process is gone though it
-// never said so: it has to stop and start again as a new incarnation.
+// Evicted reports whether the log has removed this node although it is not draining. The
+// process must then stop and start again as a new incarnation.
 func (p *Plane) Evicted() bool {
 	return !p.draining && p.Members().Gone(p.self)
 }
--- a/internal/control/main_test.go
+++ b/internal/control/main_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain also fails when a test leaves a goroutine behind.
+// TestMain fails if a test leaks a goroutine.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -14,9 +14,9 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// Ownership keeps who owns which idempotency keys: for the service of the
-// local upstream as one who may own, for the others to find the owner. It does
-// no I/O. Safe for concurrent use; none of its methods calls the guard.
+// Ownership folds the owners of idempotency keys from the log. For the service of the local
+// upstream this guard may itself become an owner; for other services it only looks up the
+// owner. It does no I/O. It is safe for concurrent use; none of its methods calls the guard.
 type Ownership struct {
 	cfg  lease.Config
 	self membership.Identity
@@ -25,24 +25,25 @@
 	mu        sync.Mutex
 	lessors   map[string]*lease.Lessor // by service
 	local     string                   // service of the local upstream
-	next      int64
-	truncated bool
-	// guards is the service of the last member with a name or an address.
-	guards map[string]string
+	next      int64                    // offset of the next entry to fold
+	truncated bool                     // entries expired before they were folded
+	// lastService maps the name and the address of a node to the service of the last member
+	// that had it.
+	lastService map[string]string
 }
 
-// NewOwnership returns the fold of nothing. All nodes must use the same cfg.
+// NewOwnership returns the fold of an empty log. All nodes must use the same cfg.
 func NewOwnership(cfg lease.Config, id node.Identity) *Ownership {
 	return &Ownership{
-		cfg:     cfg,
-		self:    membership.Identity{Node: id.Node, Incarnation: id.Incarnation},
-		addr:    id.InnerAddr,
-		lessors: make(map[string]*lease.Lessor),
-		guards:  make(map[string]string),
+		cfg:         cfg,
+		self:        membership.Identity{Node: id.Node, Incarnation: id.Incarnation},
+		addr:        id.InnerAddr,
+		lessors:     make(map[string]*lease.Lessor),
+		lastService: make(map[string]string),
 	}
 }
 
-// SetLocal says which service the local upstream serves.
+// SetLocal sets the service of the local upstream.
 func (o *Ownership) SetLocal(service string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -50,21 +51,20 @@
 	o.lessorLocked(service)
 }
 
-// Local returns the service of the local upstream; empty when there is none.
+// Local returns the service of the local upstream; empty if there is none.
 func (o *Ownership) Local() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.local
 }
 
-// SetResendHorizon raises the time in which callers of the local service may
-// resend a key.
+// SetResendHorizon raises the time during which callers of the local service may resend a key.
 func (o *Ownership) SetResendHorizon(d time.Duration) {
-	o.localLessor(func(l *lease.Lessor) { l.SetResendHorizon(d) })
+	o.withLocalLessor(func(l *lease.Lessor) { l.SetResendHorizon(d) })
 }
 
-// Truncated says that the log no longer held its first records when this fold
-// began: owners may be recorded that were never read.
+// Truncated records that entries of the log expired before this node folded them, so that it
+// may not know some owners.
 func (o *Ownership) Truncated() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -74,6 +74,7 @@
 	}
 }
 
+// lessorLocked returns the Lessor of a service and creates it if necessary.
 func (o *Ownership) lessorLocked(service string) *lease.Lessor {
 	l, ok := o.lessors[service]
 	if ok {
@@ -88,7 +89,7 @@
 	return l
 }
 
-// Apply folds entries in log order; now is when they were read.
+// Apply folds entries in log order; now is the time at which they were read.
 func (o *Ownership) Apply(now time.Time, entries []logstore.Entry) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -123,29 +124,29 @@
 	switch r := rec.(type) {
 	case membership.Join:
 		m := r.Member
-		for _, service := range o.concerned(m.Service, m.Node, m.InnerAddr) {
+		for _, service := range o.affectedServices(m.Service, m.Node, m.InnerAddr) {
 			o.lessorLocked(service).Joined(now, offset, m.Identity, m.InnerAddr, m.Service == service)
 		}
-		o.guards[m.Node] = m.Service
-		o.guards[m.InnerAddr] = m.Service
+		o.lastService[m.Node] = m.Service
+		o.lastService[m.InnerAddr] = m.Service
 	case membership.Leave:
-		for _, service := range o.concerned(o.local, r.ID.Node, "") {
+		for _, service := range o.affectedServices(o.local, r.ID.Node, "") {
 			o.lessorLocked(service).Left(offset, r.ID)
 		}
 	case membership.Evict:
-		for _, service := range o.concerned(o.local, r.ID.Node, "") {
+		for _, service := range o.affectedServices(o.local, r.ID.Node, "") {
 			o.lessorLocked(service).Evicted(now, offset, r.ID)
 		}
 	}
 }
 
-// concerned returns the services to which a member matters: its own, and those
-// that the last holders of its name and its address were guards of. Every
-// record shown to every service would make a starting node of the planned size
-// fold 14,000 joins 1,700 times.
-func (o *Ownership) concerned(own, node, addr string) []string {
+// affectedServices returns the services whose state depends on a member record: the member's
+// own service, and the services of the last members with the same name or address. If every
+// record were passed to every service, a node starting in a deployment of the planned size
+// would fold 14,000 joins 1,700 times.
+func (o *Ownership) affectedServices(own, node, addr string) []string {
 	var services []string
-	for _, service := range []string{own, o.guards[node], o.guards[addr]} {
+	for _, service := range []string{own, o.lastService[node], o.lastService[addr]} {
 		if service != "" && !slices.Contains(services, service) {
 			services = append(services, service)
 		}
@@ -153,8 +154,8 @@
 	return services
 }
 
-// ObserveHead takes a head of the log: at some time after t0, on the local clock, no
-// record at or beyond head existed.
+// ObserveHead applies an observation of the log's head: at some time after t0, on the local
+// clock, no record at or beyond head existed.
 func (o *Ownership) ObserveHead(t0 time.Time, head int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -163,8 +164,8 @@
 	}
 }
 
-// Owner returns the inner address of the guard that owns a key's slot; empty
-// when none is known.
+// Owner returns the inner address of the guard that owns the slot of a key; empty if no owner
+// is known.
 func (o *Ownership) Owner(service string, keyHash uint64) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -176,8 +177,8 @@
 	return addr
 }
 
-// MayStart decides whether a keyed call may start at this guard now, and until
-// when it must have been dispatched.
+// MayStart decides whether a keyed call may start at this guard now. It returns the deadline by
+// which the call must be dispatched, or a refusal.
 func (o *Ownership) MayStart(now time.Time, call *node.Call) (time.Time, *result.Refusal) {
 	issued := call.Ctx.KeyIssued
 	if issued.IsZero() {
@@ -193,23 +194,24 @@
 	return a.Deadline, a.Refusal
 }
 
-// Settled reports whether every slot of the local service has an owner, and
-// this guard could start calls in its own.
+// Settled reports whether every slot of the local service has an owner and this guard can start
+// calls in the slots that it owns.
 func (o *Ownership) Settled(now time.Time) (settled bool) {
-	o.localLessor(func(l *lease.Lessor) {
+	o.withLocalLessor(func(l *lease.Lessor) {
 		settled = true
 		for i := range o.cfg.Slots {
 			a := l.MayStart(now, uint64(i), now)
-			owned := a.OK || a.Refusal.Code == result.OwnedElsewhere
-			settled = settled && owned
+			hasOwner := a.OK || a.Refusal.Code == result.OwnedElsewhere
+			settled = settled && hasOwner
 		}
 	})
 	return settled
 }
 
-// Holds returns how many slots the log gives to this guard, handed over or not.
+// Holds returns the number of slots that this guard owns according to the log, including those
+// that it has released for a handover.
 func (o *Ownership) Holds() (n int) {
-	o.localLessor(func(l *lease.Lessor) {
+	o.withLocalLessor(func(l *lease.Lessor) {
 		for _, s := range l.State().Slots {
 			if s.Owner == o.self {
 				n++
@@ -219,8 +221,8 @@
 	return n
 }
 
-// localLessor runs f on the state of the local upstream's service.
-func (o *Ownership) localLessor(f func(l *lease.Lessor)) {
+// withLocalLessor calls f with the Lessor of the local upstream's service, if there is one.
+func (o *Ownership) withLocalLessor(f func(l *lease.Lessor)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if l, ok := o.lessors[o.local]; ok && o.local != "" {
@@ -228,41 +230,43 @@
 	}
 }
 
-// Plan returns what is due; see lease.Lessor.Plan.
+// Plan returns the actions that are due; see lease.Lessor.Plan.
 func (o *Ownership) Plan(now time.Time, live []membership.Identity) (actions []lease.Action) {
-	o.localLessor(func(l *lease.Lessor) { actions = l.Plan(now, live) })
+	o.withLocalLessor(func(l *lease.Lessor) { actions = l.Plan(now, live) })
 	return actions
 }
 
-// StopPlan returns the moves of a planned stop.
+// StopPlan returns the slot moves of a planned stop; see lease.Lessor.StopPlan.
 func (o *Ownership) StopPlan(live []membership.Identity) (moves []lease.MoveSlots) {
-	o.localLessor(func(l *lease.Lessor) { moves = l.StopPlan(live) })
+	o.withLocalLessor(func(l *lease.Lessor) { moves = l.StopPlan(live) })
 	return moves
 }
 
-// Eligible reports whether this guard may take slots that had an owner.
+// Eligible reports whether this guard may take over slots that have had an owner.
 func (o *Ownership) Eligible(now time.Time) (ok bool) {
-	o.localLessor(func(l *lease.Lessor) { ok = l.Eligible(now) })
+	o.withLocalLessor(func(l *lease.Lessor) { ok = l.Eligible(now) })
 	return ok
 }
 
-// Head returns the newest log head that this guard has proof of.
+// Head returns the newest log head that this guard has observed; proven is false if there is
+// none.
 func (o *Ownership) Head() (head int64, proven bool) {
-	o.localLessor(func(l *lease.Lessor) { head, proven = l.Head() })
+	o.withLocalLessor(func(l *lease.Lessor) { head, proven = l.Head() })
 	return head, proven
 }
 
-// ObservePeerHead takes another guard's word on its newest head.
+// ObservePeerHead applies the newest log head that another guard reports to have observed.
 func (o *Ownership) ObservePeerHead(from membership.Identity, head int64) {
-	o.localLessor(func(l *lease.Lessor) { l.ObservePeerHead(from, head) })
+	o.withLocalLessor(func(l *lease.Lessor) { l.ObservePeerHead(from, head) })
 }
 
-// Promised takes a promise that was asked for at t0.
+// Promised applies the promise of another guard that was requested at t0.
 func (o *Ownership) Promised(t0 time.Time, from membership.Identity, addr string) {
-	o.localLessor(func(l *lease.Lessor) { l.Promise(t0, from, addr) })
+	o.withLocalLessor(func(l *lease.Lessor) { l.Promise(t0, from, addr) })
 }
 
-// Promise answers another guard's wish that this one takes no slots for now.
+// Promise handles the request of another guard that this one promise not to take over slots for
+// a limited time. It reports whether the promise is granted.
 func (o *Ownership) Promise(now time.Time, service string, from membership.Identity, slots []int) (granted bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -273,39 +277,42 @@
 	return l.OnPromiseRequest(now, from, slots)
 }
 
-// NotAppended says that a takeover never reaches the log.
+// NotAppended records that a takeover will definitely not reach the log.
 func (o *Ownership) NotAppended(t lease.Takeover) {
-	o.localLessor(func(l *lease.Lessor) { l.NotAppended(t) })
+	o.withLocalLessor(func(l *lease.Lessor) { l.NotAppended(t) })
 }
 
-// Release stops starting calls in slots that move to the guard at addr.
+// Release stops starting calls in the slots, which move to the guard at addr, and returns the
+// handover for that guard.
 func (o *Ownership) Release(now time.Time, addr string, slots []int) (h lease.HandOver) {
-	o.localLessor(func(l *lease.Lessor) { h = l.Release(now, addr, slots) })
+	o.withLocalLessor(func(l *lease.Lessor) { h = l.Release(now, addr, slots) })
 	return h
 }
 
-// Reclaim takes back what the receiver did not take.
+// Reclaim returns the takeover record that takes back the released slots that the receiver has
+// not taken over.
 func (o *Ownership) Reclaim(now time.Time) (t lease.AppendTakeover, ok bool) {
-	o.localLessor(func(l *lease.Lessor) { t, ok = l.Reclaim(now) })
+	o.withLocalLessor(func(l *lease.Lessor) { t, ok = l.Reclaim(now) })
 	return t, ok
 }
 
-// Imported notes that this guard holds the memory of the slots.
+// Imported records that this guard has imported the keys of the slots in h. It reports whether
+// the guard can take the slots over.
 func (o *Ownership) Imported(now time.Time, h lease.HandOver) (ok bool) {
-	o.localLessor(func(l *lease.Lessor) { ok = l.ImportedHandOver(now, h) })
+	o.withLocalLessor(func(l *lease.Lessor) { ok = l.ImportedHandOver(now, h) })
 	return ok
 }
 
-// InSlots returns the predicate of keys that lie in the slots of the local
-// service.
+// InSlots returns a predicate that reports whether a key belongs to one of the slots of the
+// local service.
 func (o *Ownership) InSlots(slots []int) func(idempotency.Key) bool {
-	in := make(map[int]bool, len(slots))
+	inSlots := make(map[int]bool, len(slots))
 	for _, i := range slots {
-		in[i] = true
+		inSlots[i] = true
 	}
 	service := o.Local()
 	n := uint64(o.cfg.Slots)
 	return func(k idempotency.Key) bool {
-		return k.Service == service && in[int(k.Hash()%n)]
+		return k.Service == service && inSlots[int(k.Hash()%n)]
 	}
 }
--- a/internal/control/ownership_status.go
+++ b/internal/control/ownership_status.go
@@ -6,9 +6,9 @@
 	"github.com/galenagrade/galenagrade/internal/lease"
 )
 
-// Status returns what operators see of the local service's slots; the zero
-// Status when this node serves none.
+// Status returns the state of the local service's slots for operators; the zero Status if this
+// node serves no service.
 func (o *Ownership) Status(now time.Time) (st lease.Status) {
-	o.localLessor(func(l *lease.Lessor) { st = l.Status(now) })
+	o.withLocalLessor(func(l *lease.Lessor) { st = l.Status(now) })
 	return st
 }
--- a/internal/control/plane.go
+++ b/internal/control/plane.go
@@ -1,7 +1,8 @@
-// Package control decides for the control plane of the product's own interface: who is
-// a member, which configuration is in force, who owns which keys. It is a state machine
-// without I/O; package server moves its messages. The mesh on the operators' platform
-// has none of it.
+// Package control is the control plane of the product's own interface. It determines the
+// members, the configuration in force and the owners of idempotency keys. In each zone an
+// elected leader, the zone's reader, reads the log and distributes its records to the other
+// nodes of the zone along a tree. The package is a state machine without I/O; package server
+// transports its messages. The mesh on the operators' platform does not use it.
 package control
 
 import (
@@ -18,34 +19,34 @@
 	"github.com/galenagrade/galenagrade/internal/quarantine"
 )
 
-// PlaneConfig holds the times and bounds of a Plane.
+// PlaneConfig holds the intervals, timeouts and limits of a Plane.
 type PlaneConfig struct {
 	// Exchange is the time between two exchanges of a node without updates.
 	Exchange time.Duration
-	// FallBack is how long a node waits without any answered exchange before
-	// it reads the log itself; a share of it by node comes on top, so that a
-	// zone without its reader does not fall upon the log at once.
+	// FallBack is the time without any exchange response after which a node reads the log
+	// itself. A jitter per node of up to the same length is added, so that the nodes of a zone
+	// that has lost its reader do not all begin to read the log at the same time.
 	FallBack time.Duration
-	// Stale is the age of the newest proof of the log's head from which a
-	// zone's reader asks other zones.
+	// Stale is the head age above which a zone's reader sends exchange requests to other zones.
 	Stale time.Duration
 	// Retention is how long the log keeps records.
 	Retention time.Duration
-	// MaxEvictShare bounds the part of a zone that is evicted at a time. More
-	// silent at once look like a partition, whose other side goes on serving.
+	// MaxEvictShare is the largest share of a zone that may be dead for evictions to proceed.
+	// If more nodes are unreachable at the same time, the cause is probably a partition, and
+	// the nodes on its other side still serve.
 	MaxEvictShare float64
 	Elector       membership.ElectorConfig
 	Detector      membership.DetectorConfig
 }
 
-// probeTargets is how many peers a node probes in turn. Each is probed by as
-// many others, once a second by one of them; their connections stay open.
+// probeTargets is the number of peers that a node probes in turn. Each node is probed by as
+// many others, by one of them per second. The connections to the targets stay open.
 const probeTargets = 6
 
-// DefaultPlaneConfig fits a log that keeps records for retention.
+// DefaultPlaneConfig returns the default settings for a log that keeps records for retention.
 func DefaultPlaneConfig(retention time.Duration) PlaneConfig {
 	elector := membership.DefaultElectorConfig()
-	// A heartbeat comes down three levels at one exchange each.
+	// A heartbeat passes down three levels of the tree, and each level takes one exchange.
 	elector.Timeout = 5 * time.Second
 	detector := membership.DefaultDetectorConfig()
 	detector.Targets = probeTargets
@@ -60,7 +61,7 @@
 	}
 }
 
-// Validate names the first field out of bounds, its value and the bound.
+// Validate returns an error that names the first field out of bounds, its value and the bound.
 func (c *PlaneConfig) Validate() error {
 	switch {
 	case c.Exchange <= 0:
@@ -80,39 +81,38 @@
 	return c.Detector.Validate()
 }
 
-// Follower decides from single records of the log, such as who owns keys. Its
-// methods are called in turn and must not call the Plane.
+// Follower consumes every single record of the log, for instance to determine the owners of
+// keys. Its methods are called one after the other and must not call the Plane.
 type Follower interface {
-	// Applied gets every entry once, in log order and without a gap.
+	// Applied receives every entry once, in log order and without gaps.
 	Applied(now time.Time, entries []logstore.Entry)
-	// Truncated says that entries expired before they were read here.
+	// Truncated reports that entries expired before this node read them.
 	Truncated()
-	// ObserveHead says that at some time after t0 the next offset of the log was
-	// head: t0 is a local time before the read that showed it was sent.
+	// ObserveHead reports that at some time after t0 the next offset of the log was head. t0
+	// is a local time before the read that returned head was sent.
 	ObserveHead(t0 time.Time, head int64)
 }
 
-// Peer is a node to send a message to. ID is zero when only its address is
-// known.
+// Peer is the destination of a message. ID is zero if only the address is known.
 type Peer struct {
 	ID   membership.Identity
 	Addr string
 }
 
-// logHead is the newest known end of the log.
+// logHead is an observation of the log's head.
 type logHead struct {
 	known  bool
-	t0     time.Time // local time before its read was sent
-	next   int64
-	oldest int64
-	hops   uint32
+	t0     time.Time // local time before the read was sent
+	next   int64     // offset that the next append gets
+	oldest int64     // first offset that has not expired
+	hops   uint32    // exchanges between the node that read the log and this one
 }
 
-// Plane is one node's share of the control plane: what it reads of the log,
-// whom it asks for the rest, what it passes on, whom it takes for dead and
-// what it writes. It is a pure state machine: times, messages and pages of the
-// log come in, messages and records to append come out. Not safe for
-// concurrent use.
+// Plane is the part of the control plane that runs on one node. It determines what the node
+// reads from the log, from which peers it fetches the rest, what it forwards, which nodes it
+// considers dead and which records it appends. It is a pure state machine: its inputs are
+// times, messages and pages of the log, its outputs are messages and records to append. It is
+// not safe for concurrent use.
 type Plane struct {
 	cfg      PlaneConfig
 	self     membership.Identity
@@ -123,92 +123,93 @@
 	rng      *rand.Rand
 	follower Follower
 
-	replica *Replica
-	feed    feed
-	head    logHead
-	caught  bool // the head was reached once
-	settled bool // the head was reached once or a peer's state taken
-	started time.Time
+	replica     *Replica
+	recordCache recordCache
+	head        logHead
+	caughtUp    bool // the replica has reached the log's head once
+	hasState    bool // caughtUp, or the state of a peer was adopted
+	started     time.Time
 
-	election *membership.Election
-	detector *membership.Detector
-	beat     beat
-	beats    uint64                         // heartbeats of its own
-	beaten   map[membership.Identity]uint64 // newest heartbeat by sender
-	zoneIDs  []membership.Identity
+	election        *membership.Election
+	detector        *membership.Detector
+	leaderHeartbeat leaderHeartbeat
+	heartbeatSeq    uint64                         // sequence number of the last own heartbeat
+	receivedSeqs    map[membership.Identity]uint64 // newest sequence number by sender of heartbeats
+	zoneIDs         []membership.Identity
 
-	me       *membership.Member // nil until the upstream is announced
-	joinedAt time.Time          // when the last join was handed out; zero: none
-	member   bool               // self was a member once
-	draining bool
-	evicting map[membership.Identity]bool
-	snapDue  time.Time // since when a snapshot is due; zero: it is not
+	ownMember     *membership.Member // nil until the upstream is announced
+	joinWrittenAt time.Time          // when Tick last returned a join record; zero: never
+	wasMember     bool               // the log has listed this node as a member
+	draining      bool
+	evicting      map[membership.Identity]bool // targets with a pending CheckEvict
+	snapshotDueAt time.Time                    // when a snapshot became due; zero: none is due
 
-	soft     map[string]softMember
-	drains   map[membership.Identity]drain
-	suspects map[suspectKey]suspectUpdate
-	incoming []quarantine.CrashRecord
+	softMembers          map[string]softMember
+	drains               map[membership.Identity]drain
+	crashRecords         map[crashRecordKey]crashRecordUpdate
+	receivedCrashRecords []quarantine.CrashRecord
 
-	updates   uint64 // grows with whatever is to be passed down at once
-	fromBelow uint64 // grows with whatever did not come from above
-	sentUp    uint64
-	ahead     Peer            // asked from further on than this node has got
-	failing   bool            // the last read of the log failed
-	told      map[string]told // by node
-	failed    map[string]time.Time
-	answered  time.Time // last exchange that was answered
-	crossed   uint64    // fromBelow of the last exchange with all zones
-	asked     time.Time // last time that all zones were told
-	askedOwn  time.Time // last time that one of the own zone was asked
-	dead      map[membership.Identity]bool
-	dirty     bool
-	round     int64 // of the detector, the same at all nodes but for clock skew
+	updates            uint64               // counts updates that children must receive without delay
+	upwardUpdates      uint64               // counts updates that the parent does not have
+	sentUpward         uint64               // upwardUpdates at the last request
+	peerAhead          Peer                 // requested records from an offset beyond this replica
+	readFailing        bool                 // the last read of the log failed
+	lastResponses      map[string]sentState // by node
+	failedAt           map[string]time.Time // last failed request by address
+	lastResponseAt     time.Time            // last response to an exchange request
+	sentToZones        uint64               // upwardUpdates at the last requests to all zones
+	zonesRequestedAt   time.Time            // last requests to all zones
+	ownZoneRequestedAt time.Time            // last request of a reader to a node of its own zone
+	dead               map[membership.Identity]bool
+	endpointsDirty     bool
+	detectorRound      int64 // same number at all nodes, apart from clock skew
 }
 
-// NewPlane returns the share of a node that knows nobody; cfg must be valid.
+// NewPlane returns the Plane of a node that knows no peers except seeds; cfg must be valid.
 func NewPlane(cfg PlaneConfig, id node.Identity, seeds []string, rng *rand.Rand, now time.Time) *Plane {
 	self := membership.Identity{Node: id.Node, Incarnation: id.Incarnation}
 	p := &Plane{
 		cfg: cfg, self: self, region: id.Region, zone: id.Zone, addr: id.InnerAddr,
 		seeds: slices.Clone(seeds), rng: rng, replica: NewReplica(), started: now,
-		election: membership.NewElection(cfg.Elector, membership.Peer{ID: self, Started: now}, now),
-		detector: membership.NewDetector(cfg.Detector, self),
-		answered: now,
-		evicting: map[membership.Identity]bool{},
-		beaten:   map[membership.Identity]uint64{},
-		dead:     map[membership.Identity]bool{},
-		soft:     map[string]softMember{},
-		drains:   map[membership.Identity]drain{},
-		suspects: map[suspectKey]suspectUpdate{},
-		told:     map[string]told{},
-		failed:   map[string]time.Time{},
+		election:       membership.NewElection(cfg.Elector, membership.Peer{ID: self, Started: now}, now),
+		detector:       membership.NewDetector(cfg.Detector, self),
+		lastResponseAt: now,
+		evicting:       map[membership.Identity]bool{},
+		receivedSeqs:   map[membership.Identity]uint64{},
+		dead:           map[membership.Identity]bool{},
+		softMembers:    map[string]softMember{},
+		drains:         map[membership.Identity]drain{},
+		crashRecords:   map[crashRecordKey]crashRecordUpdate{},
+		lastResponses:  map[string]sentState{},
+		failedAt:       map[string]time.Time{},
 	}
 	p.detector.SetPeers(nil, membership.Identity{})
 	return p
 }
 
-// SetFollower adds whoever decides from single records; nil for nobody.
+// SetFollower sets the consumer of single records; nil means none.
 func (p *Plane) SetFollower(f Follower) { p.follower = f }
 
-// Policy returns the configuration in force. A starting process folds its way
-// up from old versions; none of these comes in force, since the life before
-// may have had a newer one.
+// Policy returns the configuration in force. It returns an empty one until the Plane has
+// reached the log's head or adopted the state of a peer: the older versions that a starting
+// process folds must not come into force, because its previous incarnation may have had a
+// newer one.
 func (p *Plane) Policy() *policy.State {
-	if !p.settled {
+	if !p.hasState {
 		return policy.NewState()
 	}
 	return p.replica.Policy()
 }
 
-// Members returns the members of the log's fold.
+// Members returns the members according to the log.
 func (p *Plane) Members() *membership.View { return p.replica.Members() }
 
-// Replica returns the fold, for whoever decides from its claims.
+// Replica returns the fold over the log, which contains the claims.
 func (p *Plane) Replica() *Replica { return p.replica }
 
-// Whole reports whether every record up to the newest fold was seen here.
-// Until then no claim may be decided: an earlier one may have been missed.
-func (p *Plane) Whole() bool { return p.caught && p.replica.Strict() >= p.replica.Next() }
+// Complete reports whether this node has folded every record up to Next without a gap.
+// Until then no claim may be decided, because an earlier claim to the same key may be missing.
+func (p *Plane) Complete() bool { return p.caughtUp && p.replica.Contiguous() >= p.replica.Next() }
 
 // IsLeader reports whether this node reads the log for its zone.
 func (p *Plane) IsLeader() bool {
@@ -216,42 +217,45 @@
 	return ok && l == p.self
 }
 
-// SetMember says what this node serves; it is told to the log and the peers.
+// SetMember sets the member record of this node, which is then written to the log and sent to
+// the peers.
 func (p *Plane) SetMember(m membership.Member) {
-	if p.me != nil && sameOffer(*p.me, m) {
+	if p.ownMember != nil && equalExceptJoinedAt(*p.ownMember, m) {
 		return
 	}
-	p.me = &m
-	p.joinedAt = time.Time{}
-	p.changed(true)
+	p.ownMember = &m
+	p.joinWrittenAt = time.Time{}
+	p.noteUpdate(true)
 }
 
-func sameOffer(a, b membership.Member) bool {
+func equalExceptJoinedAt(a, b membership.Member) bool {
 	b.JoinedAt = a.JoinedAt
 	return a == b
 }
 
-// changed notes updates to pass on; up says that they are updates above too.
-func (p *Plane) changed(up bool) {
+// noteUpdate records a change of the endpoints that children must receive; upward reports
+// whether the parent must receive it as well.
+func (p *Plane) noteUpdate(upward bool) {
 	p.updates++
-	if up {
-		p.fromBelow++
+	if upward {
+		p.upwardUpdates++
 	}
-	p.dirty = true
+	p.endpointsDirty = true
 }
 
-// Updates returns a number that grows with whatever is to be passed on at once.
+// Updates returns a counter that increases with every update that must be sent without delay.
 func (p *Plane) Updates() uint64 { return p.updates }
 
-// TakeDirty reports whether the endpoints changed since it was last called.
+// TakeDirty reports whether the endpoints have changed since the last call.
 func (p *Plane) TakeDirty() bool {
-	d := p.dirty
-	p.dirty = false
+	d := p.endpointsDirty
+	p.endpointsDirty = false
 	return d
 }
 
-// share spreads nodes over [0, 1) by their name, the same at each call.
-func (p *Plane) share() float64 {
+// nodeJitter returns a number in [0, 1) derived from the node's name. It is the same at each
+// call.
+func (p *Plane) nodeJitter() float64 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(p.self.Node))
 	return float64(h.Sum32()) / (1 << 32)
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -12,34 +12,32 @@
 )
 
 const (
-	// claimHorizon is how long a claim is remembered: callers' longest resend
-	// horizon.
+	// claimHorizon is how long a claim is kept: the longest resend horizon of callers.
 	claimHorizon = 10 * time.Minute
-	// maxClaims bounds the claims of one service in memory, at 64 bytes each.
+	// maxClaims limits the claims of one service in memory, at 64 bytes each.
 	maxClaims = 200_000
-	// dedupWindow is how many offsets back a repeated record is recognised. It must
-	// hold what all nodes append while one of them repeats a record; see logstore.Dedup.
+	// dedupWindow is the number of offsets within which a copy of a record is recognized. It
+	// must cover the records that all nodes append while one of them retries a record; see
+	// logstore.Dedup.
 	dedupWindow = 20_000
 )
 
-// Replica is a node's fold over the log: configuration, members, claims. It is
-// a pure state machine. Not safe for concurrent use; the states it returns are
-// immutable.
+// Replica is a node's fold over the log: configuration, members and claims. It is a pure state
+// machine. It is not safe for concurrent use; the states that it returns are immutable.
 //
-// It has two places in the log. Configuration and members may be taken over
-// from a peer, so their place may jump. Whoever decides from single records,
-// such as claims, must have seen every one of them: that place never jumps but
-// over what the log itself has dropped.
+// It keeps two offsets. Configuration and members can be adopted from a peer, so their offset
+// can skip records. Decisions that depend on single records, such as claims, require every
+// record: their offset skips only records that have expired in the log.
 type Replica struct {
-	next    int64
-	strict  int64
-	dedup   *logstore.Dedup
-	policy  *policy.Replica
-	members *membership.View
-	claims  *idempotency.Claims
+	next           int64 // next offset of configuration and members
+	nextContiguous int64 // next offset of claims
+	dedup          *logstore.Dedup
+	policy         *policy.Replica
+	members        *membership.View
+	claims         *idempotency.Claims
 }
 
-// NewReplica returns the fold of nothing.
+// NewReplica returns the fold of an empty log.
 func NewReplica() *Replica {
 	return &Replica{
 		dedup:   logstore.NewDedup(dedupWindow),
@@ -49,13 +47,13 @@
 	}
 }
 
-// Next returns the offset from which configuration and members go on.
+// Next returns the offset of the next record for configuration and members.
 func (r *Replica) Next() int64 { return min(r.next, r.policy.Next()) }
 
-// Strict returns the offset up to which every record was seen.
-func (r *Replica) Strict() int64 { return r.strict }
+// Contiguous returns the offset below which every record was folded or has expired.
+func (r *Replica) Contiguous() int64 { return r.nextContiguous }
 
-// Behind reports whether configuration lacks records that the log has dropped.
+// Behind reports whether the configuration lacks records that have expired in the log.
 func (r *Replica) Behind() bool { return r.policy.Behind() }
 
 // Policy returns the configuration folded so far.
@@ -64,32 +62,33 @@
 // Members returns the members folded so far.
 func (r *Replica) Members() *membership.View { return r.members }
 
-// SnapshotDue reports whether the configuration should be written again.
+// SnapshotDue reports whether rule requires a new snapshot of the configuration; oldest is the
+// first offset of the log that has not expired.
 func (r *Replica) SnapshotDue(rule *policy.SnapshotRule, now time.Time, oldest int64) bool {
 	return r.policy.SnapshotDue(rule, now, oldest)
 }
 
-// Take folds a page in log order and returns the entries that continue what
-// was seen without a gap. A record whose body cannot be read is skipped by
-// every replica alike.
+// Take folds a page and returns its entries from Contiguous on, up to the first gap. A
+// record whose body cannot be decoded is skipped, by every replica in the same way.
 func (r *Replica) Take(now time.Time, page logstore.Page) []logstore.Entry {
 	r.policy.Take(page)
-	r.takeMembers(page.Entries)
-	var seen []logstore.Entry
+	r.applyMembers(page.Entries)
+	var contiguous []logstore.Entry
 	for _, e := range page.Entries {
-		if e.Offset != r.strict {
+		if e.Offset != r.nextContiguous {
 			continue
 		}
-		r.strict++
+		r.nextContiguous++
 		if e.Record.Kind == logstore.KindClaim {
 			r.applyClaim(now, e)
 		}
-		seen = append(seen, e)
+		contiguous = append(contiguous, e)
 	}
-	return seen
+	return contiguous
 }
 
-func (r *Replica) takeMembers(entries []logstore.Entry) {
+// applyMembers folds the membership records among entries.
+func (r *Replica) applyMembers(entries []logstore.Entry) {
 	var members []membership.Entry
 	for _, e := range entries {
 		if e.Offset < r.next {
@@ -108,18 +107,19 @@
 	}
 }
 
-// Truncated is told that the log has dropped everything below oldest. It
-// reports whether records were dropped that this fold never saw.
+// Truncated skips the offsets below oldest, which have expired in the log. It reports whether
+// this replica has not folded some of the expired records.
 func (r *Replica) Truncated(oldest int64) (missed bool) {
 	r.policy.Truncated(oldest)
 	r.next = max(r.next, oldest)
-	missed = r.strict < oldest
-	r.strict = max(r.strict, oldest)
+	missed = r.nextContiguous < oldest
+	r.nextContiguous = max(r.nextContiguous, oldest)
 	return missed
 }
 
-// Adopt takes a peer's configuration and members, folded up to next, where
-// they are newer. It never takes back what was accepted.
+// Adopt merges the configuration and members of a peer, which has folded them up to next. It
+// returns false and changes nothing unless next is beyond Next. It never reverts to an older
+// configuration or view of the members.
 func (r *Replica) Adopt(p *policy.State, v *membership.View, next int64) bool {
 	if next <= r.Next() {
 		return false
@@ -140,6 +140,7 @@
 	r.claims.Apply(e.Offset, now, c)
 }
 
+// memberRecord decodes a membership record; nil for other kinds and undecodable bodies.
 func memberRecord(rec logstore.Record) membership.Record {
 	switch rec.Kind {
 	case logstore.KindJoin:
@@ -160,7 +161,7 @@
 	return body
 }
 
-// endpointOf turns a member into what routing chooses from.
+// endpointOf converts a member to an endpoint for routing.
 func endpointOf(m membership.Member) routing.Endpoint {
 	return routing.Endpoint{
 		Node:        m.Node,
@@ -175,7 +176,8 @@
 	}
 }
 
-// Endpoints returns what calls can be routed to, without those that skip says.
+// Endpoints returns the endpoints of the members that serve a service, except those for which
+// skip returns true.
 func Endpoints(v *membership.View, skip func(membership.Identity) bool) []routing.Endpoint {
 	var endpoints []routing.Endpoint
 	for _, m := range v.Members() {
@@ -187,7 +189,7 @@
 	return endpoints
 }
 
-// Claim returns the claim that holds a key.
+// Claim returns the claim that holds the key with the given hash; false if there is none.
 func (r *Replica) Claim(keyHash uint64) (idempotency.Claim, bool) {
 	return r.claims.Holder(keyHash)
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -10,13 +10,14 @@
 	"github.com/galenagrade/galenagrade/internal/policy"
 )
 
-// State makes the answer to a node that can't get on by single records.
+// State returns the response to a node that cannot catch up with single records, because some
+// of them are no longer available.
 func (p *Plane) State(now time.Time) (*innerpb.FetchStateResponse, error) {
 	out := &innerpb.FetchStateResponse{
 		From:        Ref(p.self),
 		Head:        p.headOf(now),
 		Drains:      p.drainUpdates(now),
-		SoftMembers: p.softUpdates(now),
+		SoftMembers: p.softMemberUpdates(now),
 		Ready:       p.replica.Next() > 0 && !p.replica.Behind(),
 	}
 	if !out.Ready {
@@ -28,7 +29,7 @@
 	}
 	members, err := p.Members().Marshal()
 	if err != nil {
-		return nil, errors.Wrap(err, "members")
+		return nil, errors.Wrap(err, "marshal members")
 	}
 	digest := &innerpb.Digest{NextOffset: uint64(p.replica.Next()), Version: uint64(p.Policy().Version())}
 	out.State = []*innerpb.StatePart{
@@ -38,14 +39,14 @@
 	return out, nil
 }
 
-// OnState takes a peer's state. It is checked as a whole first, and nothing
-// older than what is in force is taken from it.
+// OnState adopts the state of a peer. It first validates the complete state, and never replaces
+// configuration or members by older ones.
 func (p *Plane) OnState(now time.Time, s *innerpb.FetchStateResponse) error {
 	for _, d := range s.GetDrains() {
-		p.takeDrain(now, identityOf(d.GetNodeId(), d.GetIncarnation()), age(d.GetAgeUs()), false)
+		p.applyDrain(now, identityOf(d.GetNodeId(), d.GetIncarnation()), fromMicros(d.GetAgeUs()), false)
 	}
 	for _, m := range s.GetSoftMembers() {
-		p.takeSoft(now, m, false)
+		p.applySoftMember(now, m, false)
 	}
 	if !s.GetReady() {
 		return nil
@@ -62,16 +63,16 @@
 			members, err = membership.Unmarshal(part.GetJson())
 		}
 		if err != nil {
-			return errors.Wrapf(err, "state of %s", s.GetFrom().GetNodeId())
+			return errors.Wrapf(err, "decode state of %s", s.GetFrom().GetNodeId())
 		}
 		next = int64(part.GetDigest().GetNextOffset())
 	}
 	if config == nil || members == nil || int64(config.Version()) < next {
-		return errors.Errorf("state of %s is not whole", s.GetFrom().GetNodeId())
+		return errors.Errorf("state of %s is incomplete", s.GetFrom().GetNodeId())
 	}
 	if p.replica.Adopt(config, members, next) {
-		p.settled = true
-		p.fromBelow++
+		p.hasState = true
+		p.upwardUpdates++
 		p.updates++
 		p.membersChanged(now)
 	}
--- a/internal/control/tick.go
+++ b/internal/control/tick.go
@@ -12,35 +12,38 @@
 )
 
 const (
-	// rejoinShare is the part of the log's retention after which a member's
-	// join is written again, so that it does not expire; as much as half of it
-	// comes on top by node, to spread the members.
-	rejoinShare = 4
-	// maxBeaten bounds the readers of the zone remembered beyond their end.
-	maxBeaten = 64
-	// appendRetry is how long an append that did not show up is waited for.
-	appendRetry = 10 * time.Second
+	// rejoinDivisor is the fraction of the log's retention, 1/rejoinDivisor, after which a
+	// member writes its join record again, so that it does not expire. A jitter per node of up
+	// to half of that time is added, so that members do not write at the same time.
+	rejoinDivisor = 4
+	// maxReceivedSeqs is the number of senders in receivedSeqs above which those that have left
+	// the members are removed.
+	maxReceivedSeqs = 64
+	// appendRetryDelay is the time after which a record that has not appeared in the log is
+	// appended again.
+	appendRetryDelay = 10 * time.Second
 )
 
-// Action is something that a Plane wants done: SendProbe, SendProbeVia,
+// Action is an operation that the caller performs for a Plane: SendProbe, SendProbeVia,
 // CheckEvict or AppendRecord.
 type Action interface{ planeAction() }
 
-// SendProbe asks a node whether it lives; OnProbe follows.
+// SendProbe probes a node. The caller reports the result with OnProbe.
 type SendProbe struct{ To Peer }
 
-// SendProbeVia asks a helper to probe a target; OnProbeVia follows.
+// SendProbeVia requests that a helper probe a target. The caller reports the result with
+// OnProbeVia.
 type SendProbeVia struct{ Helper, Target Peer }
 
-// CheckEvict asks nodes of other zones to probe a target that its own zone
-// finds dead; OnEvictChecked follows.
+// CheckEvict requests that nodes of other zones probe a target that is dead according to its
+// own zone. The caller reports the result with OnEvictChecked.
 type CheckEvict struct {
 	Helpers []Peer
 	Target  Peer
 }
 
-// AppendRecord writes a record to the log. It need not be reported back: what
-// does not show up is handed out again.
+// AppendRecord appends a record to the log. The caller need not report the result: a record
+// that does not appear in the log is returned again by a later Tick.
 type AppendRecord struct{ Record logstore.Record }
 
 func (SendProbe) planeAction()    {}
@@ -48,64 +51,68 @@
 func (CheckEvict) planeAction()   {}
 func (AppendRecord) planeAction() {}
 
-// Tick is called a few times in an Exchange.
+// Tick advances the timers and returns the actions that are due. The caller calls it several
+// times per PlaneConfig.Exchange.
 func (p *Plane) Tick(now time.Time) []Action {
-	p.elect(now)
-	p.expire(now)
+	p.tickElection(now)
+	p.removeExpired(now)
 	var out []Action
-	if round := now.UnixNano() / int64(p.cfg.Detector.Interval); round != p.round {
-		p.round = round
-		out = p.probes(now, p.detector.Tick(now))
-		out = append(out, p.snapshotTurn(now)...)
-		p.checkDead(now)
+	if round := now.UnixNano() / int64(p.cfg.Detector.Interval); round != p.detectorRound {
+		p.detectorRound = round
+		out = p.planeActions(now, p.detector.Tick(now))
+		out = append(out, p.snapshotActions(now)...)
+		p.updateDead(now)
 	}
-	return append(out, p.joinTurn(now)...)
+	return append(out, p.joinActions(now)...)
 }
 
-// elect lets this node claim the reading of the log for its zone. Who is not a
-// member yet does not: nobody could ask it.
-func (p *Plane) elect(now time.Time) {
-	if p.me == nil || p.draining {
+// tickElection lets this node claim the leadership of its zone. A node that has not announced
+// itself as a member does not, because its peers have no address to send requests to.
+func (p *Plane) tickElection(now time.Time) {
+	if p.ownMember == nil || p.draining {
 		return
 	}
-	before, led := p.election.Leader()
+	before, hadLeader := p.election.Leader()
 	hb, due := p.election.Tick(now)
 	after, _ := p.election.Leader()
 	if due {
-		p.beats++
-		p.beat = beat{hb: hb, addr: p.addr, seq: p.beats}
+		p.heartbeatSeq++
+		p.leaderHeartbeat = leaderHeartbeat{hb: hb, addr: p.addr, seq: p.heartbeatSeq}
 	}
-	if !led && due || before != after {
+	if !hadLeader && due || before != after {
 		p.leaderChanged()
 	}
 }
 
-func (p *Plane) expire(now time.Time) {
-	for node, s := range p.soft {
-		if now.Sub(s.said) >= softFor {
-			delete(p.soft, node)
+// removeExpired removes soft members, drains, failed requests and heartbeat numbers that are
+// no longer needed.
+func (p *Plane) removeExpired(now time.Time) {
+	for node, s := range p.softMembers {
+		if now.Sub(s.announcedAt) >= softMemberTTL {
+			delete(p.softMembers, node)
 			p.setPeers()
-			p.changed(false)
+			p.noteUpdate(false)
 		}
 	}
 	for id, d := range p.drains {
-		if id != p.self && now.Sub(d.began) >= drainFor {
+		if id != p.self && now.Sub(d.startedAt) >= drainTTL {
 			delete(p.drains, id)
-			p.dirty = true
+			p.endpointsDirty = true
 		}
 	}
-	maps.DeleteFunc(p.failed, func(_ string, at time.Time) bool { return now.Sub(at) >= failedFor })
-	// Those that are no members any more may come round only while someone
-	// still believes in them, which is long over when this many have led.
-	maps.DeleteFunc(p.beaten, func(id membership.Identity, _ uint64) bool {
-		return len(p.beaten) > maxBeaten && p.Members().Gone(id)
+	maps.DeleteFunc(p.failedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= failedPeerBackoff })
+	// A relayed heartbeat of a removed member can arrive only while some node still holds that
+	// member for the leader. This time is over when so many leaders have followed it.
+	maps.DeleteFunc(p.receivedSeqs, func(id membership.Identity, _ uint64) bool {
+		return len(p.receivedSeqs) > maxReceivedSeqs && p.Members().Gone(id)
 	})
-	if len(p.told) > 2*len(p.zoneIDs)+64 {
-		clear(p.told)
+	if len(p.lastResponses) > 2*len(p.zoneIDs)+64 {
+		clear(p.lastResponses)
 	}
 }
 
-func (p *Plane) probes(now time.Time, actions []membership.Action) []Action {
+// planeActions translates actions of the failure detector into those of the Plane.
+func (p *Plane) planeActions(now time.Time, actions []membership.Action) []Action {
 	var out []Action
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -114,33 +121,35 @@
 		case membership.ProbeVia:
 			out = append(out, SendProbeVia{Helper: p.peer(a.Helper), Target: p.peer(a.Target)})
 		case membership.EvictDue:
-			out = append(out, p.evictTurn(now, a.ID)...)
+			out = append(out, p.evictActions(now, a.ID)...)
 		}
 	}
 	return out
 }
 
-// OnProbe takes the end of a probe: who answered, or that nobody did.
+// OnProbe records the result of a SendProbe to node to: from is the node that responded;
+// reached is false if there was no response.
 func (p *Plane) OnProbe(now time.Time, to membership.Identity, from membership.Identity, reached bool) []Action {
 	if reached {
 		p.detector.OnProbeReply(now, from)
-		p.checkDead(now)
+		p.updateDead(now)
 		return nil
 	}
-	out := p.probes(now, p.detector.OnProbeTimeout(now, to))
-	p.checkDead(now)
+	out := p.planeActions(now, p.detector.OnProbeTimeout(now, to))
+	p.updateDead(now)
 	return out
 }
 
-// OnProbeVia takes a helper's report on a target.
+// OnProbeVia records a helper's result of a SendProbeVia.
 func (p *Plane) OnProbeVia(now time.Time, target membership.Identity, reached bool) {
 	p.detector.OnIndirect(now, target, reached)
-	p.checkDead(now)
+	p.updateDead(now)
 }
 
-// checkDead leaves the dead out of routing at once. A node that is cut off
-// itself keeps what it thought before: it can't tell.
-func (p *Plane) checkDead(now time.Time) {
+// updateDead recomputes the dead nodes of the zone, which are removed from routing at once. An
+// isolated node keeps the previous result: it cannot tell whether its peers are dead or it is
+// itself cut off.
+func (p *Plane) updateDead(now time.Time) {
 	if p.detector.Isolated() {
 		return
 	}
@@ -152,19 +161,20 @@
 	}
 	if !maps.Equal(dead, p.dead) {
 		p.dead = dead
-		p.changed(true)
+		p.noteUpdate(true)
 	}
 }
 
-// Dead returns the members of the zone that are taken for dead.
+// Dead returns the members of the zone that are considered dead.
 func (p *Plane) Dead() map[membership.Identity]bool { return maps.Clone(p.dead) }
 
-// evictTurn guards against a partition inside the zone. Its symptom is that
-// many nodes fall silent at once; evicted, they would have to stop although
-// they still serve callers on their side. So only few are evicted at a time,
-// and each only after nodes of other zones found it silent as well. All others
-// are merely left out of routing here, which heals by itself.
-func (p *Plane) evictTurn(now time.Time, id membership.Identity) []Action {
+// evictActions begins the eviction of a dead node, unless there is probably a partition inside
+// the zone. In a partition many nodes become unreachable at the same time. If they were
+// evicted, they would have to stop although they still serve callers on their side. Therefore
+// no node is evicted while more than MaxEvictShare of the zone is dead, and each one only
+// after nodes of other zones could not reach it either. Nodes that are not evicted are only
+// removed from this node's routing, which ends when they are reachable again.
+func (p *Plane) evictActions(now time.Time, id membership.Identity) []Action {
 	limit := max(1, int(float64(len(p.zoneIDs))*p.cfg.MaxEvictShare))
 	if len(p.dead) > limit || p.evicting[id] {
 		return nil
@@ -174,12 +184,12 @@
 		return nil
 	}
 	p.evicting[id] = true
-	helpers := p.others(now)
+	helpers := p.otherZonePeers(now)
 	return []Action{CheckEvict{Helpers: helpers[:min(len(helpers), 2)], Target: target}}
 }
 
-// OnEvictChecked takes what other zones found: alive says that one of them
-// reached the target.
+// OnEvictChecked records the result of a CheckEvict: alive reports whether a helper reached the
+// target. If none did, the zone's reader evicts it.
 func (p *Plane) OnEvictChecked(now time.Time, id membership.Identity, alive bool) []Action {
 	delete(p.evicting, id)
 	if alive || !p.dead[id] || !p.IsLeader() || !p.Members().Live(id) {
@@ -188,40 +198,40 @@
 	return p.appendRecord(now, logstore.KindEvict, membership.Evict{ID: id, By: p.self})
 }
 
-// joinTurn writes this node's join until it shows up, and again before the log
-// drops it.
-func (p *Plane) joinTurn(now time.Time) []Action {
-	if p.me == nil || p.draining || p.Members().Gone(p.self) {
+// joinActions appends this node's join record until it appears in the log, and again before it
+// expires.
+func (p *Plane) joinActions(now time.Time) []Action {
+	if p.ownMember == nil || p.draining || p.Members().Gone(p.self) {
 		return nil
 	}
-	wait := appendRetry
-	if m, ok := p.Members().Member(p.self.Node); ok && m.Identity == p.self && sameOffer(*p.me, m) {
-		wait = p.cfg.Retention / rejoinShare
-		wait += time.Duration(p.share() * float64(wait) / 2)
+	wait := appendRetryDelay
+	if m, ok := p.Members().Member(p.self.Node); ok && m.Identity == p.self && equalExceptJoinedAt(*p.ownMember, m) {
+		wait = p.cfg.Retention / rejoinDivisor
+		wait += time.Duration(p.nodeJitter() * float64(wait) / 2)
 	}
-	if !p.joinedAt.IsZero() && now.Sub(p.joinedAt) < wait {
+	if !p.joinWrittenAt.IsZero() && now.Sub(p.joinWrittenAt) < wait {
 		return nil
 	}
-	p.joinedAt = now
-	return p.appendRecord(now, logstore.KindJoin, membership.Join{Member: *p.me})
+	p.joinWrittenAt = now
+	return p.appendRecord(now, logstore.KindJoin, membership.Join{Member: *p.ownMember})
 }
 
-// snapshotTurn writes the configuration again well before the log drops it.
-// The zone's reader does; a wait by node lets the first of all zones do it
-// alone, and two doing it are harmless.
-func (p *Plane) snapshotTurn(now time.Time) []Action {
+// snapshotActions appends a snapshot of the configuration well before its records expire. Only
+// readers of zones do so. A delay per node usually lets one of them write before the others;
+// two snapshots are harmless.
+func (p *Plane) snapshotActions(now time.Time) []Action {
 	rule := policy.DefaultSnapshotRule(p.cfg.Retention)
-	if !p.IsLeader() || !p.Whole() || p.Policy().Version() == 0 || !p.replica.SnapshotDue(&rule, now, p.head.oldest) {
-		p.snapDue = time.Time{}
+	if !p.IsLeader() || !p.Complete() || p.Policy().Version() == 0 || !p.replica.SnapshotDue(&rule, now, p.head.oldest) {
+		p.snapshotDueAt = time.Time{}
 		return nil
 	}
-	if p.snapDue.IsZero() {
-		p.snapDue = now
+	if p.snapshotDueAt.IsZero() {
+		p.snapshotDueAt = now
 	}
-	if now.Sub(p.snapDue) < time.Duration(p.share()*float64(rule.Every)/4) {
+	if now.Sub(p.snapshotDueAt) < time.Duration(p.nodeJitter()*float64(rule.Every)/4) {
 		return nil
 	}
-	p.snapDue = now.Add(appendRetry)
+	p.snapshotDueAt = now.Add(appendRetryDelay)
 	rec, err := p.Policy().SnapshotRecord(p.recordID(), now)
 	if err != nil {
 		return nil
@@ -229,7 +239,7 @@
 	return []Action{AppendRecord{Record: rec}}
 }
 
-// LeaveRecord is the last record of a planned stop.
+// LeaveRecord returns the leave record of this node, its last record at a planned stop.
 func (p *Plane) LeaveRecord(now time.Time) logstore.Record {
 	return p.record(now, logstore.KindLeave, membership.Leave{ID: p.self})
 }
@@ -239,10 +249,10 @@
 }
 
 func (p *Plane) record(now time.Time, kind logstore.Kind, body any) logstore.Record {
-	// Membership records hold only strings, numbers and times: they marshal.
+	// Marshaling cannot fail: membership records contain only strings, numbers and times.
 	raw, _ := json.Marshal(body)
 	return logstore.Record{ID: p.recordID(), Kind: kind, At: now, Body: raw}
 }
 
-// recordID names a record by 128 random bits.
+// recordID returns a record ID of 128 random bits.
 func (p *Plane) recordID() string { return fmt.Sprintf("%016x%016x", p.rng.Uint64(), p.rng.Uint64()) }
--- a/internal/control/updates.go
+++ b/internal/control/updates.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	// repeatFor is how long a suspect or drain is repeated in exchanges; it
-	// covers several exchanges at each of three levels.
-	repeatFor = 6 * time.Second
-	// drainFor is how long a drain keeps a node out of routing without a
-	// leave record.
-	drainFor = time.Minute
-	// softFor is the age at which a member drops out that the log does not
-	// know and that has said nothing.
-	softFor = 15 * time.Second
-	// maxUpdates bounds each list of one message.
+	// updateTTL is how long exchanges repeat a crash record or drain. It covers several
+	// exchanges at each of three levels of the tree.
+	updateTTL = 6 * time.Second
+	// drainTTL is how long a drain marks a node as draining in routing without a leave record.
+	drainTTL = time.Minute
+	// softMemberTTL is the time after its last announcement at which a member that is not in
+	// the log is removed.
+	softMemberTTL = 15 * time.Second
+	// maxUpdates limits the length of each list in one message.
 	maxUpdates = 64
 )
 
-// softMember is a member whose join is not in the log yet.
+// softMember is a member whose join record is not in the log yet.
 type softMember struct {
-	member membership.Member
-	json   []byte
-	said   time.Time // by the member itself
+	member      membership.Member
+	json        []byte
+	announcedAt time.Time // last announcement by the member itself
 }
 
-// drain is a node that said that it is leaving.
+// drain is the announcement of a node that it takes no new work.
 type drain struct {
-	began time.Time
-	heard time.Time
+	startedAt  time.Time
+	receivedAt time.Time
 }
 
-// suspectKey names one record of suspicion.
-type suspectKey struct {
+// crashRecordKey identifies a crash record.
+type crashRecordKey struct {
 	fingerprint quarantine.Fingerprint
 	upstream    string
 	incarnation uint64
 }
 
-type suspectUpdate struct {
-	suspect quarantine.CrashRecord
-	heard   time.Time
+// crashRecordUpdate is a crash record with the time at which it last changed.
+type crashRecordUpdate struct {
+	record     quarantine.CrashRecord
+	receivedAt time.Time
 }
 
-// updateBearer is what questions and answers have in common.
-type updateBearer interface {
+// updateMessage contains the fields that exchange requests and responses have in common.
+type updateMessage interface {
 	GetSuspects() []*innerpb.Suspect
 	GetDrains() []*innerpb.Drain
 	GetLiveness() []*innerpb.Liveness
@@ -61,54 +61,58 @@
 	GetElected() *innerpb.Relay
 }
 
-// takeUpdates takes over what a peer knows; up says that it came from below.
-func (p *Plane) takeUpdates(now time.Time, m updateBearer, up bool) {
-	p.takeElected(now, m.GetElected())
+// applyUpdates applies the updates in a message of a peer; upward reports whether the parent
+// must receive them, which is the case for requests.
+func (p *Plane) applyUpdates(now time.Time, m updateMessage, upward bool) {
+	p.onLeaderRelay(now, m.GetElected())
 	for _, s := range m.GetSuspects() {
-		p.incoming = append(p.incoming, inner.Suspect(now, s))
+		p.receivedCrashRecords = append(p.receivedCrashRecords, inner.Suspect(now, s))
 	}
 	for _, d := range m.GetDrains() {
-		p.takeDrain(now, identityOf(d.GetNodeId(), d.GetIncarnation()), age(d.GetAgeUs()), up)
+		p.applyDrain(now, identityOf(d.GetNodeId(), d.GetIncarnation()), fromMicros(d.GetAgeUs()), upward)
 	}
 	for _, s := range m.GetSoftMembers() {
-		p.takeSoft(now, s, up)
+		p.applySoftMember(now, s, upward)
 	}
 	if findings := findingsOf(m.GetLiveness()); len(findings) > 0 {
 		p.detector.OnGossip(now, findings)
-		p.checkDead(now)
+		p.updateDead(now)
 	}
 }
 
-// StartDrain says that this node takes no new work.
+// StartDrain records that this node takes no new work from now on, and announces it to the
+// peers.
 func (p *Plane) StartDrain(now time.Time) {
 	p.draining = true
-	p.takeDrain(now, p.self, 0, true)
+	p.applyDrain(now, p.self, 0, true)
 }
 
-func (p *Plane) takeDrain(now time.Time, id membership.Identity, since time.Duration, up bool) {
-	if _, ok := p.drains[id]; ok || since >= drainFor {
+// applyDrain records that a node began to drain a time of elapsed ago.
+func (p *Plane) applyDrain(now time.Time, id membership.Identity, elapsed time.Duration, upward bool) {
+	if _, ok := p.drains[id]; ok || elapsed >= drainTTL {
 		return
 	}
-	p.drains[id] = drain{began: now.Add(-since), heard: now}
-	p.changed(up)
+	p.drains[id] = drain{startedAt: now.Add(-elapsed), receivedAt: now}
+	p.noteUpdate(upward)
 }
 
+// drainUpdates returns the drains for the next message.
 func (p *Plane) drainUpdates(now time.Time) []*innerpb.Drain {
 	var out []*innerpb.Drain
 	for _, id := range slices.SortedFunc(maps.Keys(p.drains), membership.Identity.Compare) {
 		d := p.drains[id]
-		if now.Sub(d.heard) >= repeatFor && id != p.self || len(out) == maxUpdates {
+		if now.Sub(d.receivedAt) >= updateTTL && id != p.self || len(out) == maxUpdates {
 			continue
 		}
 		ref := Ref(id)
-		out = append(out, &innerpb.Drain{NodeId: ref.NodeId, Incarnation: ref.Incarnation, AgeUs: now.Sub(d.began).Microseconds()})
+		out = append(out, &innerpb.Drain{NodeId: ref.NodeId, Incarnation: ref.Incarnation, AgeUs: now.Sub(d.startedAt).Microseconds()})
 	}
 	return out
 }
 
-// takeSoft takes a member that the log does not know. An older life of the
-// node gives way; one that the log says has ended is not taken back.
-func (p *Plane) takeSoft(now time.Time, s *innerpb.SoftMember, up bool) {
+// applySoftMember adds or refreshes a member that is not in the log yet. It replaces an older
+// incarnation of the node. It is ignored if the log has already removed its incarnation.
+func (p *Plane) applySoftMember(now time.Time, s *innerpb.SoftMember, upward bool) {
 	var m membership.Member
 	if json.Unmarshal(s.GetJson(), &m) != nil || m.Node == "" || m.Node == p.self.Node {
 		return
@@ -117,68 +121,71 @@
 	if old, ok := v.Member(m.Node); v.Gone(m.Identity) || ok && old.Incarnation >= m.Incarnation {
 		return
 	}
-	said := now.Add(-age(s.GetAgeUs()))
-	known, ok := p.soft[m.Node]
-	if ok && (known.member.Incarnation > m.Incarnation || !said.After(known.said)) || now.Sub(said) >= softFor {
+	announcedAt := now.Add(-fromMicros(s.GetAgeUs()))
+	known, ok := p.softMembers[m.Node]
+	if ok && (known.member.Incarnation > m.Incarnation || !announcedAt.After(known.announcedAt)) || now.Sub(announcedAt) >= softMemberTTL {
 		return
 	}
-	p.soft[m.Node] = softMember{member: m, json: s.GetJson(), said: said}
+	p.softMembers[m.Node] = softMember{member: m, json: s.GetJson(), announcedAt: announcedAt}
 	if !ok || known.member != m {
 		p.setPeers()
-		p.changed(up)
+		p.noteUpdate(upward)
 	}
 }
 
-func (p *Plane) softUpdates(now time.Time) []*innerpb.SoftMember {
+// softMemberUpdates returns the soft members for the next message, with this node first until
+// the log lists it.
+func (p *Plane) softMemberUpdates(now time.Time) []*innerpb.SoftMember {
 	var out []*innerpb.SoftMember
-	if p.me != nil && !p.draining && !p.Members().Live(p.self) {
-		if raw, err := json.Marshal(p.me); err == nil {
+	if p.ownMember != nil && !p.draining && !p.Members().Live(p.self) {
+		if raw, err := json.Marshal(p.ownMember); err == nil {
 			out = append(out, &innerpb.SoftMember{Json: raw})
 		}
 	}
-	for _, node := range slices.Sorted(maps.Keys(p.soft)) {
-		s := p.soft[node]
+	for _, node := range slices.Sorted(maps.Keys(p.softMembers)) {
+		s := p.softMembers[node]
 		if len(out) < maxUpdates {
-			out = append(out, &innerpb.SoftMember{Json: s.json, AgeUs: now.Sub(s.said).Microseconds()})
+			out = append(out, &innerpb.SoftMember{Json: s.json, AgeUs: now.Sub(s.announcedAt).Microseconds()})
 		}
 	}
 	return out
 }
 
-// SetCrashRecords tells what the guard knows of crashing requests and returns what
-// is new, to be spread at once.
+// SetCrashRecords replaces the crash records with those of the guard. It returns the new and
+// changed ones, which the caller sends to the peers by gossip without delay.
 func (p *Plane) SetCrashRecords(now time.Time, known []quarantine.CrashRecord) []quarantine.CrashRecord {
 	var fresh []quarantine.CrashRecord
-	seen := make(map[suspectKey]bool, len(known))
+	seen := make(map[crashRecordKey]bool, len(known))
 	for _, s := range known {
-		k := suspectKey{s.Fingerprint, s.Upstream, s.Incarnation}
+		k := crashRecordKey{s.Fingerprint, s.Upstream, s.Incarnation}
 		seen[k] = true
-		if old, ok := p.suspects[k]; ok && old.suspect.Cleared == s.Cleared && old.suspect.Alone == s.Alone {
+		if old, ok := p.crashRecords[k]; ok && old.record.Cleared == s.Cleared && old.record.Alone == s.Alone {
 			continue
 		}
-		p.suspects[k] = suspectUpdate{suspect: s, heard: now}
+		p.crashRecords[k] = crashRecordUpdate{record: s, receivedAt: now}
 		fresh = append(fresh, s)
 	}
-	maps.DeleteFunc(p.suspects, func(k suspectKey, _ suspectUpdate) bool { return !seen[k] })
+	maps.DeleteFunc(p.crashRecords, func(k crashRecordKey, _ crashRecordUpdate) bool { return !seen[k] })
 	if len(fresh) > 0 {
-		p.changed(true)
+		p.noteUpdate(true)
 	}
 	return fresh
 }
 
-// TakeCrashRecords returns what peers said of crashing requests since the last
-// call, for the guard.
+// TakeCrashRecords returns the crash records received from peers since the last call, for the
+// guard.
 func (p *Plane) TakeCrashRecords() []quarantine.CrashRecord {
-	in := p.incoming
-	p.incoming = nil
-	return in
+	received := p.receivedCrashRecords
+	p.receivedCrashRecords = nil
+	return received
 }
 
-func (p *Plane) suspectUpdates(now time.Time) []*innerpb.Suspect {
+// crashRecordUpdates returns the crash records for the next message.
+func (p *Plane) crashRecordUpdates(now time.Time) []*innerpb.Suspect {
 	var out []*innerpb.Suspect
-	for _, n := range p.suspects {
-		if now.Sub(n.heard) < repeatFor && len(out) < maxUpdates {
-			out = append(out, inner.SuspectMessage(now, n.suspect))
+	for _, n := range p.crashRecords {
+		if now.Sub(n.receivedAt) < updateTTL && len(out) < maxUpdates {
+			out = append(out, inner.SuspectMessage(now, n.record))
 		}
 	}
 	return out
@@ -186,40 +193,40 @@
 
 // ServicePeers returns the other guards of this node's service in its zone.
 func (p *Plane) ServicePeers() []Peer {
-	if p.me == nil {
+	if p.ownMember == nil {
 		return nil
 	}
 	var out []Peer
 	for _, m := range p.Known() {
-		if m.Service == p.me.Service && m.Region == p.region && m.Zone == p.zone && m.Node != p.self.Node {
+		if m.Service == p.ownMember.Service && m.Region == p.region && m.Zone == p.zone && m.Node != p.self.Node {
 			out = append(out, Peer{ID: m.Identity, Addr: m.InnerAddr})
 		}
 	}
 	return out
 }
 
-// Known returns the members by the log and those that it does not name yet:
-// peers that said so themselves, and this node from its announcement on. Calls
-// are routed to them, so operators are shown them too.
+// Known returns the members in the log and those that are not in it yet: peers that have
+// announced themselves, and this node once it has. Calls are routed to all of them, so they are
+// also shown to operators.
 func (p *Plane) Known() []membership.Member {
 	var out []membership.Member
 	for _, m := range p.Members().Members() {
-		if s, ok := p.soft[m.Node]; !ok || s.member.Incarnation <= m.Incarnation {
+		if s, ok := p.softMembers[m.Node]; !ok || s.member.Incarnation <= m.Incarnation {
 			out = append(out, m)
 		}
 	}
-	for _, node := range slices.Sorted(maps.Keys(p.soft)) {
-		out = append(out, p.soft[node].member)
+	for _, node := range slices.Sorted(maps.Keys(p.softMembers)) {
+		out = append(out, p.softMembers[node].member)
 	}
-	if p.me != nil && !p.draining && !p.Members().Live(p.self) && !p.Members().Gone(p.self) {
+	if p.ownMember != nil && !p.draining && !p.Members().Live(p.self) && !p.Members().Gone(p.self) {
 		out = slices.DeleteFunc(out, func(m membership.Member) bool { return m.Node == p.self.Node })
-		out = append(out, *p.me)
+		out = append(out, *p.ownMember)
 	}
 	return out
 }
 
-// Endpoints returns what calls can be routed to: neither the dead nor, but as
-// draining ones, those that are leaving.
+// Endpoints returns the endpoints of the known members that serve a service. Dead members are
+// left out; those that have announced a drain are marked as draining.
 func (p *Plane) Endpoints() []routing.Endpoint {
 	var out []routing.Endpoint
 	for _, m := range p.Known() {
@@ -234,8 +241,8 @@
 	return out
 }
 
-// Live returns the members that are neither dead nor leaving, in order. Other
-// zones' members are live as long as the log says so.
+// Live returns the known members that are neither dead nor draining, in order of identity.
+// Members of other zones are live as long as the log lists them.
 func (p *Plane) Live() []membership.Identity {
 	var out []membership.Identity
 	for _, m := range p.Known() {
