--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -2,42 +2,43 @@
 
 import "time"
 
-// firstFill is the share of its depth with which the bucket of a fresh process begins. A
-// full one would let a workspace exceed its quota when all nodes start again at once; an
-// empty one would refuse it though it asked for nothing before.
-const firstFill = 0.35
+// initialFillShare is the share of its depth with which a new process fills a bucket. With full
+// buckets a workspace could exceed its quota when all nodes restart at once; with empty buckets a
+// workspace that sent nothing before the restart would be refused.
+const initialFillShare = 0.35
 
 // bucket is a token bucket. The zero value holds no part of a quota.
 type bucket struct {
 	part
-	tokens float64
-	at     time.Time
-	begun  bool
+	tokens      float64
+	updatedAt   time.Time
+	initialized bool
 }
 
-// set changes the part that the bucket is filled with.
-func (b *bucket) set(now time.Time, p part) {
-	b.fill(now)
+// setPart changes the rate and depth of the bucket, and fills it initially.
+func (b *bucket) setPart(now time.Time, p part) {
+	b.refill(now)
 	b.part = p
-	if !b.begun && p.rate > 0 {
-		b.begun = true
-		b.tokens = max(1, firstFill*p.depth)
+	if !b.initialized && p.rate > 0 {
+		b.initialized = true
+		b.tokens = max(1, initialFillShare*p.depth)
 	}
 	b.tokens = min(b.tokens, p.depth)
 }
 
-func (b *bucket) fill(now time.Time) {
-	if passed := now.Sub(b.at).Seconds(); passed > 0 && !b.at.IsZero() {
-		b.tokens = min(b.depth, b.tokens+passed*b.rate)
+// refill adds the tokens for the time since the last update, up to the depth.
+func (b *bucket) refill(now time.Time) {
+	if elapsed := now.Sub(b.updatedAt).Seconds(); elapsed > 0 && !b.updatedAt.IsZero() {
+		b.tokens = min(b.depth, b.tokens+elapsed*b.rate)
 	}
-	if now.After(b.at) {
-		b.at = now
+	if now.After(b.updatedAt) {
+		b.updatedAt = now
 	}
 }
 
-// take spends a token if there is one.
+// take spends a token and reports whether there was one.
 func (b *bucket) take(now time.Time) bool {
-	b.fill(now)
+	b.refill(now)
 	if b.rate == 0 || b.tokens < 1 {
 		return false
 	}
@@ -45,20 +46,21 @@
 	return true
 }
 
-// put gives a token back.
-func (b *bucket) put(now time.Time) {
-	b.fill(now)
+// refund adds a token that a request has not used, up to the depth.
+func (b *bucket) refund(now time.Time) {
+	b.refill(now)
 	b.tokens = min(b.depth, b.tokens+1)
 }
 
-// next returns how long it takes to the next whole token.
-func (b *bucket) next(now time.Time) time.Duration {
-	b.fill(now)
+// untilNextToken returns the time until the bucket has a whole token.
+func (b *bucket) untilNextToken(now time.Time) time.Duration {
+	b.refill(now)
 	if b.rate == 0 {
-		return notHeld
+		return noPartRetryAfter
 	}
 	return time.Duration(max(0, 1-b.tokens) / b.rate * float64(time.Second))
 }
 
-// notHeld is for how long a node is not asked that holds no part, as it sees it.
-const notHeld = time.Second
+// noPartRetryAfter is the delay reported to a node that requests a token from a node which, by its
+// own list of nodes, holds no part of the quota.
+const noPartRetryAfter = time.Second
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -8,51 +8,53 @@
 )
 
 const (
-	// nearAsks and farAsks are how many holders of the own zone and of each other zone may
-	// be asked for one request, maxAsks how many in all.
-	nearAsks, farAsks, maxAsks = 2, 1, 4
-	// minExhausted and maxExhausted bound how long a workspace is refused without asking
-	// again after all that were asked had no token: twice as long each time, as a flood
-	// that lasts finds no tokens anywhere.
-	minExhausted, maxExhausted = 100 * time.Millisecond, 800 * time.Millisecond
-	// silentFor is how long a node is not asked that gave no answer.
-	silentFor = 2 * time.Second
-	// minReturn and maxReturn bound when a refused caller may come back.
-	minReturn, maxReturn = 50 * time.Millisecond, time.Second
+	// maxOwnZoneCandidates and maxOtherZoneCandidates bound the holders of the own zone and of
+	// each other zone that are asked for a token of one request; maxCandidates bounds their sum.
+	maxOwnZoneCandidates, maxOtherZoneCandidates, maxCandidates = 2, 1, 4
+	// minBackoff and maxBackoff bound the time for which requests of a workspace are refused
+	// without asking holders, after no holder had a token. The time doubles on each repetition,
+	// since during a lasting flood no holder has tokens.
+	minBackoff, maxBackoff = 100 * time.Millisecond, 800 * time.Millisecond
+	// unresponsiveFor is the time for which no token is requested from a node that did not
+	// respond.
+	unresponsiveFor = 2 * time.Second
+	// minRetryAfter and maxRetryAfter bound the delay after which a refused caller may retry.
+	minRetryAfter, maxRetryAfter = 50 * time.Millisecond, time.Second
 )
 
-// Ledger is what one node knows of all quotas. Safe for concurrent use: limits and ring
-// are read without a lock, each workspace has a lock of its own.
+// Ledger is the state of all quotas on one node. It is safe for concurrent use: the limits and
+// the ring are read without a lock, and each workspace has its own lock.
 type Ledger struct {
 	node, zone string
 	ring       atomic.Pointer[Ring]
 	accounts   atomic.Pointer[map[string]*account]
 
 	mu sync.Mutex
-	// silent are nodes that gave no answer, and until when they are not asked.
-	silent map[string]time.Time
+	// unresponsiveUntil has the nodes that did not respond, each with the time until which no
+	// token is requested from it.
+	unresponsiveUntil map[string]time.Time
 }
 
-// NewLedger makes the ledger of a node. Until it knows a ring, no quota has holders.
+// NewLedger returns the ledger of a node. Until SetRing is called, no quota has holders.
 func NewLedger(node, zone string) *Ledger {
-	l := &Ledger{node: node, zone: zone, silent: make(map[string]time.Time)}
+	l := &Ledger{node: node, zone: zone, unresponsiveUntil: make(map[string]time.Time)}
 	l.ring.Store(NewRing(nil))
 	l.accounts.Store(&map[string]*account{})
 	return l
 }
 
-// SetRing puts the nodes in force that hold quotas from now on.
+// SetRing sets the nodes among which quotas are divided.
 func (l *Ledger) SetRing(r *Ring) { l.ring.Store(r) }
 
-// SetLimits puts quotas in force, by workspace. Buckets go on as they are. One caller at a
-// time.
+// SetLimits replaces all quotas; limits maps a workspace to its quota. Workspaces that stay keep
+// their buckets. It must not be called concurrently with itself.
 func (l *Ledger) SetLimits(now time.Time, limits map[string]Limit, t Tolerance) {
 	old := *l.accounts.Load()
 	next := make(map[string]*account, len(limits))
 	for name, limit := range limits {
 		a := old[name]
 		if a == nil {
-			a = &account{empty: make(map[string]time.Time)}
+			a = &account{emptyUntil: make(map[string]time.Time)}
 		}
 		a.setLimit(now, limit, t)
 		next[name] = a
@@ -60,19 +62,21 @@
 	l.accounts.Store(&next)
 }
 
-// Decision is what becomes of a request.
+// Decision is the result of Take for one request.
 type Decision struct {
-	// Granted says that the request has its token.
+	// Granted is true if the request has its token.
 	Granted bool
-	// Ask are holders to be asked for a token, in this order.
+	// Ask has the holders to request a token from, in this order.
 	Ask []Node
-	// Unknown says that nobody can be asked since holders gave no answer lately.
+	// Unknown is true if there is no holder to ask because holders are unresponsive: whether the
+	// quota has tokens left is not known.
 	Unknown bool
 }
 
-// Take spends a token of a workspace's quota here, or says whom to ask; with nobody to
-// ask the request is to be refused. u is a random number in [0, 1). A workspace without a
-// quota has no bound.
+// Take spends a token of a workspace's quota on this node, or returns the holders to request one
+// from. A request that is not granted and has no holders to ask is to be refused. u is a random
+// number in [0, 1). skip reports nodes that must not be asked. A workspace without a quota is not
+// limited.
 func (l *Ledger) Take(now time.Time, workspace string, u float64, skip func(node string) bool) Decision {
 	a := (*l.accounts.Load())[workspace]
 	if a == nil {
@@ -85,19 +89,19 @@
 		a.spent++
 		return Decision{Granted: true}
 	}
-	if now.Before(a.exhausted) {
+	if now.Before(a.exhaustedUntil) {
 		return Decision{}
 	}
-	ask, unreached := l.askLocked(now, a, u, skip)
-	return Decision{Ask: ask, Unknown: len(ask) == 0 && unreached}
+	candidates, unresponsive := l.candidatesLocked(now, a, u, skip)
+	return Decision{Ask: candidates, Unknown: len(candidates) == 0 && unresponsive}
 }
 
-// Grant spends a token here for a request of another node. With none left, next is how
-// long it takes to the next one.
+// Grant spends a token of this node for a request of another node. If there is none, next is the
+// time until the next token.
 func (l *Ledger) Grant(now time.Time, workspace string) (granted bool, next time.Duration) {
 	a := (*l.accounts.Load())[workspace]
 	if a == nil {
-		return false, notHeld
+		return false, noPartRetryAfter
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,60 +109,60 @@
 	if a.bucket.take(now) {
 		return true, 0
 	}
-	return false, a.bucket.next(now)
+	return false, a.bucket.untilNextToken(now)
 }
 
-// Granted notes that another node granted a token.
+// Granted records that another node granted a token to a request of this node.
 func (l *Ledger) Granted(workspace string) {
-	l.with(workspace, func(a *account) {
+	l.withAccount(workspace, func(a *account) {
 		a.spent++
 		a.backoff = 0
 	})
 }
 
-// Return gives the token of a request back that has not run.
+// Return refunds the token of a request that did not run.
 func (l *Ledger) Return(now time.Time, workspace string) {
-	l.with(workspace, func(a *account) {
+	l.withAccount(workspace, func(a *account) {
 		a.spent--
-		a.bucket.put(now)
+		a.bucket.refund(now)
 	})
 }
 
-// Empty notes that a holder has no token for some time.
+// Empty records that a holder has no token until next has passed.
 func (l *Ledger) Empty(now time.Time, workspace, node string, next time.Duration) {
-	l.with(workspace, func(a *account) {
-		maps.DeleteFunc(a.empty, func(_ string, until time.Time) bool { return !now.Before(until) })
-		a.empty[node] = now.Add(next)
+	l.withAccount(workspace, func(a *account) {
+		maps.DeleteFunc(a.emptyUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
+		a.emptyUntil[node] = now.Add(next)
 	})
 }
 
-// MarkUnresponsive notes that a node gave no answer.
+// MarkUnresponsive records that a node did not respond to a token request.
 func (l *Ledger) MarkUnresponsive(now time.Time, node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.silent, func(_ string, until time.Time) bool { return !now.Before(until) })
-	l.silent[node] = now.Add(silentFor)
+	maps.DeleteFunc(l.unresponsiveUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
+	l.unresponsiveUntil[node] = now.Add(unresponsiveFor)
 }
 
-// Refuse notes that a request found no token, and returns when its caller may come back:
-// this node's callers in turn, as fast as their part of the quota comes. u is a random
-// number in [0, 1).
+// Refuse records that a request found no token, and returns the delay after which its caller may
+// retry. The delays of successive callers follow each other at the rate of an equal part of the
+// quota for each node. u is a random number in [0, 1).
 func (l *Ledger) Refuse(now time.Time, workspace string, u float64) time.Duration {
-	pause := maxReturn
-	l.with(workspace, func(a *account) {
+	retryAfter := maxRetryAfter
+	l.withAccount(workspace, func(a *account) {
 		a.refused++
-		if !now.Before(a.exhausted) {
-			a.backoff = min(max(2*a.backoff, minExhausted), maxExhausted)
-			a.exhausted = now.Add(a.backoff)
+		if !now.Before(a.exhaustedUntil) {
+			a.backoff = min(max(2*a.backoff, minBackoff), maxBackoff)
+			a.exhaustedUntil = now.Add(a.backoff)
 		}
 		spacing := time.Duration(float64(l.ring.Load().nodes) / a.limit.Rate * float64(time.Second))
-		if a.returns.Before(now) {
-			a.returns = now
+		if a.lastRetryAt.Before(now) {
+			a.lastRetryAt = now
 		}
-		pause = a.returns.Sub(now) + time.Duration(u*float64(spacing))
-		a.returns = minTime(a.returns.Add(spacing), now.Add(maxReturn))
+		retryAfter = a.lastRetryAt.Sub(now) + time.Duration(u*float64(spacing))
+		a.lastRetryAt = minTime(a.lastRetryAt.Add(spacing), now.Add(maxRetryAfter))
 	})
-	return min(max(pause, minReturn), maxReturn)
+	return min(max(retryAfter, minRetryAfter), maxRetryAfter)
 }
 
 func minTime(a, b time.Time) time.Time {
@@ -168,7 +172,8 @@
 	return b
 }
 
-func (l *Ledger) with(workspace string, f func(*account)) {
+// withAccount calls f with the locked account of a workspace that has a quota.
+func (l *Ledger) withAccount(workspace string, f func(*account)) {
 	a := (*l.accounts.Load())[workspace]
 	if a == nil {
 		return
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -9,7 +9,7 @@
 	"github.com/galenagrade/galenagrade/internal/testclock"
 )
 
-// model is a deployment in virtual time whose callers ask for one workspace.
+// model simulates, in virtual time, the nodes of a deployment and the callers of one workspace.
 type model struct {
 	*testclock.Clock
 	rng       *rand.Rand
@@ -17,10 +17,10 @@
 	tolerance Tolerance
 	ring      *Ring
 	nodes     []*modelNode
-	// cutZone is cut off from the others; empty: none.
-	cutZone string
-	// asks is whether nodes ask each other.
-	asks bool
+	// partitionedZone is partitioned from the other zones; empty for none.
+	partitionedZone string
+	// requestsTokens enables token requests between nodes.
+	requestsTokens bool
 
 	granted          []time.Time
 	offered, refused int
@@ -30,10 +30,10 @@
 type modelNode struct {
 	Node
 	ledger *Ledger
-	// down and cut say that the node is not there, and that nobody reaches it.
-	down, cut bool
-	// left says that it is gone for good.
-	left bool
+	// down nodes have no running process; unreachable nodes are isolated from all other nodes.
+	down, unreachable bool
+	// removed nodes do not restart.
+	removed bool
 }
 
 const workspaceName = "north"
@@ -41,7 +41,7 @@
 func newModel(seed uint64, zones, perZone int, limit Limit) *model {
 	m := &model{
 		Clock: testclock.New(time.Unix(1_000_000, 0)), rng: rand.New(rand.NewPCG(seed, 1)),
-		limit: limit, tolerance: Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}, asks: true,
+		limit: limit, tolerance: Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}, requestsTokens: true,
 	}
 	var all []Node
 	for z := range zones {
@@ -54,38 +54,38 @@
 		m.nodes = append(m.nodes, &modelNode{Node: n})
 	}
 	for _, n := range m.nodes {
-		m.begin(n)
+		m.startProcess(n)
 	}
 	return m
 }
 
-// begin starts a process of the node.
-func (m *model) begin(n *modelNode) {
-	n.down = n.left
+// startProcess starts a process on the node.
+func (m *model) startProcess(n *modelNode) {
+	n.down = n.removed
 	n.ledger = NewLedger(n.Name, n.Zone)
 	n.ledger.SetLimits(m.Now(), map[string]Limit{workspaceName: m.limit}, m.tolerance)
 	n.ledger.SetRing(m.ring)
 }
 
-// restart ends the process of a node and starts another one.
+// restart stops the process of a node and starts another one after a delay.
 func (m *model) restart(n *modelNode, after time.Duration) {
 	n.down = true
-	m.After(after, func() { m.begin(n) })
+	m.After(after, func() { m.startProcess(n) })
 }
 
 func (m *model) reaches(a, b *modelNode) bool {
-	parted := a.Zone != b.Zone && (a.Zone == m.cutZone || b.Zone == m.cutZone)
-	return !parted && !a.cut && !b.cut && !b.down
+	partitioned := a.Zone != b.Zone && (a.Zone == m.partitionedZone || b.Zone == m.partitionedZone)
+	return !partitioned && !a.unreachable && !b.unreachable && !b.down
 }
 
-// request is one of a caller at a node.
+// request simulates a request of a caller at a node.
 func (m *model) request(n *modelNode) {
 	if n.down {
 		return
 	}
 	m.offered++
-	got := n.ledger.Take(m.Now(), workspaceName, m.rng.Float64(), func(string) bool { return false })
-	if got.Granted || m.asks && m.ask(n, got.Ask) {
+	decision := n.ledger.Take(m.Now(), workspaceName, m.rng.Float64(), func(string) bool { return false })
+	if decision.Granted || m.requestsTokens && m.requestToken(n, decision.Ask) {
 		m.granted = append(m.granted, m.Now())
 		return
 	}
@@ -93,7 +93,8 @@
 	n.ledger.Refuse(m.Now(), workspaceName, m.rng.Float64())
 }
 
-func (m *model) ask(n *modelNode, holders []Node) bool {
+// requestToken requests a token from the holders in turn.
+func (m *model) requestToken(n *modelNode, holders []Node) bool {
 	for _, h := range holders {
 		m.messages++
 		i := slices.IndexFunc(m.nodes, func(o *modelNode) bool { return o.Name == h.Name })
@@ -111,18 +112,18 @@
 	return false
 }
 
-// load lets callers ask at a rate, at any node that at chooses.
-func (m *model) load(rate float64, at func() *modelNode) {
+// load sends requests at a rate, each to a node that pickNode returns.
+func (m *model) load(rate float64, pickNode func() *modelNode) {
 	m.After(time.Duration(m.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		m.request(at())
-		m.load(rate, at)
+		m.request(pickNode())
+		m.load(rate, pickNode)
 	})
 }
 
-func (m *model) anywhere() *modelNode { return m.nodes[m.rng.IntN(len(m.nodes))] }
+func (m *model) randomNode() *modelNode { return m.nodes[m.rng.IntN(len(m.nodes))] }
 
-// most returns the most requests granted in any window.
-func (m *model) most() int {
+// maxInWindow returns the greatest number of requests granted in any window.
+func (m *model) maxInWindow() int {
 	most, from := 0, 0
 	for to := range m.granted {
 		for m.granted[to].Sub(m.granted[from]) >= m.tolerance.Window {
--- a/internal/quota/ring.go
+++ b/internal/quota/ring.go
@@ -8,17 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is one that may hold parts of quotas.
+// Node is a node that may hold parts of quotas.
 type Node struct {
 	Name string
-	// Zone is its availability zone, unique over all regions.
+	// Zone is the node's availability zone; the name is unique over all regions.
 	Zone string
-	// Address is where other nodes ask it, IP:port.
+	// Address receives the token requests of other nodes, IP:port.
 	Address string
 }
 
-// Ring is which nodes there are. Of all nodes that know the same others, each finds the
-// same holders. It is immutable.
+// Ring has the nodes of all zones, ordered by hash. Rings of the same nodes give the same holders
+// on every node. It is immutable.
 type Ring struct {
 	zones []ringZone
 	nodes int
@@ -31,7 +31,7 @@
 	hashes []uint64
 }
 
-// NewRing makes a ring of nodes with different names.
+// NewRing returns a ring of nodes, which must have different names.
 func NewRing(nodes []Node) *Ring {
 	byZone := make(map[string]*ringZone)
 	for _, n := range nodes {
@@ -56,6 +56,7 @@
 	return r
 }
 
+// hash returns a hash of strings, with a separator after each.
 func hash(parts ...string) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -66,43 +67,46 @@
 	return h.Sum64()
 }
 
-// part is what one holder of a quota fills its bucket with.
+// part is the rate and the depth of one holder's bucket.
 type part struct {
 	rate, depth float64
 }
 
-// zoneParts are the holders of a zone: so many from first on, in the ring's order.
-type zoneParts struct {
+// zoneHolders has the holders of a quota in one zone: count nodes in the order of the ring,
+// starting at index first. Each holder has the part perHolder.
+type zoneHolders struct {
 	zone         *ringZone
 	first, count int
-	each         part
+	perHolder    part
 }
 
-// leastDepth is the least that a bucket holds where a quota allows, in tokens: a quota that
-// lies in many small buckets is refused to whoever meets the empty ones.
-const leastDepth = 6
+// minDepth is the depth of a bucket in tokens below which a quota is not divided further, where
+// the quota allows. A quota divided into many small buckets refuses the requests that arrive at
+// empty buckets while others have tokens.
+const minDepth = 6
 
-// split divides a quota among the zones by their nodes, and in a zone among as many
-// holders as get a useful bucket each.
-func (r *Ring) split(workspace string, l Limit, t Tolerance) []zoneParts {
+// split divides a quota among the zones in proportion to their nodes. In each zone it uses as
+// many holders as get a bucket of at least minDepth.
+func (r *Ring) split(workspace string, l Limit, t Tolerance) []zoneHolders {
 	depth := l.depth(t)
 	zones, total := r.holdingZones(workspace, depth)
-	parts := make([]zoneParts, 0, len(zones))
+	holders := make([]zoneHolders, 0, len(zones))
 	for _, z := range zones {
 		share := float64(len(z.nodes)) / float64(total)
-		count := min(max(int(share*depth/leastDepth), 1), len(z.nodes))
+		count := min(max(int(share*depth/minDepth), 1), len(z.nodes))
 		h := hash(workspace, z.name)
 		first := sort.Search(len(z.hashes), func(i int) bool { return z.hashes[i] >= h }) % len(z.nodes)
-		parts = append(parts, zoneParts{
+		holders = append(holders, zoneHolders{
 			zone: z, first: first, count: count,
-			each: part{rate: l.Rate * share / float64(count), depth: share * depth / float64(count)},
+			perHolder: part{rate: l.Rate * share / float64(count), depth: share * depth / float64(count)},
 		})
 	}
-	return parts
+	return holders
 }
 
-// holdingZones returns the zones that hold parts of a quota, and how many nodes they have.
-// A zone whose part would be less than one token holds none.
+// holdingZones returns the zones that hold parts of a quota, and the sum of their nodes. A zone
+// whose part would be less than 1 token holds none. If that holds for every zone, the hash of the
+// workspace selects one.
 func (r *Ring) holdingZones(workspace string, depth float64) (zones []*ringZone, nodes int) {
 	for i := range r.zones {
 		z := &r.zones[i]
@@ -119,25 +123,25 @@
 }
 
 // holds reports whether the node is one of the zone's holders.
-func (p *zoneParts) holds(node string) bool {
+func (p *zoneHolders) holds(node string) bool {
 	for i := range p.count {
-		if p.at(i).Name == node {
+		if p.holder(i).Name == node {
 			return true
 		}
 	}
 	return false
 }
 
-// at returns the zone's holder i, counted from any.
-func (p *zoneParts) at(i int) Node {
+// holder returns holder i of the zone, modulo their number.
+func (p *zoneHolders) holder(i int) Node {
 	return p.zone.nodes[(p.first+i%p.count)%len(p.zone.nodes)]
 }
 
-// choose returns up to so many holders that may be asked, from an offset on.
-func (p *zoneParts) choose(offset, most int, may func(Node) bool) []Node {
+// choose returns up to limit eligible holders, starting at offset.
+func (p *zoneHolders) choose(offset, limit int, eligible func(Node) bool) []Node {
 	var out []Node
-	for i := 0; i < p.count && len(out) < most; i++ {
-		if n := p.at(offset + i); may(n) {
+	for i := 0; i < p.count && len(out) < limit; i++ {
+		if n := p.holder(offset + i); eligible(n) {
 			out = append(out, n)
 		}
 	}
