--- a/internal/routes/config.go
+++ b/internal/routes/config.go
@@ -1,7 +1,7 @@
-// Package routes decides which service a request goes to. Operators publish one
-// validated configuration of hosts, path prefixes and services; a Table made
-// from it finds the route of a request, and a Splitter holds the weights of a
-// route with several services. The package is pure: no I/O, no clock.
+// Package routes maps requests to services. Operators publish one validated configuration of
+// hosts, path prefixes, services and workspaces. A Table made from it finds the route of a
+// request and the workspace of an API key; a Splitter distributes the requests of a route among
+// several services by weight. The package is pure: no I/O, no clock.
 package routes
 
 import (
@@ -16,62 +16,62 @@
 
 // Config is one published configuration. It is immutable once validated.
 type Config struct {
-	// Version grows with every publication, not by one.
+	// Version grows with every publication, but not in steps of 1.
 	Version  int64
 	Services []Service
 	Limits   Limits
 	Routes   []Route
-	// Workspaces are those whose callers are known by their API keys. With none,
-	// nobody needs a key.
+	// Workspaces are the workspaces whose callers authenticate with API keys. If there are none,
+	// no caller needs a key.
 	Workspaces []Workspace
 }
 
-// Service is a service that routes may name.
+// Service is a service that routes can refer to by name.
 type Service struct {
 	Name string
-	// HealthPath is where its upstreams answer whether they take work; empty where
-	// that is not known.
+	// HealthPath is the URL path on which its upstreams report whether they accept work; empty if
+	// it is not known.
 	HealthPath string
 }
 
-// Limits bound what a caller may send. 0 leaves the node's own bound.
+// Limits bound the requests of callers. 0 selects the limit in the node's own settings.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout bounds the time in which a header must arrive.
+	// HeaderTimeout is the time in which the header of a request must arrive.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a caller's connection may stay unused.
+	// IdleTimeout is the time after which an unused connection of a caller is closed.
 	IdleTimeout time.Duration
 }
 
-// Route sends the requests of a host and path prefix to a service, or to
-// several by weight.
+// Route sends the requests for a host and path prefix to a service, or to several services by
+// weight.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Targets has one entry for a plain route; weights are relative.
+	// Targets has 1 entry for a route to one service. Weights are relative to their sum.
 	Targets []WeightedService
-	// Timeout bounds a request from its arrival to its answer.
+	// Timeout bounds the time from the arrival of a request to its response.
 	Timeout time.Duration
-	// Objective is the latency within which an answer has its full use.
+	// Objective is the latency up to which a response has its full value to the caller.
 	Objective time.Duration
-	// MaxAttempts is how many upstreams one request may be sent to.
+	// MaxAttempts is the number of upstreams that one request may be sent to.
 	MaxAttempts int
 	Level       callctx.Level
-	// Idempotent says that running a request twice does no harm.
+	// Idempotent is true if a request may run twice without harm.
 	Idempotent bool
-	// Public says that callers need no API key.
+	// Public is true if callers need no API key.
 	Public bool
 }
 
-// WeightedService is one part of a route.
+// WeightedService is one target of a route: a service and its weight.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// FieldError names the field of a configuration that is out of bounds.
+// FieldError describes a field of a configuration that is out of bounds.
 type FieldError struct {
 	Field string
 	Value any
@@ -85,14 +85,14 @@
 
 // Bounds of a configuration.
 const (
-	// MaxRoutes bounds the routes of a configuration: the planned 1,700 services
-	// with a few routes each.
+	// MaxRoutes bounds the routes of a configuration: the planned 1,700 services with a few
+	// routes each.
 	MaxRoutes = 16384
-	// MaxTargets bounds the parts of one route.
+	// MaxTargets bounds the targets of one route.
 	MaxTargets = 64
-	// MaxAttempts bounds the upstreams that one request may be sent to.
+	// MaxAttempts bounds Route.MaxAttempts.
 	MaxAttempts = 16
-	// MaxTimeout bounds a route's timeout.
+	// MaxTimeout bounds Route.Timeout.
 	MaxTimeout = 10 * time.Minute
 )
 
@@ -135,7 +135,7 @@
 		return &FieldError{r.field("host"), `""`, "given"}
 	}
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		return &FieldError{r.field("prefix"), r.Prefix, "begun and ended with '/'"}
+		return &FieldError{r.field("prefix"), r.Prefix, "a path that starts and ends with '/'"}
 	}
 	if r.Timeout <= 0 || r.Timeout > MaxTimeout {
 		return &FieldError{r.field("timeout"), r.Timeout, "above 0s and at most 10m"}
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// HealthPath returns where upstreams of a service answer whether they take work;
-// empty when that is not known.
+// HealthPath returns the URL path on which upstreams of a service report whether they accept
+// work; empty if it is not known.
 func (c *Config) HealthPath(service string) string {
 	for _, s := range c.Services {
 		if s.Name == service {
@@ -177,7 +177,7 @@
 	return ""
 }
 
-// Sorted returns the routes by host and prefix.
+// Sorted returns the routes ordered by host and prefix.
 func (c *Config) Sorted() []Route {
 	out := slices.Clone(c.Routes)
 	slices.SortFunc(out, func(a, b Route) int {
--- a/internal/routes/diff.go
+++ b/internal/routes/diff.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// Difference is one field of a route, or a whole route, that two configurations
-// don't share.
+// Difference is a field that differs between two configurations, or a route or workspace that
+// only one of them has.
 type Difference struct {
-	// Route is the host and path prefix.
+	// Route is the host and path prefix of a route, "limits", or "workspace" and its name.
 	Route string `json:"route"`
-	// Field is empty where only one of them has the route.
+	// Field is empty if only one configuration has the object.
 	Field string `json:"field,omitempty"`
 	Old   string `json:"old"`
 	New   string `json:"new"`
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%s:%d", w.Service, w.Weight)
 }
 
-// To returns where a route leads, as text.
+// To returns the targets of the route as text.
 func (r *Route) To() string {
 	names := make([]string, len(r.Targets))
 	for i, t := range r.Targets {
@@ -35,18 +35,18 @@
 	return strings.Join(names, " ")
 }
 
-// Diff returns what differs between two configurations: limits, then routes in
-// the order of host and prefix, then workspaces by name.
+// Diff returns the differences between two configurations: limits first, then routes ordered by
+// host and prefix, then workspaces by name.
 func Diff(before, after *Config) []Difference {
-	out := fieldsOf("limits", limitFields(&before.Limits), limitFields(&after.Limits))
-	old, next := byPlace(before), byPlace(after)
-	for _, place := range keysOfBoth(old, next) {
-		out = append(out, diffRoute(place, old[place], next[place])...)
+	out := diffFields("limits", limitFields(&before.Limits), limitFields(&after.Limits))
+	old, next := byHostAndPrefix(before), byHostAndPrefix(after)
+	for _, name := range unionOfKeys(old, next) {
+		out = append(out, diffRoute(name, old[name], next[name])...)
 	}
 	return append(out, diffWorkspaces(before, after)...)
 }
 
-func keysOfBoth[V any](a, b map[string]V) []string {
+func unionOfKeys[V any](a, b map[string]V) []string {
 	all := maps.Clone(a)
 	maps.Copy(all, b)
 	return slices.Sorted(maps.Keys(all))
@@ -62,21 +62,21 @@
 	}
 	old, next := byName(before), byName(after)
 	var out []Difference
-	for _, name := range keysOfBoth(old, next) {
-		place := "workspace " + name
+	for _, name := range unionOfKeys(old, next) {
+		object := "workspace " + name
 		switch a, b := old[name], next[name]; {
 		case a == nil:
-			out = append(out, Difference{Route: place, New: "there"})
+			out = append(out, Difference{Route: object, New: "there"})
 		case b == nil:
-			out = append(out, Difference{Route: place, Old: "there"})
+			out = append(out, Difference{Route: object, Old: "there"})
 		default:
-			out = append(out, fieldsOf(place, workspaceFields(a), workspaceFields(b))...)
+			out = append(out, diffFields(object, workspaceFields(a), workspaceFields(b))...)
 		}
 	}
 	return out
 }
 
-// workspaceFields name keys by their fingerprints.
+// workspaceFields returns the fields of a workspace as text. Keys appear as fingerprints.
 func workspaceFields(w *Workspace) []field {
 	level := "of its routes"
 	if w.Level != nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-func byPlace(c *Config) map[string]*Route {
+func byHostAndPrefix(c *Config) map[string]*Route {
 	m := make(map[string]*Route, len(c.Routes))
 	for i := range c.Routes {
 		r := &c.Routes[i]
@@ -99,14 +99,14 @@
 	return m
 }
 
-func diffRoute(place string, before, after *Route) []Difference {
+func diffRoute(name string, before, after *Route) []Difference {
 	switch {
 	case before == nil:
-		return []Difference{{Route: place, New: after.To()}}
+		return []Difference{{Route: name, New: after.To()}}
 	case after == nil:
-		return []Difference{{Route: place, Old: before.To()}}
+		return []Difference{{Route: name, Old: before.To()}}
 	}
-	return fieldsOf(place, routeFields(before), routeFields(after))
+	return diffFields(name, routeFields(before), routeFields(after))
 }
 
 type field struct{ name, value string }
@@ -133,11 +133,11 @@
 	}
 }
 
-func fieldsOf(place string, before, after []field) []Difference {
+func diffFields(object string, before, after []field) []Difference {
 	var out []Difference
 	for i, f := range before {
 		if f.value != after[i].value {
-			out = append(out, Difference{Route: place, Field: f.name, Old: f.value, New: after[i].value})
+			out = append(out, Difference{Route: object, Field: f.name, Old: f.value, New: after[i].value})
 		}
 	}
 	return out
--- a/internal/routes/diff_test.go
+++ b/internal/routes/diff_test.go
@@ -7,8 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// One route keeps its place and changes its target and timeout, one goes, one
-// comes, and a limit is tightened.
+// Guards against a difference that is missing, reported twice or out of order. One route keeps
+// its host and prefix and changes its target and timeout, one is removed, one is added, and a
+// limit is lowered.
 func TestDiffNamesWhatChanged(t *testing.T) {
 	route := func(prefix, service string, timeout time.Duration) Route {
 		return Route{Name: prefix, Host: "h", Prefix: prefix, Timeout: timeout, Targets: []WeightedService{{Service: service}}}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -22,6 +22,7 @@
 	return c
 }
 
+// Guards against a request that is sent to the service of a shorter prefix or of another host.
 func TestLongestPrefixWins(t *testing.T) {
 	c := config(1,
 		route("h", "/", WeightedService{"a", 1}),
@@ -37,10 +38,11 @@
 	must.Nil(t, table.Match("other", "/x/"))
 }
 
+// Guards against an invalid configuration that is accepted, or whose error names another field.
 func TestValidateNamesTheField(t *testing.T) {
 	good := func() *Config { return config(1, route("h", "/x/", WeightedService{"a", 1})) }
 	must.NoError(t, good().Validate())
-	for name, spoil := range map[string]func(*Config){
+	for name, invalidate := range map[string]func(*Config){
 		"version":      func(c *Config) { c.Version = 0 },
 		"prefix":       func(c *Config) { c.Routes[0].Prefix = "/x" },
 		"host":         func(c *Config) { c.Routes[0].Host = "" },
@@ -50,18 +52,18 @@
 		"weight":       func(c *Config) { c.Routes[0].Targets[0].Weight = -1 },
 	} {
 		c := good()
-		spoil(c)
+		invalidate(c)
 		var field *FieldError
 		must.True(t, errors.As(c.Validate(), &field), must.Sprint(name))
 		must.StrContains(t, field.Field, name)
 	}
-	twice := config(1, route("h", "/x/", WeightedService{"a", 1}), route("h", "/x/", WeightedService{"b", 1}))
-	must.ErrorContains(t, twice.Validate(), "once")
+	duplicate := config(1, route("h", "/x/", WeightedService{"a", 1}), route("h", "/x/", WeightedService{"b", 1}))
+	must.ErrorContains(t, duplicate.Validate(), "once")
 }
 
-// Operators publish while a route is split. The dealing must go on where it was:
-// begun anew with each publication it would give the first part too much.
-func TestPublicationKeepsTheSplit(t *testing.T) {
+// Guards against a splitter that starts again with each publication: it would send too many
+// requests to the first target.
+func TestPublicationKeepsSplitterState(t *testing.T) {
 	split := route("h", "/x/", WeightedService{"a", 1}, WeightedService{"b", 1})
 	table := NewTable(nil, config(1, split), 0)
 	var got []string
@@ -72,9 +74,9 @@
 	must.Eq(t, []string{"a", "b", "a", "b", "a", "b"}, got)
 }
 
-// Many nodes deal the requests of one route, each for itself. In every run of
-// requests at one node each part has its share to within one request.
-func TestSplitHoldsItsWeightsInEveryRun(t *testing.T) {
+// Guards against targets that get more or less than their share in some run of requests. Many
+// nodes distribute the requests of one route independently, so a deviation on each node adds up.
+func TestSplitterFollowsWeightsInEveryRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 2, 5).Draw(t, "weights")
 		total := 0
--- a/internal/routes/split.go
+++ b/internal/routes/split.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// Splitter deals requests to parts by weight. It is smooth weighted round
-// robin: in any run of requests each part has its share to within one request,
-// where a random choice would be off by a tenth in two hundred. Each node deals
-// for itself; since every one of them is within one request per part, so is
-// their sum, to one per node. Safe for concurrent use.
+// Splitter distributes requests among targets by smooth weighted round robin. In any run of
+// requests each target gets its share to within 1 request, where a random choice would be off by
+// a tenth in 200 requests. Each node distributes its own requests. The error of each node is at
+// most 1 request per target, so the error of the sum is at most 1 request per target and node. It
+// is safe for concurrent use.
 type Splitter struct {
 	mu      sync.Mutex
 	weights []int
@@ -14,24 +14,24 @@
 	total   int
 }
 
-// NewSplitter makes a splitter; the weights must not be negative, and one must
-// be above 0. seed rotates where it begins, so that nodes with few requests
-// don't all begin with the heaviest part.
+// NewSplitter returns a splitter. The weights must not be negative, and at least one must be
+// above 0. seed selects the position in the sequence at which the splitter starts, so that nodes
+// with few requests don't all start with the target of the greatest weight.
 func NewSplitter(weights []int, seed uint64) *Splitter {
 	s := &Splitter{weights: weights, credit: make([]int, len(weights))}
 	for _, w := range weights {
 		s.total += w
 	}
-	for range seed % uint64(max(1, min(s.total, maxRotation))) {
+	for range seed % uint64(max(1, min(s.total, maxInitialSteps))) {
 		s.Next()
 	}
 	return s
 }
 
-// maxRotation bounds the steps taken at the start: weights are mostly percent.
-const maxRotation = 128
+// maxInitialSteps bounds the steps that NewSplitter skips; weights are mostly percentages.
+const maxInitialSteps = 128
 
-// Next returns the index of the part that the next request goes to.
+// Next returns the index of the target of the next request.
 func (s *Splitter) Next() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -5,39 +5,40 @@
 	"strings"
 )
 
-// Table finds the route of a request. It is immutable.
+// Table finds the route of a request and the workspace of an API key. It is immutable, apart from
+// the state of its splitters.
 type Table struct {
 	config *Config
-	// hosts holds the routes of a host, the longest prefix first.
+	// hosts maps a host to its routes, the longest prefix first.
 	hosts map[string][]*Entry
-	// holders finds the workspace that holds a key.
-	holders map[Key]*Workspace
+	// workspacesByKey maps the digest of an API key to the workspace that holds it.
+	workspacesByKey map[Key]*Workspace
 }
 
-// Entry is a route with the state of its weights.
+// Entry is a route with its splitter, which is nil for a route with 1 target.
 type Entry struct {
 	Route
-	split *Splitter
+	splitter *Splitter
 }
 
-// Service returns the service of the next request on the route.
+// Service returns the service that the next request of the route is sent to.
 func (e *Entry) Service() string {
-	if e.split == nil {
+	if e.splitter == nil {
 		return e.Targets[0].Service
 	}
-	return e.Targets[e.split.Next()].Service
+	return e.Targets[e.splitter.Next()].Service
 }
 
-// NewTable makes the table of a validated configuration. The state of weights
-// that did not change is taken over from prev, which may be nil: a split that
-// began anew with each publication would favour its first part.
+// NewTable returns the table of a validated configuration. Routes whose targets are unchanged
+// keep the splitters of prev, which may be nil: a splitter that started again with each
+// publication would prefer the first target.
 func NewTable(prev *Table, c *Config, seed uint64) *Table {
-	t := &Table{config: c, hosts: make(map[string][]*Entry), holders: holdersOf(c)}
+	t := &Table{config: c, hosts: make(map[string][]*Entry), workspacesByKey: workspacesByKey(c)}
 	for i := range c.Routes {
 		r := c.Routes[i]
 		e := &Entry{Route: r}
 		if len(r.Targets) > 1 {
-			e.split = prev.splitter(&r, seed+uint64(i))
+			e.splitter = prev.splitter(&r, seed+uint64(i))
 		}
 		t.hosts[r.Host] = append(t.hosts[r.Host], e)
 	}
@@ -47,7 +48,7 @@
 	return t
 }
 
-func holdersOf(c *Config) map[Key]*Workspace {
+func workspacesByKey(c *Config) map[Key]*Workspace {
 	holders := make(map[Key]*Workspace, len(c.Workspaces))
 	for i := range c.Workspaces {
 		w := &c.Workspaces[i]
@@ -58,17 +59,18 @@
 	return holders
 }
 
-// NeedsKey reports whether callers of a route have to show an API key.
+// NeedsKey reports whether callers of a route must present an API key.
 func (t *Table) NeedsKey(e *Entry) bool { return len(t.config.Workspaces) > 0 && !e.Public }
 
-// Holder returns the workspace that holds an API key; nil when there is none.
-func (t *Table) Holder(apiKey string) *Workspace { return t.holders[KeyOf(apiKey)] }
+// Holder returns the workspace that holds an API key; nil if there is none.
+func (t *Table) Holder(apiKey string) *Workspace { return t.workspacesByKey[KeyOf(apiKey)] }
 
+// splitter returns the splitter of t for an unchanged route, or a new one. t may be nil.
 func (t *Table) splitter(r *Route, seed uint64) *Splitter {
 	if t != nil {
 		for _, e := range t.hosts[r.Host] {
-			if e.Prefix == r.Prefix && e.split != nil && slices.Equal(e.Targets, r.Targets) {
-				return e.split
+			if e.Prefix == r.Prefix && e.splitter != nil && slices.Equal(e.Targets, r.Targets) {
+				return e.splitter
 			}
 		}
 	}
@@ -79,7 +81,7 @@
 	return NewSplitter(weights, seed)
 }
 
-// Config returns what the table was made from.
+// Config returns the configuration that the table was made from. It must not be changed.
 func (t *Table) Config() *Config { return t.config }
 
 // Has reports whether there is a route for exactly this host and prefix.
@@ -87,13 +89,13 @@
 	return slices.ContainsFunc(t.hosts[host], func(e *Entry) bool { return e.Prefix == prefix })
 }
 
-// HasService reports whether the configuration names a service.
+// HasService reports whether the configuration has a service of this name.
 func (t *Table) HasService(name string) bool {
 	return slices.ContainsFunc(t.config.Services, func(s Service) bool { return s.Name == name })
 }
 
-// Match returns the route with the longest prefix of the path among those of
-// the host; nil when there is none. path has no query.
+// Match returns the route of the host with the longest prefix of path; nil if there is none. path
+// has no query.
 func (t *Table) Match(host, path string) *Entry {
 	for _, e := range t.hosts[hostName(host)] {
 		if strings.HasPrefix(path, e.Prefix) {
@@ -103,7 +105,8 @@
 	return nil
 }
 
-// hostName takes a port off, and folds the case: host names have none.
+// hostName removes the port and converts the name to lower case, since host names are
+// case-insensitive.
 func hostName(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon > strings.LastIndexByte(host, ']') {
 		host = host[:colon]
--- a/internal/routes/workspace.go
+++ b/internal/routes/workspace.go
@@ -8,17 +8,17 @@
 	"github.com/galenagrade/galenagrade/internal/callctx"
 )
 
-// Key is the digest of a workspace's API key. The API key itself is not kept: it
-// can't get into a log, a metric or an answer from here.
+// Key is the digest of a workspace's API key. The API key itself is not stored, so that it can't
+// appear in a log, a metric or a response.
 type Key [sha256.Size]byte
 
 // KeyOf returns the digest of an API key.
 func KeyOf(apiKey string) Key { return sha256.Sum256([]byte(apiKey)) }
 
-// fingerprintBytes of a digest tell keys apart in logs.
+// fingerprintBytes is the length of the prefix of a digest that identifies a key in logs.
 const fingerprintBytes = 4
 
-// String returns a fingerprint for logs and differences.
+// String returns a fingerprint of the key for logs and differences.
 func (k Key) String() string { return hex.EncodeToString(k[:fingerprintBytes]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -37,19 +37,19 @@
 	return nil
 }
 
-// noKey is the digest of an empty API key, which nobody may hold.
-var noKey = KeyOf("")
+// emptyKey is the digest of an empty API key, which no workspace may hold.
+var emptyKey = KeyOf("")
 
-// Workspace is an organisation whose callers prove who they are with API keys.
+// Workspace is an organisation whose callers authenticate with API keys.
 type Workspace struct {
 	Name string
 	Keys []Key
-	// Level is how important its requests are, whatever their routes say; nil leaves
-	// it to the routes.
+	// Level is the importance of its requests and overrides that of their routes; nil selects the
+	// level of the route.
 	Level *callctx.Level
-	// Rate is its quota over all nodes in requests a second; 0 is without bound.
+	// Rate is its quota over all nodes in requests a second; 0 means no limit.
 	Rate float64
-	// Burst is by how many requests it may exceed Rate at once.
+	// Burst is the number of requests by which Rate may be exceeded at once.
 	Burst float64
 }
 
@@ -82,8 +82,8 @@
 		}
 		names[w.Name] = true
 		for _, k := range w.Keys {
-			if holder, held := holders[k]; held {
-				return &FieldError{w.field("keys"), k, "held once, is one of " + holder}
+			if holder, taken := holders[k]; taken {
+				return &FieldError{w.field("keys"), k, "unique, is already a key of " + holder}
 			}
 			holders[k] = w.Name
 		}
@@ -105,7 +105,7 @@
 		return &FieldError{w.field("burst"), w.Burst, fmt.Sprintf("0 to %d requests", MaxRate)}
 	}
 	for _, k := range w.Keys {
-		if k == noKey {
+		if k == emptyKey {
 			return &FieldError{w.field("keys"), `""`, "not empty"}
 		}
 	}
--- a/internal/routes/workspace_test.go
+++ b/internal/routes/workspace_test.go
@@ -10,14 +10,16 @@
 	"github.com/shoenig/test/must"
 )
 
-func keyed(workspaces ...Workspace) *Config {
+func configWithWorkspaces(workspaces ...Workspace) *Config {
 	c := config(1, route("h", "/x/", WeightedService{"a", 1}))
 	c.Workspaces = workspaces
 	return c
 }
 
-func TestKeyFindsItsWorkspace(t *testing.T) {
-	c := keyed(Workspace{Name: "north", Keys: []Key{KeyOf("k1"), KeyOf("k2")}}, Workspace{Name: "south", Keys: []Key{KeyOf("k3")}})
+// Guards against an API key that is assigned to another workspace, or to one although it is
+// unknown.
+func TestHolderFindsWorkspaceByKey(t *testing.T) {
+	c := configWithWorkspaces(Workspace{Name: "north", Keys: []Key{KeyOf("k1"), KeyOf("k2")}}, Workspace{Name: "south", Keys: []Key{KeyOf("k3")}})
 	must.NoError(t, c.Validate())
 	table := NewTable(nil, c, 0)
 	must.EqOp(t, "north", table.Holder("k2").Name)
@@ -26,25 +28,27 @@
 	must.Nil(t, table.Holder(""))
 }
 
-// Guards against routes that need no key asking for one, and the reverse.
-func TestKeysAreNeededWhereWorkspacesAre(t *testing.T) {
-	c := keyed(Workspace{Name: "north"})
+// Guards against a required API key on a public route or without workspaces, and against a route
+// that requires none although it is not public.
+func TestKeyRequiredWhenWorkspacesConfigured(t *testing.T) {
+	c := configWithWorkspaces(Workspace{Name: "north"})
 	c.Routes = append(c.Routes, Route{Host: "h", Prefix: "/open/", Public: true})
 	table := NewTable(nil, c, 0)
 	must.True(t, table.NeedsKey(table.Match("h", "/x/")))
 	must.False(t, table.NeedsKey(table.Match("h", "/open/")))
-	open := NewTable(nil, keyed(), 0)
+	open := NewTable(nil, configWithWorkspaces(), 0)
 	must.False(t, open.NeedsKey(open.Match("h", "/x/")))
 }
 
+// Guards against an invalid workspace that is accepted, or whose error names another field.
 func TestWorkspaceErrorsNameTheField(t *testing.T) {
 	for field, c := range map[string]*Config{
-		"workspaces.name": keyed(Workspace{Name: "-"}),
-		"north: name":     keyed(Workspace{Name: "north"}, Workspace{Name: "north"}),
-		"south: keys":     keyed(Workspace{Name: "north", Keys: []Key{KeyOf("k")}}, Workspace{Name: "south", Keys: []Key{KeyOf("k")}}),
-		"north: keys":     keyed(Workspace{Name: "north", Keys: []Key{KeyOf("")}}),
-		"north: rate":     keyed(Workspace{Name: "north", Rate: math.NaN()}),
-		"north: burst":    keyed(Workspace{Name: "north", Burst: -1}),
+		"workspaces.name": configWithWorkspaces(Workspace{Name: "-"}),
+		"north: name":     configWithWorkspaces(Workspace{Name: "north"}, Workspace{Name: "north"}),
+		"south: keys":     configWithWorkspaces(Workspace{Name: "north", Keys: []Key{KeyOf("k")}}, Workspace{Name: "south", Keys: []Key{KeyOf("k")}}),
+		"north: keys":     configWithWorkspaces(Workspace{Name: "north", Keys: []Key{KeyOf("")}}),
+		"north: rate":     configWithWorkspaces(Workspace{Name: "north", Rate: math.NaN()}),
+		"north: burst":    configWithWorkspaces(Workspace{Name: "north", Burst: -1}),
 	} {
 		var got *FieldError
 		must.True(t, errors.As(c.Validate(), &got), must.Sprint(field))
@@ -52,19 +56,20 @@
 	}
 }
 
-// Guards against API keys that another node, an operator's view or a log could read.
-func TestKeysCannotBeReadBack(t *testing.T) {
-	c := keyed(Workspace{Name: "north", Keys: []Key{KeyOf("secret-of-north")}})
+// Guards against API keys that can be read by another node, in an operator's view or in a log.
+func TestEncodedConfigDoesNotRevealKeys(t *testing.T) {
+	c := configWithWorkspaces(Workspace{Name: "north", Keys: []Key{KeyOf("secret-of-north")}})
 	raw, err := json.Marshal(c)
 	must.NoError(t, err)
 	must.False(t, strings.Contains(string(raw), "secret"))
 	var back Config
 	must.NoError(t, json.Unmarshal(raw, &back))
 	must.Eq(t, *c, back)
-	d := Diff(keyed(Workspace{Name: "north"}), c)
+	d := Diff(configWithWorkspaces(Workspace{Name: "north"}), c)
 	must.Eq(t, []Difference{{Route: "workspace north", Field: "keys", Old: "[]", New: "[" + KeyOf("secret-of-north").String() + "]"}}, d)
 }
 
+// FuzzKeyDigest decodes arbitrary texts: a text that is accepted must encode to the same text.
 func FuzzKeyDigest(f *testing.F) {
 	f.Add([]byte("00ff"))
 	f.Add([]byte(strings.Repeat("ab", 32)))
