--- a/internal/fleet/absent.go
+++ b/internal/fleet/absent.go
@@ -2,49 +2,52 @@
 
 import "time"
 
-// absentFor is how long a member that went is looked for: a process is started
-// again within seconds, and one that stays away costs nothing after that.
-const absentFor = time.Minute
+// introductionPeriod is the time for which an absent member is contacted. A process restarts
+// within seconds; contacting a member that does not return costs nothing after this time.
+const introductionPeriod = time.Minute
 
-// Absent decides which members may have been started again without being able
-// to say so: a node that starts cut off from the store knows nobody and has no
-// routes, and nobody reads its new record. Those who know where it was can tell it.
-// It is not safe for concurrent use.
+// Absent selects the members that may have restarted and need an introduction. A node that starts
+// while it is partitioned from the store knows no other node and has no routes, and its new
+// record reaches no other node. Nodes that know its address can contact it. It is not safe for
+// concurrent use.
 type Absent struct {
-	since map[string]absence
+	absences map[string]absence
 }
 
+// absence is the incarnation of an absent member and the time at which its absence was noticed.
 type absence struct {
 	incarnation uint64
-	at          time.Time
+	since       time.Time
 }
 
-// NewAbsent returns one that misses nobody.
-func NewAbsent() *Absent { return &Absent{since: make(map[string]absence)} }
+// NewAbsent returns an Absent that tracks no members.
+func NewAbsent() *Absent { return &Absent{absences: make(map[string]absence)} }
 
-// Due returns the members to be looked for. Those that don't serve, by their own
-// record or because calls fail to reach them, are looked for until a newer record
-// of them serves or absentFor is over.
-func (a *Absent) Due(now time.Time, members []Member, unreached func(node string) bool) []Member {
+// Due returns the members to contact. A member that does not serve, by its own record or because
+// calls fail to reach it, is due until a newer record of it is in state Serving or
+// introductionPeriod is over.
+func (a *Absent) Due(now time.Time, members []Member, unreachable func(node string) bool) []Member {
 	var due []Member
 	for i := range members {
 		m := &members[i]
-		if m.State == Serving && !unreached(m.Node) {
-			delete(a.since, m.Node)
+		if m.State == Serving && !unreachable(m.Node) {
+			delete(a.absences, m.Node)
 			continue
 		}
-		if a.awaited(now, m) {
+		if a.withinIntroductionPeriod(now, m) {
 			due = append(due, *m)
 		}
 	}
 	return due
 }
 
-func (a *Absent) awaited(now time.Time, m *Member) bool {
-	seen, ok := a.since[m.Node]
-	if !ok || seen.incarnation != m.Incarnation {
-		seen = absence{incarnation: m.Incarnation, at: now}
-		a.since[m.Node] = seen
+// withinIntroductionPeriod reports whether the current absence of m began less than
+// introductionPeriod ago.
+func (a *Absent) withinIntroductionPeriod(now time.Time, m *Member) bool {
+	absent, ok := a.absences[m.Node]
+	if !ok || absent.incarnation != m.Incarnation {
+		absent = absence{incarnation: m.Incarnation, since: now}
+		a.absences[m.Node] = absent
 	}
-	return now.Sub(seen.at) < absentFor
+	return now.Sub(absent.since) < introductionPeriod
 }
--- a/internal/fleet/absent_test.go
+++ b/internal/fleet/absent_test.go
@@ -8,32 +8,33 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against restarted nodes that are looked for for ever, or not at all.
-func TestAbsentMembersAreLookedForAMinute(t *testing.T) {
+// Guards against restarted nodes that are contacted without a time limit, or not at all.
+func TestAbsentMembersAreContactedForAMinute(t *testing.T) {
 	start := time.Unix(1000, 0)
 	stopping := Member{Node: "b", Incarnation: 1, State: Stopping}
 	dead := Member{Node: "c", Incarnation: 1, State: Serving, Slots: 1}
-	sound := Member{Node: "d", Incarnation: 1, State: Serving, Slots: 1}
-	unreached := func(node string) bool { return node == "c" }
+	healthy := Member{Node: "d", Incarnation: 1, State: Serving, Slots: 1}
+	unreachable := func(node string) bool { return node == "c" }
 	a := NewAbsent()
 	due := func(after time.Duration, members ...Member) []string {
 		var names []string
-		for _, m := range a.Due(start.Add(after), members, unreached) {
+		for _, m := range a.Due(start.Add(after), members, unreachable) {
 			names = append(names, m.Node)
 		}
 		return names
 	}
-	must.Eq(t, []string{"b", "c"}, due(0, stopping, dead, sound))
-	must.Eq(t, []string{"b", "c"}, due(absentFor-time.Millisecond, stopping, dead, sound))
-	must.SliceEmpty(t, due(absentFor, stopping, dead, sound))
+	must.Eq(t, []string{"b", "c"}, due(0, stopping, dead, healthy))
+	must.Eq(t, []string{"b", "c"}, due(introductionPeriod-time.Millisecond, stopping, dead, healthy))
+	must.SliceEmpty(t, due(introductionPeriod, stopping, dead, healthy))
 	restarted := Member{Node: "b", Incarnation: 2, State: Gone}
-	must.Eq(t, []string{"b"}, due(absentFor+time.Second, restarted, sound))
+	must.Eq(t, []string{"b"}, due(introductionPeriod+time.Second, restarted, healthy))
 	restarted.State, restarted.Slots = Serving, 1
-	must.SliceEmpty(t, due(absentFor+2*time.Second, restarted, sound))
-	must.Eq(t, []string{"b"}, due(absentFor+3*time.Second, Member{Node: "b", Incarnation: 2, State: Stopping}))
+	must.SliceEmpty(t, due(introductionPeriod+2*time.Second, restarted, healthy))
+	must.Eq(t, []string{"b"}, due(introductionPeriod+3*time.Second, Member{Node: "b", Incarnation: 2, State: Stopping}))
 }
 
-// The neighbours of a node are those of its zone, in order, without itself.
+// Guards against neighbours that are missing, out of order, of another zone or region, or the
+// node itself.
 func TestNeighboursAreOfTheZone(t *testing.T) {
 	r := NewRegistry()
 	for _, m := range []Member{
@@ -49,8 +50,8 @@
 	must.EqOp(t, "b", got[1].Node)
 }
 
-// BenchmarkNeighbours is what finding the neighbours takes from a node at the planned
-// size, 14,000 nodes in 34 zones, after each change of a member.
+// BenchmarkNeighbours finds the neighbours of a node at the planned size, 14,000 nodes in 34
+// zones. A node does so after each change of a member.
 func BenchmarkNeighbours(b *testing.B) {
 	r := NewRegistry()
 	for i := range 14000 {
@@ -62,8 +63,8 @@
 	}
 }
 
-// BenchmarkAbsent is a turn of looking for absent members among the 412 nodes of a
-// zone, twice a second.
+// BenchmarkAbsent selects the absent members among the 412 nodes of a zone. A node does so twice
+// a second.
 func BenchmarkAbsent(b *testing.B) {
 	members := make([]Member, 412)
 	for i := range members {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 	return Member{Node: node, Incarnation: incarnation, Revision: revision, Address: node + ":1", Service: "s", Slots: 4, State: state}
 }
 
-// Guards against calls to an incarnation that is gone, after its record came late.
+// Guards against calls to an old incarnation, after its record arrived late.
 func TestLateRecordOfAnOldIncarnation(t *testing.T) {
 	r := NewRegistry()
 	must.True(t, r.Apply(member("n", 2, 1, Serving)))
@@ -23,8 +23,8 @@
 	must.False(t, got[0].Draining)
 }
 
-// The VM of a node is gone for good and its address is given to a node of
-// another service. Only the later one may be reached by it.
+// Guards against two endpoints with one address. The VM of a node no longer exists, and its
+// address is assigned to a node of another service. Only the later node may have the endpoint.
 func TestReusedAddressBelongsToTheLaterNode(t *testing.T) {
 	r := NewRegistry()
 	old, next := member("old", 1, 1, Serving), member("next", 2, 1, Serving)
@@ -36,8 +36,8 @@
 	must.EqOp(t, "next", got[0].Node)
 }
 
-// Nodes read the records in different orders, some twice. All must come to the
-// same endpoints.
+// Guards against nodes that compute different endpoints from the same records, which they read in
+// different orders and some twice.
 func TestFoldDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []Member
@@ -63,6 +63,7 @@
 	})
 }
 
+// Guards against a field that is lost when a record is encoded.
 func TestMemberRoundTrip(t *testing.T) {
 	m := member("n", 7, 3, Serving)
 	raw, err := m.Encode()
@@ -72,7 +73,7 @@
 	must.Eq(t, m, got)
 }
 
-// Records may come from another writer: anything may stand in them.
+// FuzzDecodeMember decodes arbitrary bytes, since records may come from other writers.
 func FuzzDecodeMember(f *testing.F) {
 	m := member("n", 7, 3, Serving)
 	raw, _ := m.Encode()
@@ -93,8 +94,8 @@
 	return Report{ID: id, Service: "s", Address: "a:1", Slots: 4, Born: born, Sequence: sequence}
 }
 
-// Guards against calls to an upstream that is gone, after its report came late.
-func TestLateReportOfADeadProcess(t *testing.T) {
+// Guards against calls to a dead process of an upstream, after its report arrived late.
+func TestLateReportOfReplacedProcess(t *testing.T) {
 	var u LocalUpstream
 	must.EqOp(t, Started, u.Apply(report("old", 100, 5)))
 	must.EqOp(t, Started, u.Apply(report("new", 200, 1)))
@@ -105,8 +106,8 @@
 	must.True(t, serving)
 }
 
-// The same, where upstreams don't state their start.
-func TestLateReportWithoutBirth(t *testing.T) {
+// Guards against the same failure if upstreams do not report their start time.
+func TestLateReportWithoutStartTime(t *testing.T) {
 	var u LocalUpstream
 	u.Apply(report("old", 0, 5))
 	must.EqOp(t, Started, u.Apply(report("new", 0, 1)))
@@ -115,8 +116,8 @@
 	must.EqOp(t, "new", got.ID)
 }
 
-// An upstream starts again under the ID it had. Its counts begin anew, and the
-// drain of its former life doesn't bind it.
+// Guards against a restarted upstream that stays out of service. It restarts with the same ID,
+// its sequence starts again, and the drain of its old process must not apply to it.
 func TestSameIDStartsAgain(t *testing.T) {
 	var u LocalUpstream
 	u.Apply(report("u", 100, 50))
@@ -130,8 +131,8 @@
 	must.True(t, serving)
 }
 
-// A process that has said that it leaves reports once more without saying so. It
-// stays out: the acknowledgement of its leaving binds.
+// Guards against new work for a process that has left. It reports once more without Leaving, but
+// its departure was acknowledged, so it must stay out of service.
 func TestLeavingIsFinal(t *testing.T) {
 	var u LocalUpstream
 	u.Apply(report("u", 100, 1))
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -1,7 +1,6 @@
-// Package fleet keeps what is known of the nodes of a deployment and of the
-// upstreams beside them: the record that a node publishes about itself, the fold
-// of all records into endpoints, and the order of what an upstream says of
-// itself. It is pure: no I/O, no clock.
+// Package fleet holds the state of the nodes of a deployment and of their upstreams: the record
+// that a node publishes about itself, the fold of all records into endpoints, and the order of
+// the reports of one upstream. It is pure: no I/O, no clock.
 package fleet
 
 import (
@@ -16,46 +15,47 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// State is what a node says of the upstream beside it.
+// State is the state of a node's upstream as the node publishes it.
 type State string
 
 const (
-	// Serving means that the upstream takes work.
+	// Serving means that the upstream accepts work.
 	Serving State = "serving"
-	// Stopping means that the node is about to end while its upstream goes on. It
-	// still takes what finds no other one: several nodes of a service may be
-	// restarted while others of its upstreams leave.
+	// Stopping means that the node is about to stop while its upstream continues. It still
+	// accepts calls that find no other upstream: several nodes of a service may restart while
+	// other upstreams of it leave.
 	Stopping State = "stopping"
-	// Leaving means that the upstream takes no new work.
+	// Leaving means that the upstream accepts no new work.
 	Leaving State = "leaving"
-	// Gone means that there is no upstream, and none is to be tried.
+	// Gone means that the node has no upstream, so that no call is sent to it.
 	Gone State = "gone"
 )
 
-// Member is the record that a node publishes when it starts and when something
-// about it changes. The newest record of a node is the one that counts.
+// Member is the record that a node publishes when it starts and when one of the fields changes.
+// Only the newest record of a node is valid.
 type Member struct {
 	Node string `json:"node"`
-	// Incarnation is the start of the node's process in Unix nanoseconds; of two
-	// records of a node the one with the greater incarnation is newer.
+	// Incarnation is the start time of the node's process in Unix nanoseconds. Of two records of
+	// a node the one with the greater incarnation is newer.
 	Incarnation uint64 `json:"incarnation"`
-	// Revision counts the records of one incarnation from 1.
+	// Revision numbers the records of one incarnation, starting at 1.
 	Revision uint64 `json:"revision"`
 	Region   string `json:"region"`
 	Zone     string `json:"zone"`
-	// Address is where other nodes send calls, IP:port.
+	// Address accepts calls from other nodes, IP:port.
 	Address string `json:"address"`
 	Service string `json:"service"`
-	// Upstream names the process of the upstream.
+	// Upstream identifies the process of the upstream.
 	Upstream string `json:"upstream,omitempty"`
 	Slots    int    `json:"slots"`
-	// ServesSince is when the upstream began to take work, in Unix milliseconds;
-	// 0 means long ago. A fresh one is slow and gets its share by and by.
+	// ServesSince is the time at which the upstream began to accept work, in Unix milliseconds; 0
+	// means that it has long been warm. The share of a fresh upstream, which is slow, rises
+	// gradually.
 	ServesSince int64 `json:"serves_since,omitempty"`
 	State       State `json:"state"`
 }
 
-// MaxMemberBytes bounds a member's record.
+// MaxMemberBytes bounds the encoded size of a Member.
 const MaxMemberBytes = 4 << 10
 
 // Validate returns an error that names the first field out of bounds.
@@ -64,7 +64,7 @@
 	case !callctx.ValidName(m.Node):
 		return fmt.Errorf("member: node is %q, must be a name", m.Node)
 	case m.Incarnation == 0:
-		return fmt.Errorf("member %s: incarnation is 0, must be above", m.Node)
+		return fmt.Errorf("member %s: incarnation is 0, must be above 0", m.Node)
 	case m.Address == "":
 		return fmt.Errorf("member %s: address is empty", m.Node)
 	case !callctx.ValidName(m.Service):
@@ -77,10 +77,11 @@
 	return nil
 }
 
-// Encode returns the record's bytes.
+// Encode returns the record as JSON.
 func (m *Member) Encode() ([]byte, error) { return json.Marshal(m) }
 
-// DecodeMember reads a record. One that can't be read says nothing of any node.
+// DecodeMember decodes and validates a record. A record with an error is to be ignored: it has no
+// valid information about any node.
 func DecodeMember(raw []byte) (Member, error) {
 	var m Member
 	if len(raw) > MaxMemberBytes {
@@ -97,18 +98,18 @@
 	return cmp.Or(cmp.Compare(m.Incarnation, old.Incarnation), cmp.Compare(m.Revision, old.Revision)) > 0
 }
 
-// Registry folds members. The order in which records arrive doesn't matter. It
-// is not safe for concurrent use.
+// Registry holds the newest record of each node. The result does not depend on the order in which
+// records arrive. It is not safe for concurrent use.
 type Registry struct {
 	members map[string]Member
-	// changes counts the records that changed something.
+	// changes is the number of records that changed the registry.
 	changes int
 }
 
-// NewRegistry returns a registry that knows nobody.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{members: make(map[string]Member)} }
 
-// Apply takes a record and reports whether it changed anything.
+// Apply stores a record if it is newer than the stored one, and reports whether it is.
 func (r *Registry) Apply(m Member) bool {
 	old, known := r.members[m.Node]
 	if known && !m.newer(&old) {
@@ -125,10 +126,10 @@
 	return m, known
 }
 
-// Len returns how many nodes are known.
+// Len returns the number of nodes.
 func (r *Registry) Len() int { return len(r.members) }
 
-// Members returns the newest record of each node, by name.
+// Members returns the newest record of each node, ordered by name.
 func (r *Registry) Members() []Member {
 	out := make([]Member, 0, len(r.members))
 	for _, name := range slices.Sorted(maps.Keys(r.members)) {
@@ -137,11 +138,11 @@
 	return out
 }
 
-// Changes counts the records that changed something.
+// Changes returns the number of records that changed the registry.
 func (r *Registry) Changes() int { return r.changes }
 
-// Neighbours returns the newest records of the other nodes of a node's zone, by
-// name. It looks at every node.
+// Neighbours returns the newest records of the other nodes in a node's zone, ordered by name. Its
+// cost is linear in the number of all nodes.
 func (r *Registry) Neighbours(node, region, zone string) []Member {
 	var out []Member
 	for name, m := range r.members {
@@ -153,7 +154,8 @@
 	return out
 }
 
-// OtherZones returns the newest records of the serving nodes of other zones, in no order.
+// OtherZones returns the newest records of the serving nodes in other zones, in no particular
+// order.
 func (r *Registry) OtherZones(region, zone string) []Member {
 	var out []Member
 	for _, m := range r.members {
@@ -164,14 +166,15 @@
 	return out
 }
 
-// Endpoints returns where calls may go. Of two nodes that claim one address the
-// later one has it: the address of a VM that is gone is given to another.
+// Endpoints returns the endpoints to which calls may be sent. If two nodes have the same address,
+// the one with the greater incarnation has the endpoint: the address of a VM that no longer
+// exists is assigned to another VM.
 func (r *Registry) Endpoints() []routing.Endpoint {
 	holder := make(map[string]*Member, len(r.members))
 	members := r.Members()
 	for i := range members {
 		m := &members[i]
-		if held := holder[m.Address]; held == nil || m.Incarnation > held.Incarnation {
+		if current := holder[m.Address]; current == nil || m.Incarnation > current.Incarnation {
 			holder[m.Address] = m
 		}
 	}
--- a/internal/fleet/parent.go
+++ b/internal/fleet/parent.go
@@ -6,41 +6,44 @@
 	"slices"
 )
 
-// RelayFanOut is how many nodes of a zone read through one other at most: a zone of 412
-// nodes is four deep, and what they cost a node fits its share of bytes for control.
+// RelayFanOut bounds the nodes of a zone that read through one other node. A zone of 412 nodes
+// then has a tree of 4 levels, and the traffic of a node for its readers fits its byte budget for
+// control.
 const RelayFanOut = 5
 
-// Sources returns the nodes of a zone through which a node may read what the platform's
-// store has, the best one first; none for the node that reads the store itself. others
+// Sources returns the nodes of a zone through which a node may read the data of the platform's
+// store, the preferred one first; none for the node that reads from the store itself. zoneMembers
 // are the other nodes of the zone.
 //
-// Load pattern: nodes restart all the time, and each would read each record from the
-// store. Nodes of a zone are ordered by a hash of their names and form a tree. All nodes
-// agree on the order, and whoever follows a node comes after it, so no circle of nodes
-// waits for updates from itself while views of who is there differ. Nodes that are about
-// to end, or have no upstream, are followed by nobody.
-func Sources(node string, others []Member) []Member {
+// Load pattern: nodes restart all the time, and each would read each record from the store. To
+// avoid this, the nodes of a zone are ordered by a hash of their names and form a tree. All nodes
+// compute the same order, and a node reads only from nodes before it in that order, so no cycle
+// of nodes waits for updates from itself while the nodes' lists of members differ. Nodes that are
+// about to stop, or have no upstream, are not sources.
+func Sources(node string, zoneMembers []Member) []Member {
 	own := nameHash(node)
-	var before []Member
-	for _, m := range others {
+	var candidates []Member
+	for _, m := range zoneMembers {
 		if m.State == Serving && compareNames(nameHash(m.Node), m.Node, own, node) < 0 {
-			before = append(before, m)
+			candidates = append(candidates, m)
 		}
 	}
-	if len(before) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	slices.SortFunc(before, func(a, b Member) int {
+	slices.SortFunc(candidates, func(a, b Member) int {
 		return compareNames(nameHash(a.Node), a.Node, nameHash(b.Node), b.Node)
 	})
-	return rotate(before, (len(before)-1)/RelayFanOut)
+	return rotate(candidates, (len(candidates)-1)/RelayFanOut)
 }
 
-// rotate moves the member at first to the front; those before it go to the end.
+// rotate returns a copy that starts with the member at index first and ends with the members
+// before it.
 func rotate(members []Member, first int) []Member {
 	return append(slices.Clone(members[first:]), members[:first]...)
 }
 
+// compareNames orders names by hash, and names of equal hash by text.
 func compareNames(hashA uint64, a string, hashB uint64, b string) int {
 	return cmp.Or(cmp.Compare(hashA, hashB), cmp.Compare(a, b))
 }
--- a/internal/fleet/parent_test.go
+++ b/internal/fleet/parent_test.go
@@ -20,18 +20,18 @@
 	return append(append([]Member{}, all[:i]...), all[i+1:]...)
 }
 
-// levels returns how many levels below its root the flattest tree of n nodes has.
+// levels returns the number of levels below the root in the shallowest tree of n nodes.
 func levels(n int) (below int) {
-	for width, room := 1, 1; room < n; below++ {
+	for width, capacity := 1, 1; capacity < n; below++ {
 		width *= RelayFanOut
-		room += width
+		capacity += width
 	}
 	return below
 }
 
-// Guards against a zone with more than one reader, a node that answers more than its
-// share, and changes that pass more nodes than they have to.
-func TestParentsMakeATree(t *testing.T) {
+// Guards against a zone in which several nodes read from the store, a node with more than
+// RelayFanOut readers, and a tree that is deeper than necessary.
+func TestSourcesFormATree(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 25, 412} {
 		all := zoneOf(n)
 		parents, children, readers := map[string]string{}, map[string]int{}, 0
@@ -58,9 +58,9 @@
 	}
 }
 
-// Nodes know different parts of the zone, some of them as stopping. Two nodes that
-// followed each other would both wait for updates that neither reads.
-func TestNoCircleOfParents(t *testing.T) {
+// Guards against nodes that read from each other: neither would receive an update. Nodes know
+// different parts of the zone, some of them in other states than Serving.
+func TestSourcesHaveNoCycle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := zoneOf(rapid.IntRange(2, 30).Draw(t, "nodes"))
 		parents := map[string]string{}
--- a/internal/fleet/upstream.go
+++ b/internal/fleet/upstream.go
@@ -5,117 +5,116 @@
 	"time"
 )
 
-// Report is what the upstream beside a node says of itself.
+// Report is a report of the upstream on the node's VM about itself.
 type Report struct {
-	// ID names the upstream; it may start again under the same one.
+	// ID identifies the upstream. A new process of it may use the same ID.
 	ID      string
 	Service string
-	// Address is where it takes requests, IP:port.
+	// Address accepts requests, IP:port.
 	Address string
 	Zone    string
-	// Version is that of its software.
+	// Version is the version of the upstream's software.
 	Version string
 	Slots   int
-	// Leaving says that it takes no new work.
+	// Leaving is true if the upstream accepts no new work.
 	Leaving bool
-	// Born is the start of its process in Unix milliseconds; 0 when it doesn't
-	// say.
+	// Born is the start time of the process in Unix milliseconds; 0 if the upstream does not
+	// report it.
 	Born int64
-	// Sequence grows with each report of one process.
+	// Sequence increases with each report of one process.
 	Sequence int64
-	// ColdFor is how long it will still be slow after its start.
+	// ColdFor is the remaining time for which the process is slow after its start.
 	ColdFor time.Duration
 }
 
-// Change is what a report changed.
+// Change is the effect of a report on the state of the local upstream.
 type Change int
 
 const (
-	// Unchanged: the report repeats what is known.
+	// Unchanged: the report has no new information.
 	Unchanged Change = iota
-	// Outdated: the report is older than what is known, and changes nothing.
+	// Outdated: the report is older than the current state and was ignored.
 	Outdated
-	// Started: another process serves from now on.
+	// Started: another process accepts work from now on.
 	Started
-	// Left: the process takes no new work from now on.
+	// Left: the process accepts no new work from now on.
 	Left
-	// Updated: figures of the process changed.
+	// Updated: the slots or the address of the process changed.
 	Updated
 )
 
-// LocalUpstream orders what is heard of the upstream beside a node. A report
-// that was held up may arrive after its process has died and another one took
-// its place; it must not bring the dead one back. It is not safe for concurrent
-// use.
+// LocalUpstream tracks the current process of the upstream on the node's VM. A delayed report may
+// arrive after its process has died and another one has replaced it; such a report must not make
+// the dead process current again. It is not safe for concurrent use.
 type LocalUpstream struct {
-	current Report
-	known   bool
-	left    bool
-	// adopted says that the process was found at work and has not reported yet: its
-	// start and sequence aren't known.
+	latest Report
+	known  bool
+	left   bool
+	// adopted is true for a process that was found running and has not reported yet, so that its
+	// start time and sequence are unknown.
 	adopted bool
-	// replaced are the processes before the present one, oldest first. Where
-	// upstreams don't state their start only this tells an old one from a new.
-	replaced []process
+	// predecessors are the earlier processes, oldest first. If upstreams do not report their
+	// start time, this list is the only way to recognise reports of an old process.
+	predecessors []process
 }
 
-// process names one process of an upstream.
+// process identifies one process of an upstream.
 type process struct {
 	id   string
 	born int64
 }
 
-// maxReplaced bounds the processes remembered: a report is held up for seconds,
-// and an upstream dies at most a few times in that time.
-const maxReplaced = 64
+// maxPredecessors bounds the remembered processes. Reports are delayed by seconds, and an
+// upstream restarts at most a few times in that period.
+const maxPredecessors = 64
 
-// Current returns the newest report and whether its process takes work.
+// Current returns the newest report and whether its process accepts work.
 func (u *LocalUpstream) Current() (r Report, serving bool) {
-	return u.current, u.known && !u.left
+	return u.latest, u.known && !u.left
 }
 
-// Adopt takes a process that was found at work before it reported. It is false when
-// one has reported meanwhile.
+// Adopt sets the current process to one that was found running before it reported. It returns
+// false if a process has reported or was adopted before.
 func (u *LocalUpstream) Adopt(r Report) bool {
 	if u.known {
 		return false
 	}
-	u.current = r
+	u.latest = r
 	u.known = true
 	u.adopted = true
 	return true
 }
 
-// Apply takes a report.
+// Apply applies a report and returns its effect.
 func (u *LocalUpstream) Apply(r Report) Change {
 	if u.adopted {
 		u.adopted = false
-		if r.ID == u.current.ID {
-			u.current.Born, u.current.Sequence = r.Born, r.Sequence-1
+		if r.ID == u.latest.ID {
+			u.latest.Born, u.latest.Sequence = r.Born, r.Sequence-1
 		}
 	}
 	if !u.known {
 		return u.start(r)
 	}
 	if u.sameProcess(r) {
-		return u.progress(r)
+		return u.update(r)
 	}
-	if r.Born < u.current.Born || slices.Contains(u.replaced, process{r.ID, r.Born}) {
+	if r.Born < u.latest.Born || slices.Contains(u.predecessors, process{r.ID, r.Born}) {
 		return Outdated
 	}
-	u.replaced = append(u.replaced, process{u.current.ID, u.current.Born})
-	u.replaced = u.replaced[max(0, len(u.replaced)-maxReplaced):]
+	u.predecessors = append(u.predecessors, process{u.latest.ID, u.latest.Born})
+	u.predecessors = u.predecessors[max(0, len(u.predecessors)-maxPredecessors):]
 	return u.start(r)
 }
 
-// sameProcess: an upstream may start again under its old name, and only the
-// time of its start then tells the two apart.
+// sameProcess compares the ID and the start time, since a new process may use the ID of the old
+// one.
 func (u *LocalUpstream) sameProcess(r Report) bool {
-	return r.ID == u.current.ID && r.Born == u.current.Born
+	return r.ID == u.latest.ID && r.Born == u.latest.Born
 }
 
 func (u *LocalUpstream) start(r Report) Change {
-	u.current = r
+	u.latest = r
 	u.known = true
 	u.left = r.Leaving
 	if r.Leaving {
@@ -124,27 +123,27 @@
 	return Started
 }
 
-func (u *LocalUpstream) progress(r Report) Change {
-	if r.Sequence <= u.current.Sequence {
+func (u *LocalUpstream) update(r Report) Change {
+	if r.Sequence <= u.latest.Sequence {
 		return Outdated
 	}
-	before := u.current
-	u.current = r
+	before := u.latest
+	u.latest = r
 	if r.Leaving && !u.left {
 		u.left = true
 		return Left
 	}
-	// What has left stays so: only a new process takes work again.
+	// A process that left never accepts work again; only a new process does.
 	if r.Slots != before.Slots || r.Address != before.Address {
 		return Updated
 	}
 	return Unchanged
 }
 
-// Departed takes the word that the process with this ID and start is about to
-// end, or has; born is 0 when it was not given.
+// Departed records that the process with this ID and start time has ended or is about to. born is
+// 0 if the start time was not reported.
 func (u *LocalUpstream) Departed(id string, born int64) Change {
-	if !u.known || u.current.ID != id || (born != 0 && born < u.current.Born) {
+	if !u.known || u.latest.ID != id || (born != 0 && born < u.latest.Born) {
 		return Outdated
 	}
 	if u.left {
--- a/internal/fleet/upstream_test.go
+++ b/internal/fleet/upstream_test.go
@@ -6,10 +6,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against requests suspected of a crash that never happened, after a node's restart.
+// Guards against requests that are suspected of a crash that did not happen. After a restart the
+// node adopts the running process, and the first report of that process must not count as a new
+// process.
 func TestAdoptedProcessIsConfirmedByItsReport(t *testing.T) {
-	found := Report{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Slots: 8}
-	report := found
+	adopted := Report{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Slots: 8}
+	report := adopted
 	report.Born, report.Sequence = 1000, 17
 	for name, x := range map[string]struct {
 		change func(*Report)
@@ -22,8 +24,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var u LocalUpstream
-			must.True(t, u.Adopt(found))
-			must.False(t, u.Adopt(found))
+			must.True(t, u.Adopt(adopted))
+			must.False(t, u.Adopt(adopted))
 			r := report
 			x.change(&r)
 			must.EqOp(t, x.want, u.Apply(r))
@@ -32,8 +34,8 @@
 	}
 }
 
-// The upstream reports before the node has asked it: what it says goes first.
-func TestAdoptionComesTooLate(t *testing.T) {
+// Guards against an adopted process that replaces one that has already reported.
+func TestAdoptAfterReportIsRefused(t *testing.T) {
 	var u LocalUpstream
 	must.EqOp(t, Started, u.Apply(Report{ID: "i-1", Slots: 8, Sequence: 1}))
 	must.False(t, u.Adopt(Report{ID: "i-0", Slots: 8}))
