--- a/internal/policy/behaviour.go
+++ b/internal/policy/behaviour.go
@@ -3,8 +3,8 @@
 // Value is a literal or, with a leading "$", the name of a parameter.
 type Value string
 
-// Behaviour gives each field of an Effective a Value; an empty one takes the
-// field's default. Fields lists types, units and bounds.
+// Behaviour has a Value for each behaviour field of Effective; an empty Value selects the default
+// of the field. Fields lists the types, units and bounds.
 type Behaviour struct {
 	RetryAllowance    Value `json:"retry_allowance,omitempty"`
 	RetryRatio        Value `json:"retry_ratio,omitempty"`
--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -13,6 +13,7 @@
 // plannedServices is the planned number of services.
 const plannedServices = 1700
 
+// plannedState returns a state with an instance for each planned service.
 func plannedState(b *testing.B) *State {
 	s := libraryState(b)
 	for i := range plannedServices {
@@ -26,6 +27,7 @@
 	return s
 }
 
+// BenchmarkLookup looks up the behaviour of a service, as each call does.
 func BenchmarkLookup(b *testing.B) {
 	s := plannedState(b)
 	b.ReportAllocs()
@@ -36,6 +38,7 @@
 	}
 }
 
+// BenchmarkApplyOther folds a record that is not a publication.
 func BenchmarkApplyOther(b *testing.B) {
 	s := plannedState(b)
 	e := logstore.Entry{Record: logstore.Record{ID: "c", Kind: logstore.KindClaim}}
@@ -46,6 +49,7 @@
 	}
 }
 
+// BenchmarkApplyInstance folds a changed instance.
 func BenchmarkApplyInstance(b *testing.B) {
 	s := plannedState(b)
 	inst := s.Instances()[0]
@@ -61,7 +65,7 @@
 	}
 }
 
-// BenchmarkStateMemory reports what one state at the planned size holds.
+// BenchmarkStateMemory reports the memory of one state at the planned size.
 func BenchmarkStateMemory(b *testing.B) {
 	data, err := plannedState(b).Marshal()
 	must.NoError(b, err)
@@ -78,6 +82,7 @@
 	}
 }
 
+// BenchmarkSnapshot encodes and decodes a state at the planned size.
 func BenchmarkSnapshot(b *testing.B) {
 	s := plannedState(b)
 	b.ReportAllocs()
--- a/internal/policy/decide.go
+++ b/internal/policy/decide.go
@@ -8,27 +8,27 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// Check decides p as if it came next in the log, and returns what it would
-// change in force. It is what an operator sees before publishing.
+// Check decides p as the next publication in the log without applying it, and returns the changes
+// that it would make to the behaviour in force. Operators use it before they publish.
 func (s *State) Check(p *Publication) (Decision, []Change) {
 	o := s.decide(p, s.version+1)
 	return o.decision, o.changes
 }
 
-// outcome is a decision with what it puts in place when accepted.
+// outcome is a decision and, if it is accepted, the new entries of the state.
 type outcome struct {
 	decision  Decision
 	changes   []Change
 	template  *templateEntry
 	instance  *instanceEntry
 	effective *Effective
-	// bytes is the size of the state afterwards.
+	// bytes is the size of the state after the publication.
 	bytes int
 }
 
-// publish folds one publication into a state that is not shared yet. A record
-// whose ID was decided before is a repeat after a lost acknowledgement: it
-// must neither be decided again nor be told that it lost to itself.
+// publish folds one publication into a state that is not shared yet. A record whose ID is already
+// decided is a retry after a lost acknowledgement. It is ignored: deciding it again would report
+// a conflict with itself.
 func (s *State) publish(e logstore.Entry) {
 	if _, ok := s.decisions.get(e.Record.ID); ok {
 		return
@@ -82,7 +82,7 @@
 func (s *State) decideTemplate(p *Publication, d Decision) outcome {
 	old := s.templates[p.Template.Name]
 	if old != nil && old.last.Version != p.BaseVersion {
-		return s.lost(d, old.last)
+		return s.conflict(d, old.last)
 	}
 	errs := p.Template.check()
 	want := 1
@@ -102,19 +102,20 @@
 	entry := &templateEntry{last: change{p.ID, p.Author, d.Version, d.Object + ": created"}}
 	if old != nil {
 		entry.last.What = summarize(d.Object, changes)
-		entry.revisions = s.keptRevisions(old)
+		entry.revisions = s.retainedRevisions(old)
 	}
 	entry.revisions = append(entry.revisions, *p.Template)
 	entry.bytes = jsonBytes(templateDoc{entry.revisions, entry.last})
-	was := 0
+	oldBytes := 0
 	if old != nil {
-		was = old.bytes
+		oldBytes = old.bytes
 	}
-	return s.fit(outcome{decision: d, changes: changes, template: entry}, entry.bytes-was)
+	return s.limitSize(outcome{decision: d, changes: changes, template: entry}, entry.bytes-oldBytes)
 }
 
-// fit accepts o when the state still fits a snapshot.
-func (s *State) fit(o outcome, growth int) outcome {
+// limitSize rejects o if the state would no longer fit a snapshot. Changes that do not increase
+// the size pass.
+func (s *State) limitSize(o outcome, growth int) outcome {
 	o.bytes = s.bytes + growth
 	if o.bytes > MaxStateBytes && growth > 0 {
 		errs := FieldErrors{{"configuration", fmt.Sprintf("%d bytes", o.bytes), fmt.Sprintf("at most %d bytes in all", MaxStateBytes)}}
@@ -123,9 +124,9 @@
 	return o
 }
 
-// keptRevisions bounds the revisions of one template: those that an instance
-// uses and the newest few.
-func (s *State) keptRevisions(t *templateEntry) []Template {
+// retainedRevisions returns the revisions of a template that the state keeps: those that an
+// instance uses and the newest 3.
+func (s *State) retainedRevisions(t *templateEntry) []Template {
 	const newest = 3
 	used := map[int]bool{}
 	name := t.revisions[0].Name
@@ -134,24 +135,25 @@
 			used[i.instance.Revision] = true
 		}
 	}
-	kept := make([]Template, 0, len(t.revisions)+1)
+	retained := make([]Template, 0, len(t.revisions)+1)
 	for i := range t.revisions {
 		if i >= len(t.revisions)-newest || used[t.revisions[i].Revision] {
-			kept = append(kept, t.revisions[i])
+			retained = append(retained, t.revisions[i])
 		}
 	}
-	return kept
+	return retained
 }
 
-// templateChanges compares t under its defaults with the current revision.
+// templateChanges compares t with the current revision, both with the defaults of their
+// parameters.
 func (s *State) templateChanges(t *Template) []Change {
 	var old *Effective
 	probe := &Instance{Workspace: "w", Service: "s"}
-	if was, ok := s.Template(t.Name, 0); ok {
-		old, _ = resolve(was, probe)
+	if current, ok := s.Template(t.Name, 0); ok {
+		old, _ = resolve(current, probe)
 	}
-	now, _ := resolve(t, probe)
-	return Diff(old, now)
+	updated, _ := resolve(t, probe)
+	return Diff(old, updated)
 }
 
 func (s *State) decideInstance(p *Publication, d Decision) outcome {
@@ -159,7 +161,7 @@
 	k := key{inst.Workspace, inst.Service}
 	old := s.instances[k]
 	if old != nil && old.last.Version != p.BaseVersion {
-		return s.lost(d, old.last)
+		return s.conflict(d, old.last)
 	}
 	var errs FieldErrors
 	if old == nil && p.BaseVersion != 0 {
@@ -173,27 +175,27 @@
 		errs.add("instance.template", fmt.Sprintf("%s/%d", clip(inst.Template), inst.Revision), "an accepted template and revision")
 		return s.rejected(d, errs)
 	}
-	e, more := resolve(t, inst)
-	if errs = append(errs, more...); len(errs) > 0 {
+	e, resolveErrs := resolve(t, inst)
+	if errs = append(errs, resolveErrs...); len(errs) > 0 {
 		return s.rejected(d, errs)
 	}
 	d.Outcome = Accepted
 	e.Version = d.Version
-	changes := append(sourceChange(s.effective[k], e), Diff(s.effective[k], e)...)
+	changes := append(revisionChange(s.effective[k], e), Diff(s.effective[k], e)...)
 	last := change{p.ID, p.Author, d.Version, fmt.Sprintf("%s: created from %s/%d", d.Object, t.Name, t.Revision)}
 	if old != nil {
 		last.What = summarize(d.Object, changes)
 	}
 	entry := &instanceEntry{instance: *inst, last: last}
 	entry.bytes = jsonBytes(instanceDoc{entry.instance, entry.last})
-	was := 0
+	oldBytes := 0
 	if old != nil {
-		was = old.bytes
+		oldBytes = old.bytes
 	}
-	return s.fit(outcome{decision: d, changes: changes, instance: entry, effective: e}, entry.bytes-was)
+	return s.limitSize(outcome{decision: d, changes: changes, instance: entry, effective: e}, entry.bytes-oldBytes)
 }
 
-// decideWithdrawal takes an instance out of force and keeps its version.
+// decideWithdrawal removes the behaviour of an instance and keeps the version of the object.
 func (s *State) decideWithdrawal(inst *Instance, old *instanceEntry, d Decision) outcome {
 	if errs := inst.checkWithdrawn(); len(errs) > 0 {
 		return s.rejected(d, errs)
@@ -202,11 +204,11 @@
 		return s.rejected(d, FieldErrors{{"instance.withdrawn", "true", "set for an instance in force"}})
 	}
 	d.Outcome = Accepted
-	was := s.effective[key{inst.Workspace, inst.Service}]
-	changes := []Change{{Field: "template", Old: fmt.Sprintf("%s/%d", was.Template, was.Revision)}}
+	inForce := s.effective[key{inst.Workspace, inst.Service}]
+	changes := []Change{{Field: "template", Old: fmt.Sprintf("%s/%d", inForce.Template, inForce.Revision)}}
 	entry := &instanceEntry{instance: *inst, last: change{d.ID, d.Author, d.Version, d.Object + ": withdrawn"}}
 	entry.bytes = jsonBytes(instanceDoc{entry.instance, entry.last})
-	return s.fit(outcome{decision: d, changes: changes, instance: entry}, entry.bytes-old.bytes)
+	return s.limitSize(outcome{decision: d, changes: changes, instance: entry}, entry.bytes-old.bytes)
 }
 
 func (i *Instance) checkWithdrawn() FieldErrors {
@@ -219,19 +221,22 @@
 	return errs
 }
 
-func sourceChange(old, new *Effective) []Change {
-	is := fmt.Sprintf("%s/%d", new.Template, new.Revision)
-	was := ""
+// revisionChange returns the change of the template and revision; none if both are equal.
+func revisionChange(old, new *Effective) []Change {
+	newSource := fmt.Sprintf("%s/%d", new.Template, new.Revision)
+	oldSource := ""
 	if old != nil {
-		was = fmt.Sprintf("%s/%d", old.Template, old.Revision)
+		oldSource = fmt.Sprintf("%s/%d", old.Template, old.Revision)
 	}
-	if was == is {
+	if oldSource == newSource {
 		return nil
 	}
-	return []Change{{Field: "template", Old: was, New: is}}
+	return []Change{{Field: "template", Old: oldSource, New: newSource}}
 }
 
-func (s *State) lost(d Decision, to change) outcome {
+// conflict returns the outcome of a publication whose BaseVersion is not the version of the
+// object.
+func (s *State) conflict(d Decision, to change) outcome {
 	d.Outcome = Lost
 	d.Lost = &ConflictingPublication{ID: to.ID, Author: to.Author, Version: to.Version, What: to.What}
 	return outcome{decision: d, bytes: s.bytes}
--- a/internal/policy/decision.go
+++ b/internal/policy/decision.go
@@ -5,42 +5,45 @@
 	"strings"
 )
 
-// Outcome of a publication.
+// Outcome is the result of a publication.
 type Outcome string
 
 // Outcomes.
 const (
-	// Accepted means in force for every later reader of the log.
+	// Accepted means that the publication is in force for every reader of the log from its record
+	// on.
 	Accepted Outcome = "accepted"
-	// Lost means that the object had changed since the version based on.
+	// Lost means that the publication conflicts with another one: the object has changed since
+	// BaseVersion.
 	Lost Outcome = "lost"
 	// Rejected means that the publication is invalid.
 	Rejected Outcome = "rejected"
 )
 
-// ConflictingPublication is the accepted publication that stands in the way.
+// ConflictingPublication is the accepted publication that last changed the object of a Lost one.
 type ConflictingPublication struct {
 	ID      string  `json:"id"`
 	Author  string  `json:"author"`
 	Version Version `json:"version"`
-	// What the winner changed, such as "instance w/s: retry_allowance 2 -> 3".
+	// What is the text of its change, such as "instance w/s: retry_allowance 2 -> 3".
 	What string `json:"what"`
 }
 
-// Decision is what the fold made of one publication. All replicas that folded
-// its record hold the same one.
+// Decision is the result of folding one publication. All replicas that have folded its record
+// have the same Decision.
 type Decision struct {
 	ID      string  `json:"id"`
 	Author  string  `json:"author,omitempty"`
 	Object  string  `json:"object,omitempty"`
 	Outcome Outcome `json:"outcome"`
-	// Version is that of the deciding record: of the object when Accepted.
+	// Version is the version of the publication's record; it is the new version of the object if
+	// Outcome is Accepted.
 	Version Version                 `json:"version"`
 	Lost    *ConflictingPublication `json:"lost_to,omitempty"`
 	Errors  FieldErrors             `json:"errors,omitempty"`
 }
 
-// Err returns nil for an accepted publication and else a *DecisionError.
+// Err returns nil for an accepted publication, and a *DecisionError otherwise.
 func (d *Decision) Err() error {
 	if d.Outcome == Accepted {
 		return nil
@@ -48,7 +51,7 @@
 	return &DecisionError{Decision: *d}
 }
 
-// DecisionError is a publication that did not come in force.
+// DecisionError is the error of a publication that was not accepted.
 type DecisionError struct{ Decision Decision }
 
 // Error implements error.
@@ -60,20 +63,21 @@
 	return fmt.Sprintf("%s rejected: %v", d.Object, d.Errors)
 }
 
-// maxDecisions bounds the decisions remembered. A repeat of a publication that
-// is no longer remembered is decided anew; it can't undo anything, since the
-// version that it was based on never comes back. 512 are 57 minutes of the
-// planned 13,000 changes a day; a writer repeats for half a minute.
+// maxDecisions bounds the decisions in a state. A retry of a publication whose decision was
+// dropped is decided again. It can't undo a later change, since the version that it is based on
+// never returns. 512 decisions cover 57 minutes of the planned 13,000 changes a day; a writer
+// retries for half a minute.
 const maxDecisions = 512
 
-// maxDecisionErrors bounds the errors kept of one rejected publication.
+// maxDecisionErrors bounds the errors in the decision of a rejected publication.
 const maxDecisionErrors = 4
 
-// decisions is an immutable list in log order with an index.
+// decisions is an immutable list of decisions in log order with an index by ID.
 type decisions struct {
 	list []Decision
 	byID map[string]int64
-	// dropped is how many were forgotten, so that byID's places stay valid.
+	// dropped is the number of decisions dropped so far. byID has the position of each decision
+	// counted from the first one, so that entries stay valid when decisions are dropped.
 	dropped int64
 }
 
@@ -85,8 +89,8 @@
 	return d.list[at-d.dropped], true
 }
 
-// with returns a copy with one more.
-func (d *decisions) with(more Decision) *decisions {
+// with returns a copy with one more decision; it drops the oldest ones beyond maxDecisions.
+func (d *decisions) with(added Decision) *decisions {
 	next := &decisions{dropped: d.dropped, byID: make(map[string]int64, len(d.list)+1)}
 	keep := d.list
 	if len(keep) >= maxDecisions {
@@ -94,20 +98,20 @@
 		keep = keep[drop:]
 		next.dropped += int64(drop)
 	}
-	next.list = append(append(make([]Decision, 0, len(keep)+1), keep...), more)
+	next.list = append(append(make([]Decision, 0, len(keep)+1), keep...), added)
 	for i := range next.list {
 		next.byID[next.list[i].ID] = next.dropped + int64(i)
 	}
 	return next
 }
 
-// summarize bounds the text on what a publication changed.
+// summarize returns the text of a publication's changes, with at most 4 of them.
 func summarize(object string, changes []Change) string {
-	const most = 4
-	parts := make([]string, 0, most+1)
+	const maxChanges = 4
+	parts := make([]string, 0, maxChanges+1)
 	for i, c := range changes {
-		if i == most {
-			parts = append(parts, fmt.Sprintf("%d more", len(changes)-most))
+		if i == maxChanges {
+			parts = append(parts, fmt.Sprintf("%d more", len(changes)-maxChanges))
 			break
 		}
 		parts = append(parts, fmt.Sprintf("%s %s -> %s", c.Field, orNone(c.Old), orNone(c.New)))
--- a/internal/policy/decode.go
+++ b/internal/policy/decode.go
@@ -11,7 +11,7 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// DecodeTemplate reads one template strictly and validates it.
+// DecodeTemplate decodes and validates one template. It refuses unknown fields.
 func DecodeTemplate(data []byte) (*Template, error) {
 	t := &Template{}
 	if errs := decodeStrict(data, t); len(errs) > 0 {
@@ -23,7 +23,7 @@
 	return t, nil
 }
 
-// DecodeInstance reads one instance strictly; Resolve validates it.
+// DecodeInstance decodes one instance. It refuses unknown fields. Resolve validates the instance.
 func DecodeInstance(data []byte) (*Instance, error) {
 	i := &Instance{}
 	if errs := decodeStrict(data, i); len(errs) > 0 {
@@ -32,7 +32,7 @@
 	return i, nil
 }
 
-// DecodePublication reads one publication strictly.
+// DecodePublication decodes one publication. It refuses unknown fields.
 func DecodePublication(data []byte) (*Publication, error) {
 	p, errs := decodePublication(data)
 	return p, asError(errs)
@@ -59,7 +59,7 @@
 	return p, nil
 }
 
-// DecodeInstances reads a JSON array of instances, as operators keep them in
+// DecodeInstances decodes a JSON array of instances, the form in which operators keep them in
 // files.
 func DecodeInstances(data []byte) ([]Instance, error) {
 	var list []Instance
@@ -69,7 +69,7 @@
 	return list, nil
 }
 
-// decodeStrict refuses unknown fields and anything after the document.
+// decodeStrict decodes one JSON document. It refuses unknown fields and trailing data.
 func decodeStrict(data []byte, into any) FieldErrors {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
@@ -94,8 +94,8 @@
 	return FieldError{Field: "document", Value: clip(err.Error()), Bound: "valid JSON"}
 }
 
-// needsNewerRules reports whether e is a publication that only a newer release
-// can decide. It reads leniently: the rest may hold fields not known here.
+// needsNewerRules reports whether e is a publication that only a newer release can decide. It
+// ignores unknown fields, since the rest of the publication may have fields of the newer release.
 func needsNewerRules(e logstore.Entry) bool {
 	if e.Record.Kind != logstore.KindTemplate && e.Record.Kind != logstore.KindInstance {
 		return false
--- a/internal/policy/docs_test.go
+++ b/internal/policy/docs_test.go
@@ -10,23 +10,24 @@
 	"github.com/shoenig/test/must"
 )
 
-// fieldRow is a field's line in the operators' page.
+// fieldRow returns the row of a field in the table of the operators' page.
 func fieldRow(f Field) string {
-	form, low, high := string(f.Type), f.Min, f.Max
-	if form == "" {
-		form = "one of " + strings.Join(f.Choices, ", ")
+	typeText, low, high := string(f.Type), f.Min, f.Max
+	if typeText == "" {
+		typeText = "one of " + strings.Join(f.Choices, ", ")
 		if f.List {
-			form = "list of " + strings.Join(f.Choices, ", ")
+			typeText = "list of " + strings.Join(f.Choices, ", ")
 		}
 	}
 	unit := f.Unit
 	if unit == "duration" {
 		unit = ""
 	}
-	return fmt.Sprintf("| `%s` | %s | %s | %s | %s | %s | %s |", f.Name, form, unit, f.Default, low, high, f.Help)
+	return fmt.Sprintf("| `%s` | %s | %s | %s | %s | %s | %s |", f.Name, typeText, unit, f.Default, low, high, f.Help)
 }
 
-// The operators' page lists every field with the bounds in force.
+// Guards against an operators' page that lacks a field or states other bounds than those in
+// force.
 func TestOperatorsPageListsEveryField(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "operations", "configuration.md"))
 	must.NoError(t, err)
--- a/internal/policy/effective.go
+++ b/internal/policy/effective.go
@@ -11,56 +11,57 @@
 const (
 	// AtMostOnceClaims appends a claim to the log for each call.
 	AtMostOnceClaims = "claims"
-	// AtMostOnceOwnership decides at the owner of the key's slot.
+	// AtMostOnceOwnership lets the owner of the key's slot decide.
 	AtMostOnceOwnership = "ownership"
 )
 
-// Effective is the behaviour in force for one service of a workspace. It is
-// shared and must not be changed.
+// Effective is the behaviour in force for one service of a workspace. It is shared and must not
+// be changed.
 type Effective struct {
 	Workspace string
 	Service   string
-	// Version is that of the instance.
+	// Version is the version of the instance.
 	Version  Version
 	Template string
 	Revision int
 
-	// RetryAllowance bounds the retries of one root request over its tree.
+	// RetryAllowance bounds the retries of one root request over its whole call tree.
 	RetryAllowance int
-	// RetryRatio bounds retries to a destination as a share of its successes.
+	// RetryRatio bounds the retries to a destination as a share of its successes.
 	RetryRatio float64
 	MaxDepth   int
-	// DefaultTimeout serves callers that name none; MaxTimeout caps the rest.
+	// DefaultTimeout applies to calls without a timeout; MaxTimeout bounds the timeout of all
+	// calls.
 	DefaultTimeout, MaxTimeout time.Duration
 	DefaultLevel               callctx.Level
-	// Worth of one whole answer by level, for measures and shedding.
+	// Worth is the value of one complete response by level, for shedding and measurements.
 	Worth [callctx.Levels]float64
 
 	// KeyRequired refuses a non-idempotent call without Idempotency-Key.
 	KeyRequired bool
 	AtMostOnce  string
-	// ResendHorizon is how long callers may send a key again.
+	// ResendHorizon is the time for which callers may send a key again.
 	ResendHorizon   time.Duration
 	KeepAnswers     time.Duration
 	KeepAnswerBytes int64
-	// MaxBody bounds a body in bytes that is held for a retry.
+	// MaxBody bounds the size in bytes of a body that is held for a retry.
 	MaxBody int64
-	// IdempotentMethods are methods whose calls may run twice.
+	// IdempotentMethods are the methods whose calls may run twice.
 	IdempotentMethods []string
 
 	QueueLimit                              int
 	SojournTarget, SojournInterval, MaxWait time.Duration
-	// Adapt lets the concurrency limit follow measured latency.
+	// Adapt adjusts the concurrency limit to the measured latency.
 	Adapt bool
 
 	SlowStart       time.Duration
 	EjectFor        time.Duration
 	MaxEjectedShare float64
-	// QuarantineFor is how long a request that crashes upstreams is refused.
+	// QuarantineFor is the time for which a request that crashes upstreams is refused.
 	QuarantineFor time.Duration
 }
 
-// Idempotent reports whether calls with that method may run twice.
+// Idempotent reports whether calls with the method may run twice.
 func (e *Effective) Idempotent(method string) bool {
 	return slices.Contains(e.IdempotentMethods, method)
 }
@@ -72,15 +73,14 @@
 	New   string `json:"new"`
 }
 
-// Diff lists the fields that differ, in the order of the behaviour's fields.
-// A nil behaviour stands for none.
+// Diff returns the fields that differ, in the order of Fields. A nil behaviour has no fields.
 func Diff(old, new *Effective) []Change {
 	var changes []Change
 	for i := range fields {
 		f := &fields[i]
-		was, is := f.show(old), f.show(new)
-		if was != is {
-			changes = append(changes, Change{Field: f.Name, Old: was, New: is})
+		oldText, newText := f.format(old), f.format(new)
+		if oldText != newText {
+			changes = append(changes, Change{Field: f.Name, Old: oldText, New: newText})
 		}
 	}
 	return changes
--- a/internal/policy/examples_test.go
+++ b/internal/policy/examples_test.go
@@ -9,9 +9,9 @@
 	"github.com/galenagrade/galenagrade/internal/policy"
 )
 
-// Operators publish the ready templates from files; a file must hold the
-// template that the library has under its name.
-func TestTemplateFilesAreTheLibrary(t *testing.T) {
+// Guards against an example file that differs from the template of the same name in the library.
+// Operators publish the templates from these files.
+func TestTemplateFilesMatchLibrary(t *testing.T) {
 	for _, want := range policy.Library() {
 		doc, err := os.ReadFile("../../examples/templates/" + want.Name + ".json")
 		must.NoError(t, err)
--- a/internal/policy/fields.go
+++ b/internal/policy/fields.go
@@ -8,17 +8,17 @@
 	"github.com/galenagrade/galenagrade/internal/callctx"
 )
 
-// Field describes one behaviour field: how it is written, its default and its
-// bounds (both included).
+// Field describes a behaviour field: its text form, its default and its bounds, which are
+// inclusive.
 type Field struct {
 	Name string
-	// Type is that of parameters that may feed it; empty for fields that take
-	// a literal only.
+	// Type is the type of the parameters that the field may refer to; empty for fields that
+	// accept only a literal.
 	Type Type
-	// Unit is how a figure is counted; durations carry their own.
+	// Unit is the unit of a number. Durations include their unit in the value.
 	Unit              string
 	Default, Min, Max string
-	// Choices are the words of a field without Type.
+	// Choices are the valid values of a field without Type.
 	Choices []string
 	// List allows several choices, separated by commas.
 	List bool
@@ -32,8 +32,7 @@
 // Fields returns the behaviour fields in their order of display.
 func Fields() []Field { return append([]Field(nil), fields...) }
 
-// scalar is a decoded value of any type; which member counts is the field's
-// type.
+// scalar is a decoded value of any type. The type of the field selects the member that is set.
 type scalar struct {
 	i int64
 	f float64
@@ -42,43 +41,43 @@
 	s string
 }
 
-func intField(name, unit, def, low, high, help string, value func(*Behaviour) *Value, at func(*Effective) *int) Field {
+func intField(name, unit, def, low, high, help string, value func(*Behaviour) *Value, target func(*Effective) *int) Field {
 	return Field{
 		Name: name, Type: TypeInt, Unit: unit, Default: def, Min: low, Max: high, Help: help, value: value,
-		set: func(e *Effective, s scalar) { *at(e) = int(s.i) },
-		get: func(e *Effective) scalar { return scalar{i: int64(*at(e))} },
+		set: func(e *Effective, s scalar) { *target(e) = int(s.i) },
+		get: func(e *Effective) scalar { return scalar{i: int64(*target(e))} },
 	}
 }
 
-func bytesField(name, def, low, high, help string, value func(*Behaviour) *Value, at func(*Effective) *int64) Field {
+func bytesField(name, def, low, high, help string, value func(*Behaviour) *Value, target func(*Effective) *int64) Field {
 	return Field{
 		Name: name, Type: TypeInt, Unit: "bytes", Default: def, Min: low, Max: high, Help: help, value: value,
-		set: func(e *Effective, s scalar) { *at(e) = s.i },
-		get: func(e *Effective) scalar { return scalar{i: *at(e)} },
+		set: func(e *Effective, s scalar) { *target(e) = s.i },
+		get: func(e *Effective) scalar { return scalar{i: *target(e)} },
 	}
 }
 
-func floatField(name, unit, def, low, high, help string, value func(*Behaviour) *Value, at func(*Effective) *float64) Field {
+func floatField(name, unit, def, low, high, help string, value func(*Behaviour) *Value, target func(*Effective) *float64) Field {
 	return Field{
 		Name: name, Type: TypeFloat, Unit: unit, Default: def, Min: low, Max: high, Help: help, value: value,
-		set: func(e *Effective, s scalar) { *at(e) = s.f },
-		get: func(e *Effective) scalar { return scalar{f: *at(e)} },
+		set: func(e *Effective, s scalar) { *target(e) = s.f },
+		get: func(e *Effective) scalar { return scalar{f: *target(e)} },
 	}
 }
 
-func durationField(name, def, low, high, help string, value func(*Behaviour) *Value, at func(*Effective) *time.Duration) Field {
+func durationField(name, def, low, high, help string, value func(*Behaviour) *Value, target func(*Effective) *time.Duration) Field {
 	return Field{
 		Name: name, Type: TypeDuration, Unit: "duration", Default: def, Min: low, Max: high, Help: help, value: value,
-		set: func(e *Effective, s scalar) { *at(e) = s.d },
-		get: func(e *Effective) scalar { return scalar{d: *at(e)} },
+		set: func(e *Effective, s scalar) { *target(e) = s.d },
+		get: func(e *Effective) scalar { return scalar{d: *target(e)} },
 	}
 }
 
-func boolField(name, def, help string, value func(*Behaviour) *Value, at func(*Effective) *bool) Field {
+func boolField(name, def, help string, value func(*Behaviour) *Value, target func(*Effective) *bool) Field {
 	return Field{
 		Name: name, Type: TypeBool, Default: def, Help: help, value: value,
-		set: func(e *Effective, s scalar) { *at(e) = s.b },
-		get: func(e *Effective) scalar { return scalar{b: *at(e)} },
+		set: func(e *Effective, s scalar) { *target(e) = s.b },
+		get: func(e *Effective) scalar { return scalar{b: *target(e)} },
 	}
 }
 
--- a/internal/policy/fuzz_test.go
+++ b/internal/policy/fuzz_test.go
@@ -9,9 +9,8 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// FuzzPublication folds hostile records. Whatever is accepted must survive a
-// snapshot; else one operator's document could keep every later snapshot from
-// being read.
+// FuzzPublication folds arbitrary records. An accepted publication must survive encoding in a
+// snapshot; otherwise the document of one operator could make all later snapshots unreadable.
 func FuzzPublication(f *testing.F) {
 	for _, p := range []*Publication{
 		{ID: "x", Author: "ito", BaseVersion: 1, Template: testTemplate("strict", 2, 7)},
@@ -25,9 +24,9 @@
 	base.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
 	f.Fuzz(func(t *testing.T, kind string, body []byte) {
 		e := logstore.Entry{Offset: 1, Record: logstore.Record{ID: "x", Kind: logstore.Kind(kind), Body: body}}
-		s := base.now().Apply(e)
+		s := base.current().Apply(e)
 		if needsNewerRules(e) {
-			must.Eq(t, base.now(), s)
+			must.Eq(t, base.current(), s)
 			return
 		}
 		must.Eq(t, 2, s.Version())
@@ -39,7 +38,7 @@
 	})
 }
 
-// FuzzTemplate decodes templates; a valid one must resolve with its defaults.
+// FuzzTemplate decodes arbitrary templates; a valid one must resolve with its defaults.
 func FuzzTemplate(f *testing.F) {
 	for _, tpl := range Library() {
 		data, err := json.Marshal(tpl)
@@ -58,8 +57,8 @@
 	})
 }
 
-// FuzzInstance decodes instances and resolves them under a ready template;
-// whatever passes is within the bounds of every field.
+// FuzzInstance decodes arbitrary instances and resolves them under a ready-made template. In a
+// resolved behaviour every field must be within its bounds.
 func FuzzInstance(f *testing.F) {
 	balanced := Library()[1]
 	f.Add([]byte(`{"workspace":"chikugo","service":"letters","template":"balanced","revision":1,"values":{"queue_limit":"5"}}`))
@@ -75,18 +74,18 @@
 		}
 		for i := range fields {
 			var errs FieldErrors
-			fields[i].parse(&errs, fields[i].Name, fields[i].show(e))
+			fields[i].parse(&errs, fields[i].Name, fields[i].format(e))
 			must.Nil(t, errs)
 		}
 	})
 }
 
-// FuzzState reads hostile snapshots; what is taken must come out the same.
+// FuzzState decodes arbitrary snapshots; an accepted state must encode to the same bytes again.
 func FuzzState(f *testing.F) {
 	h := newHistory()
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
 	h.append(record(&Publication{ID: "i", Author: "ito", Instance: testInstance("letters", "strict", 1, "2")}))
-	f.Add([]byte(mustMarshal(f, h.now())))
+	f.Add([]byte(mustMarshal(f, h.current())))
 	f.Add([]byte(`{"format":1,"version":3,"templates":[{"revisions":[]}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := UnmarshalState(data)
--- a/internal/policy/history_test.go
+++ b/internal/policy/history_test.go
@@ -11,10 +11,10 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// epoch is the start of every test's clock.
+// epoch is the start of the clock in every test.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// testTemplate has one parameter; step makes revisions differ.
+// testTemplate returns a template with one parameter; step makes revisions differ.
 func testTemplate(name string, revision, step int) *Template {
 	return &Template{
 		Name: name, Revision: revision,
@@ -38,15 +38,15 @@
 	return r
 }
 
-// history drives one log and several replicas that read it at their own pace.
-// The oracle folds every record at once and keeps every state it went through.
+// history drives one log and several replicas that read it at different speeds. The oracle folds
+// every record at once and keeps the state after each.
 type history struct {
-	log      []logstore.Record
-	oldest   int64
-	oracle   []*State
-	stale    []logstore.Record
-	replicas []*Replica
-	serial   int
+	log       []logstore.Record
+	oldest    int64
+	oracle    []*State
+	snapshots []logstore.Record
+	replicas  []*Replica
+	serial    int
 }
 
 func newHistory() *history {
@@ -57,14 +57,14 @@
 	return h
 }
 
-// newReplica starts with nothing and a window small enough to be jumped to.
+// newReplica returns an empty replica with a window so small that scans jump to it.
 func newReplica() *Replica {
 	r := NewReplica(nil)
 	r.window = 4
 	return r
 }
 
-// startedHistory has two templates to make instances of.
+// startedHistory returns a history with two accepted templates.
 func startedHistory() *history {
 	h := newHistory()
 	for _, name := range []string{"strict", "loose"} {
@@ -73,38 +73,40 @@
 	return h
 }
 
-func (h *history) now() *State { return h.oracle[len(h.oracle)-1] }
+func (h *history) current() *State { return h.oracle[len(h.oracle)-1] }
 
 func (h *history) append(r logstore.Record) {
 	e := logstore.Entry{Offset: int64(len(h.log)), Record: r}
 	h.log = append(h.log, r)
-	h.oracle = append(h.oracle, h.now().Apply(e))
+	h.oracle = append(h.oracle, h.current().Apply(e))
 }
 
-func (h *history) page(from int64, most int) logstore.Page {
+func (h *history) page(from int64, limit int) logstore.Page {
 	p := logstore.Page{Next: from, Head: int64(len(h.log)), Oldest: h.oldest}
-	for p.Next < p.Head && len(p.Entries) < most {
+	for p.Next < p.Head && len(p.Entries) < limit {
 		p.Entries = append(p.Entries, logstore.Entry{Offset: p.Next, Record: h.log[p.Next]})
 		p.Next++
 	}
 	return p
 }
 
-// read makes one read of replica r, as Follow would.
-func (h *history) read(r *Replica, most int) {
+// read makes one read of replica r, as logstore.Follow does.
+func (h *history) read(r *Replica, limit int) {
 	if r.Next() < h.oldest {
 		r.Truncated(h.oldest)
 		return
 	}
-	r.Take(h.page(r.Next(), most))
+	r.Take(h.page(r.Next(), limit))
 }
 
+// catchUp reads until r has reached the head, if it can.
 func (h *history) catchUp(r *Replica) {
 	for range 12 {
 		h.read(r, len(h.log)/2+1)
 	}
 }
 
+// publication draws a publication based on the state of one of the replicas.
 func (h *history) publication(t *rapid.T) *Publication {
 	h.serial++
 	p := &Publication{ID: fmt.Sprint("p", h.serial), Author: rapid.SampledFrom([]string{"ito", "reyes"}).Draw(t, "author")}
@@ -134,8 +136,9 @@
 	return p
 }
 
+// actions returns the random steps of the property tests.
 func (h *history) actions() map[string]func(*rapid.T) {
-	pick := func(t *rapid.T) *Replica { return rapid.SampledFrom(h.replicas).Draw(t, "replica") }
+	randomReplica := func(t *rapid.T) *Replica { return rapid.SampledFrom(h.replicas).Draw(t, "replica") }
 	return map[string]func(*rapid.T){
 		"publish": func(t *rapid.T) { h.append(record(h.publication(t))) },
 		"repeat": func(t *rapid.T) {
@@ -151,25 +154,25 @@
 		},
 		"take snapshot": func(t *rapid.T) {
 			h.serial++
-			r, err := pick(t).State().SnapshotRecord(fmt.Sprint("s", h.serial), epoch)
+			r, err := randomReplica(t).State().SnapshotRecord(fmt.Sprint("s", h.serial), epoch)
 			must.NoError(t, err)
-			h.stale = append(h.stale, r)
+			h.snapshots = append(h.snapshots, r)
 		},
 		"append snapshot": func(t *rapid.T) {
-			if len(h.stale) > 0 {
-				h.append(rapid.SampledFrom(h.stale).Draw(t, "snapshot"))
+			if len(h.snapshots) > 0 {
+				h.append(rapid.SampledFrom(h.snapshots).Draw(t, "snapshot"))
 			}
 		},
 		"truncate": func(t *rapid.T) {
 			h.oldest = rapid.Int64Range(h.oldest, int64(len(h.log))).Draw(t, "oldest")
 		},
-		"read": func(t *rapid.T) { h.read(pick(t), rapid.IntRange(1, 5).Draw(t, "most")) },
+		"read": func(t *rapid.T) { h.read(randomReplica(t), rapid.IntRange(1, 5).Draw(t, "most")) },
 		"merge": func(t *rapid.T) {
-			data, err := pick(t).State().Marshal()
+			data, err := randomReplica(t).State().Marshal()
 			must.NoError(t, err)
 			peer, err := UnmarshalState(data)
 			must.NoError(t, err)
-			pick(t).Merge(peer)
+			randomReplica(t).Merge(peer)
 		},
 		"restart": func(t *rapid.T) {
 			i := rapid.IntRange(0, len(h.replicas)-1).Draw(t, "i")
@@ -178,12 +181,13 @@
 	}
 }
 
-// Guards against replicas that hold different configurations, however they came to them.
+// Guards against replicas with different configurations at the same version, whether they read
+// records, scanned for a snapshot, merged a peer's state or restarted.
 func TestEveryReplicaDecidesTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := startedHistory()
 		actions := h.actions()
-		floor := map[*Replica]*State{}
+		lastSeen := map[*Replica]*State{}
 		actions[""] = func(t *rapid.T) {
 			for i, r := range h.replicas {
 				s := r.State()
@@ -191,13 +195,13 @@
 				must.Eq(t, want, mustMarshal(t, s), must.Sprintf("replica %d", i))
 				must.Eq(t, h.oracle[s.Version()].effective, s.effective)
 				must.Eq(t, h.oracle[s.Version()].decisions.list, s.decisions.list)
-				if before := floor[r]; before != nil {
-					mustNotFall(t, before, s)
+				if before := lastSeen[r]; before != nil {
+					mustNotDecrease(t, before, s)
 				}
-				floor[r] = s
+				lastSeen[r] = s
 			}
 			if n := len(h.oracle); n > 1 {
-				mustNotFall(t, h.oracle[n-2], h.oracle[n-1])
+				mustNotDecrease(t, h.oracle[n-2], h.oracle[n-1])
 			}
 		}
 		t.Repeat(actions)
@@ -210,7 +214,9 @@
 	return string(data)
 }
 
-func mustNotFall(t rapid.TB, before, after *State) {
+// mustNotDecrease checks that no version decreases, and that an object with the same last change
+// has the same behaviour.
+func mustNotDecrease(t rapid.TB, before, after *State) {
 	must.GreaterEq(t, before.Version(), after.Version())
 	for k, entry := range before.instances {
 		must.GreaterEq(t, entry.last.Version, after.InstanceVersion(k.workspace, k.service))
@@ -223,14 +229,14 @@
 	}
 }
 
-// As long as records expire only below what the newest snapshot folds, every
-// reader comes to the head, wherever it stopped and with whatever it started.
+// Guards against a reader that can't reach the head although records expire only below the
+// version of the newest snapshot, wherever it stopped and whatever state it started with.
 func TestExpiryBelowSnapshotLosesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := startedHistory()
 		actions := h.actions()
 		actions["truncate"] = func(t *rapid.T) {
-			if v := int64(h.now().Snapshot().Version); v > h.oldest {
+			if v := int64(h.current().Snapshot().Version); v > h.oldest {
 				h.oldest = rapid.Int64Range(h.oldest, v).Draw(t, "oldest")
 			}
 		}
@@ -238,7 +244,7 @@
 		for _, r := range append(h.replicas, newReplica(), NewReplica(nil)) {
 			h.catchUp(r)
 			must.False(t, r.Behind())
-			must.Eq(t, mustMarshal(t, h.now()), mustMarshal(t, r.State()))
+			must.Eq(t, mustMarshal(t, h.current()), mustMarshal(t, r.State()))
 		}
 	})
 }
--- a/internal/policy/library.go
+++ b/internal/policy/library.go
@@ -1,26 +1,25 @@
 package policy
 
-// Library returns the ready templates. They are in force nowhere until an
-// operator publishes them: were they built in, nodes of two releases could
-// fold one log to two configurations.
+// Library returns the ready-made templates. They apply only once an operator publishes them: if
+// they were built in, nodes of two releases could fold one log into two configurations.
 func Library() []Template {
 	return []Template{strict(), balanced(), recoveryFirst()}
 }
 
-// common are the parameters that every ready template has.
-func common(allowance, timeout, most, horizon, keep, queue string) []Parameter {
+// common returns the parameters that every ready-made template has.
+func common(allowance, timeout, maxTimeout, horizon, keepAnswers, queueLimit string) []Parameter {
 	return []Parameter{
 		{Name: "retry_allowance", Type: TypeInt, Unit: "retries", Default: allowance, Min: "0", Max: "4",
 			Help: "retries of one root request over its whole tree"},
 		{Name: "default_timeout", Type: TypeDuration, Unit: "duration", Default: timeout, Min: "50ms", Max: "5m",
 			Help: "time for callers that name none"},
-		{Name: "max_timeout", Type: TypeDuration, Unit: "duration", Default: most, Min: "100ms", Max: "10m",
+		{Name: "max_timeout", Type: TypeDuration, Unit: "duration", Default: maxTimeout, Min: "100ms", Max: "10m",
 			Help: "longest time a caller may ask for"},
 		{Name: "resend_horizon", Type: TypeDuration, Unit: "duration", Default: horizon, Min: "10s", Max: "24h",
 			Help: "how long callers may send a key again"},
-		{Name: "keep_answers", Type: TypeDuration, Unit: "duration", Default: keep, Min: "10s", Max: "24h",
+		{Name: "keep_answers", Type: TypeDuration, Unit: "duration", Default: keepAnswers, Min: "10s", Max: "24h",
 			Help: "how long an answer is kept for resends"},
-		{Name: "queue_limit", Type: TypeInt, Unit: "calls", Default: queue, Min: "0", Max: "1024",
+		{Name: "queue_limit", Type: TypeInt, Unit: "calls", Default: queueLimit, Min: "0", Max: "1024",
 			Help: "calls that wait at one guard; about half its slots is usual"},
 		{Name: "slow_start", Type: TypeDuration, Unit: "duration", Default: "10s", Min: "0s", Max: "5m",
 			Help: "time in which a cold upstream comes to its full share"},
@@ -39,7 +38,7 @@
 	}
 }
 
-// strict is for services whose calls have effects outside, such as letters and
+// strict returns the template for services whose calls have external effects, such as letters and
 // certificates.
 func strict() Template {
 	b := commonBehaviour()
@@ -57,8 +56,8 @@
 	}
 }
 
-// balanced favours goodput: longer queues and more retries while there
-// is capacity for them.
+// balanced returns the template for the highest goodput: longer queues and more retries while
+// there is capacity for them.
 func balanced() Template {
 	b := commonBehaviour()
 	b.KeyRequired = "$key_required"
@@ -77,8 +76,8 @@
 	}
 }
 
-// recoveryFirst gives up work early so that queues drain soon after a surge,
-// and spreads worth far between levels.
+// recoveryFirst returns the template for a short recovery time. It sheds work early so that
+// queues drain soon after a surge, and gives the levels values that differ by a large factor.
 func recoveryFirst() Template {
 	b := commonBehaviour()
 	b.KeyRequired = "$key_required"
--- a/internal/policy/linear_test.go
+++ b/internal/policy/linearizability_test.go
@@ -17,64 +17,66 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// operation is one call of an operator; an empty id reads.
+// operation is one call of an operator: a read if id is empty, and a publication otherwise.
 type operation struct {
-	id    string
-	based Version
+	id          string
+	baseVersion Version
 }
 
-// answer is what the operator was told. A read gives the version and who set
-// it; a publication its outcome, empty when that never became known.
-type answer struct {
+// response is the result of an operation. A read returns the version and the ID of the last
+// change; a publication returns its outcome, empty if it is unknown.
+type response struct {
 	outcome Outcome
 	version Version
 	id      string
 }
 
-// cell is the model of one object: who set it last, at which version. The
-// version of a write whose outcome is unknown is settled by the next read.
-type cell struct {
+// register is the model of one object: the ID and the version of its last change. The version of
+// a publication with unknown outcome is unknownVersion until the next read.
+type register struct {
 	id      string
 	version Version
 }
 
-const unsettled Version = -1
+const unknownVersion Version = -1
 
-// conditionalWrites is the promise to operators: a publication comes in force
-// only on the version that it was based on, and what came in force stays until
-// the next one.
+// conditionalWrites is the guarantee to operators: a publication is accepted only if the object
+// has its base version, and an accepted publication stays in force until the next one.
 var conditionalWrites = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{cell{}} },
+	Init: func() []any { return []any{register{}} },
 	Step: func(state, input, output any) []any {
-		return step(state.(cell), input.(operation), output.(answer))
+		return step(state.(register), input.(operation), output.(response))
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func step(c cell, op operation, out answer) []any {
+// step returns the possible states of the model after an operation; none if its response is
+// impossible.
+func step(c register, op operation, out response) []any {
 	switch {
 	case op.id == "":
-		if c.id == out.id && (c.version == out.version || c.version == unsettled) {
-			return []any{cell{out.id, out.version}}
+		if c.id == out.id && (c.version == out.version || c.version == unknownVersion) {
+			return []any{register{out.id, out.version}}
 		}
 	case out.outcome == Accepted:
-		if c.version == op.based && out.version > c.version {
-			return []any{cell{op.id, out.version}}
+		if c.version == op.baseVersion && out.version > c.version {
+			return []any{register{op.id, out.version}}
 		}
 	case out.outcome == Lost:
-		if c.id == out.id && (c.version == out.version || c.version == unsettled) && out.version != op.based {
-			return []any{cell{out.id, out.version}}
+		if c.id == out.id && (c.version == out.version || c.version == unknownVersion) && out.version != op.baseVersion {
+			return []any{register{out.id, out.version}}
 		}
 	default:
-		if c.version == op.based {
-			return []any{c, cell{op.id, unsettled}}
+		if c.version == op.baseVersion {
+			return []any{c, register{op.id, unknownVersion}}
 		}
 		return []any{c}
 	}
 	return nil
 }
 
-func check(ops []porcupine.Operation) bool {
+// isLinearizable reports whether a history fits the model.
+func isLinearizable(ops []porcupine.Operation) bool {
 	m := conditionalWrites.ToModel()
 	return porcupine.CheckOperations(m, ops)
 }
@@ -114,8 +116,8 @@
 	return o.replica.State()
 }
 
-// fresh returns a state that holds all that was acknowledged before the call.
-func (o *operator) fresh(ctx context.Context) *State {
+// latestState returns a state that contains all records acknowledged before the call.
+func (o *operator) latestState(ctx context.Context) *State {
 	head, err := o.log.Head(ctx)
 	for err != nil {
 		time.Sleep(10 * time.Millisecond)
@@ -127,49 +129,49 @@
 	return o.state()
 }
 
-// publish sends one change of the one instance and reports what it was told.
-func (o *operator) publish(ctx context.Context, id string, based Version, allowance int) answer {
-	p := &Publication{ID: id, Author: "ito", BaseVersion: based, Instance: testInstance("letters", "strict", 1, fmt.Sprint(allowance))}
+// publish publishes one change of the instance and returns the reported outcome.
+func (o *operator) publish(ctx context.Context, id string, baseVersion Version, allowance int) response {
+	p := &Publication{ID: id, Author: "ito", BaseVersion: baseVersion, Instance: testInstance("letters", "strict", 1, fmt.Sprint(allowance))}
 	if _, err := o.app.Append(ctx, record(p)); errors.Is(err, logstore.ErrUncertain) {
-		return answer{}
+		return response{}
 	}
 	d, ok := o.state().Decision(id)
 	switch {
 	case !ok:
-		return answer{}
+		return response{}
 	case d.Lost != nil:
-		return answer{outcome: Lost, version: d.Lost.Version, id: d.Lost.ID}
+		return response{outcome: Lost, version: d.Lost.Version, id: d.Lost.ID}
 	}
-	return answer{outcome: d.Outcome, version: d.Version, id: id}
+	return response{outcome: d.Outcome, version: d.Version, id: id}
 }
 
-func (o *operator) read(ctx context.Context) answer {
-	s := o.fresh(ctx)
+func (o *operator) read(ctx context.Context) response {
+	s := o.latestState(ctx)
 	e, ok := s.instances[key{"chikugo", "letters"}]
 	if !ok {
-		return answer{}
+		return response{}
 	}
-	return answer{version: e.last.Version, id: e.last.ID}
+	return response{version: e.last.Version, id: e.last.ID}
 }
 
-// recorder collects the history. Unknown outcomes end only with the run: the
-// record may come into the log at any later moment.
+// recorder collects the history. An operation with unknown outcome ends with the run, since its
+// record may be appended at any later time.
 type recorder struct {
-	mu   sync.Mutex
-	tick int64
-	ops  []porcupine.Operation
+	mu    sync.Mutex
+	clock int64
+	ops   []porcupine.Operation
 }
 
-func (r *recorder) run(client int, op operation, call func() answer) answer {
+func (r *recorder) run(client int, op operation, call func() response) response {
 	r.mu.Lock()
-	r.tick++
-	start := r.tick
+	r.clock++
+	start := r.clock
 	r.mu.Unlock()
 	out := call()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tick++
-	end := r.tick
+	r.clock++
+	end := r.clock
 	if op.id != "" && out.outcome == "" {
 		end = 1 << 40
 	}
@@ -177,16 +179,16 @@
 	return out
 }
 
-// Guards against operators being told outcomes that fit no order of their writes.
+// Guards against outcomes that fit no order of the operators' publications and reads.
 func TestConcurrentOperatorsAreLinearizable(t *testing.T) {
 	outcomes := map[Outcome]int{}
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
-			ops := concurrentRun(t, seed)
-			must.True(t, check(ops), must.Sprintf("seed %d", seed))
+			ops := runOperators(t, seed)
+			must.True(t, isLinearizable(ops), must.Sprintf("seed %d", seed))
 			for _, op := range ops {
 				if op.Input.(operation).id != "" {
-					outcomes[op.Output.(answer).outcome]++
+					outcomes[op.Output.(response).outcome]++
 				}
 			}
 		})
@@ -195,7 +197,7 @@
 	must.MapContainsKeys(t, outcomes, []Outcome{Accepted, Lost, ""})
 }
 
-func concurrentRun(t *testing.T, seed uint64) []porcupine.Operation {
+func runOperators(t *testing.T, seed uint64) []porcupine.Operation {
 	log := logd.New(logd.Options{Seed: seed})
 	_, err := log.Append(t.Context(), []logstore.Record{record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)})})
 	must.NoError(t, err)
@@ -227,14 +229,14 @@
 	return &operator{log: log, app: app, replica: NewReplica(nil)}
 }
 
-// work reads and publishes; some calls are given up early.
+// work reads and publishes in turn; some calls have short timeouts.
 func (o *operator) work(ctx context.Context, rec *recorder, client int, rng *rand.Rand) {
 	for i := range 10 {
-		seen := rec.run(client, operation{}, func() answer { return o.read(ctx) })
+		seen := rec.run(client, operation{}, func() response { return o.read(ctx) })
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 		id := fmt.Sprintf("c%d-%d", client, i)
-		op := operation{id: id, based: seen.version}
-		rec.run(client, op, func() answer {
+		op := operation{id: id, baseVersion: seen.version}
+		rec.run(client, op, func() response {
 			limit := time.Duration(20+rng.IntN(2000)) * time.Millisecond
 			callCtx, cancel := context.WithTimeout(ctx, limit)
 			defer cancel()
@@ -243,30 +245,31 @@
 	}
 }
 
-// Hand-written histories that break the promise: the checker must refuse each.
+// Guards against a checker that accepts every history: it must refuse each of these histories,
+// which violate the guarantee.
 func TestCheckerRefusesBadHistories(t *testing.T) {
-	write := func(at int64, id string, based Version, out answer) porcupine.Operation {
-		return porcupine.Operation{Input: operation{id, based}, Output: out, Call: at, Return: at + 1}
+	write := func(at int64, id string, baseVersion Version, out response) porcupine.Operation {
+		return porcupine.Operation{Input: operation{id, baseVersion}, Output: out, Call: at, Return: at + 1}
 	}
 	read := func(at int64, id string, version Version) porcupine.Operation {
-		return porcupine.Operation{Input: operation{}, Output: answer{version: version, id: id}, Call: at, Return: at + 1}
+		return porcupine.Operation{Input: operation{}, Output: response{version: version, id: id}, Call: at, Return: at + 1}
 	}
-	accepted := func(v Version) answer { return answer{outcome: Accepted, version: v} }
+	accepted := func(v Version) response { return response{outcome: Accepted, version: v} }
 	good := []porcupine.Operation{
 		write(1, "a", 0, accepted(5)), read(3, "a", 5),
-		write(5, "b", 0, answer{Lost, 5, "a"}), write(7, "c", 5, answer{}), read(9, "c", 8),
+		write(5, "b", 0, response{Lost, 5, "a"}), write(7, "c", 5, response{}), read(9, "c", 8),
 	}
-	must.True(t, check(good))
+	must.True(t, isLinearizable(good))
 	bad := map[string][]porcupine.Operation{
 		"both of two racing changes accepted": {write(1, "a", 0, accepted(5)), write(3, "b", 0, accepted(6))},
 		"accepted change reverted":            {write(1, "a", 0, accepted(5)), write(3, "b", 5, accepted(6)), read(5, "a", 5)},
 		"accepted change lost":                {write(1, "a", 0, accepted(5)), read(3, "", 0)},
-		"lost to one that never was":          {write(1, "a", 0, accepted(5)), write(3, "b", 0, answer{Lost, 4, "x"})},
+		"lost to one that never was":          {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{Lost, 4, "x"})},
 		"version fell":                        {write(1, "a", 0, accepted(5)), write(3, "b", 5, accepted(4))},
-		"unknown change applied on another":   {write(1, "a", 0, accepted(5)), write(3, "b", 0, answer{}), read(5, "b", 7)},
-		"lost change came in force":           {write(1, "a", 0, accepted(5)), write(3, "b", 0, answer{Lost, 5, "a"}), read(5, "b", 7)},
+		"unknown change applied on another":   {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{}), read(5, "b", 7)},
+		"lost change came in force":           {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{Lost, 5, "a"}), read(5, "b", 7)},
 	}
 	for name, ops := range bad {
-		must.False(t, check(ops), must.Sprint(name))
+		must.False(t, isLinearizable(ops), must.Sprint(name))
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,7 +1,7 @@
-// Package policy decides what configuration is in force. Operators publish
-// templates of overload behaviour and instances of them; the log orders the
-// publications; a deterministic fold accepts or refuses each one. The package
-// is pure: no I/O, no clock, no goroutines.
+// Package policy computes the overload behaviour in force for each service. Operators publish
+// templates of overload behaviour and instances of templates. The log orders the publications,
+// and a deterministic fold accepts or refuses each one, so that all readers of the log have the
+// same configuration. The package is pure: no I/O, no clock, no goroutines.
 package policy
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// Version of an object is the offset of the record that decided it plus one;
-// 0 means that there is none. The version of a State is the offset up to which
-// the log was folded. Both only grow.
+// Version orders the changes of an object and the states of the log. The version of an object is
+// the offset of the record that last changed it plus 1; 0 means that the object does not exist.
+// The version of a State is the offset up to which the log is folded. Both only increase.
 type Version int64
 
-// Type of a parameter.
+// Type is the type of a parameter.
 type Type string
 
 // Types of parameters.
@@ -28,9 +28,9 @@
 	TypeBool     Type = "bool"
 )
 
-// Parameter is a value that an instance of a template may set. Default, Min
-// and Max are written as values are; an empty Min or Max means that the bound
-// of the behaviour field that it feeds is the only one.
+// Parameter is a value that an instance of a template may set. Default, Min and Max have the text
+// form of values. An empty Min or Max means that only the bound of the behaviour field applies
+// that refers to the parameter.
 type Parameter struct {
 	Name    string `json:"name"`
 	Type    Type   `json:"type"`
@@ -41,8 +41,8 @@
 	Help    string `json:"help,omitempty"`
 }
 
-// Template is a named behaviour with parameters. A revision never changes once
-// accepted; instances name the revision that they were made from.
+// Template is a named behaviour with parameters. A revision does not change once accepted;
+// instances name the revision that they are made from.
 type Template struct {
 	Name       string      `json:"name"`
 	Revision   int         `json:"revision"`
@@ -51,36 +51,35 @@
 	Behaviour  Behaviour   `json:"behaviour"`
 }
 
-// Instance puts a template in force for one service of a workspace.
+// Instance applies a template to one service of a workspace.
 type Instance struct {
 	Workspace string            `json:"workspace"`
 	Service   string            `json:"service"`
 	Template  string            `json:"template,omitempty"`
 	Revision  int               `json:"revision,omitempty"`
 	Values    map[string]string `json:"values,omitempty"`
-	// Withdrawn puts nothing in force, and names no template. The object keeps
-	// its version, so that no repeat of an old publication brings it back.
+	// Withdrawn removes the behaviour of the service; the instance then names no template. The
+	// object keeps its version, so that a retry of an old publication can't restore it.
 	Withdrawn bool `json:"withdrawn,omitempty"`
 }
 
-// Publication proposes one change; exactly one of Template and Instance is
-// set.
+// Publication proposes one change. Exactly one of Template and Instance is set.
 type Publication struct {
-	// ID is the ID of the record that carries it.
+	// ID is the ID of the log record that contains the publication.
 	ID     string `json:"id"`
 	Author string `json:"author"`
-	// BaseVersion is the version of the object that the author saw; 0 to create.
+	// BaseVersion is the version of the object that the author read; 0 to create the object.
 	BaseVersion Version `json:"based"`
-	// Rules is the rule set that decides p; 0 means the first. See RulesVersion.
+	// Rules is the version of the rules by which the publication is decided; 0 means the first.
+	// See RulesVersion.
 	Rules    int       `json:"rules,omitempty"`
 	Template *Template `json:"template,omitempty"`
 	Instance *Instance `json:"instance,omitempty"`
 }
 
-// RulesVersion is the newest set of fields, bounds and checks that this release
-// decides by. A release that adds or changes one counts it up and keeps the
-// older sets for the publications that name them. Without that, nodes of two
-// releases would fold one log to two configurations.
+// RulesVersion is the version of the fields, bounds and checks by which this release decides. A
+// release that adds or changes one increases it, and keeps the older rules for the publications
+// that name them. Otherwise nodes of two releases would fold one log into two configurations.
 const RulesVersion = 1
 
 // Bounds of names and documents.
@@ -92,14 +91,13 @@
 	MaxHelpBytes = 512
 	// MaxValueBytes bounds the text of one value.
 	MaxValueBytes = 128
-	// MaxStateBytes bounds the accepted templates and instances as snapshots
-	// hold them. Beside it a snapshot holds at most maxDecisions decisions, so
-	// that it always fits logstore.MaxRecordBytes: a state that no snapshot
-	// can hold would be lost when its records expire.
+	// MaxStateBytes bounds the templates and instances in a snapshot. A snapshot also has at most
+	// maxDecisions decisions, so that it always fits logstore.MaxRecordBytes: a state that fits
+	// no snapshot would be lost when its records expire.
 	MaxStateBytes = 1280 << 10
 )
 
-// Record returns the log record of p, written at now.
+// Record returns the log record of p with the time now.
 func (p *Publication) Record(now time.Time) (logstore.Record, error) {
 	body, err := json.Marshal(p)
 	if err != nil {
@@ -115,7 +113,7 @@
 	return logstore.KindInstance
 }
 
-// Object names what p changes, such as "instance chikugo/letters".
+// Object identifies the object that p changes, such as "instance chikugo/letters".
 func (p *Publication) Object() string {
 	switch {
 	case p.Template != nil:
@@ -129,7 +127,7 @@
 func templateObject(name string) string               { return "template " + name }
 func instanceObject(workspace, service string) string { return "instance " + workspace + "/" + service }
 
-// FieldError is one refused field.
+// FieldError describes a field that is out of bounds.
 type FieldError struct {
 	Field string `json:"field"`
 	Value string `json:"value"`
@@ -141,7 +139,7 @@
 	return fmt.Sprintf("%s is %q, must be %s", e.Field, e.Value, e.Bound)
 }
 
-// FieldErrors are all refused fields of a document.
+// FieldErrors lists the fields of a document that are out of bounds.
 type FieldErrors []FieldError
 
 // Error implements error.
--- a/internal/policy/replica.go
+++ b/internal/policy/replica.go
@@ -7,39 +7,40 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// Replica decides for one process what to read of the log and which state is
-// in force. It is driven by a reader: read from Next, hand the page to Take or
-// the truncation to Truncated, and hand peers' states to Merge.
+// Replica reads the log for one process and holds the state in force. Its caller reads from the
+// offset Next, passes the page to Take or a truncation to Truncated, and passes the states of
+// peers to Merge.
 type Replica struct {
 	state *State
-	// scan is the offset to read next while the entries after state have
-	// expired and a snapshot is looked for; below 0 otherwise.
-	scan int64
-	// skipped is where the scan jumped ahead from, below 0 for nowhere: the
-	// entries from there on are scanned only if the newest hold no snapshot.
-	skipped int64
-	// window is how many of the newest entries the scan looks at first.
+	// scanOffset is the next offset to read while entries after the state have expired and the
+	// replica scans for a snapshot; below 0 otherwise.
+	scanOffset int64
+	// resumeAt is the offset at which the scan jumped to the newest entries; below 0 if it did
+	// not. The entries from there on are scanned only if the newest ones contain no snapshot.
+	resumeAt int64
+	// window is the number of newest entries that the scan reads first.
 	window int64
-	// blocked is one more than the version of the state that could not pass
-	// the next entry; 0 for none.
-	blocked   Version
-	headBelow bool
-	// markVersion is the newest snapshot known at the last SnapshotDue, and
-	// markSince when this process first knew of it, by its own clock.
-	markVersion Version
-	markSince   time.Time
+	// blocked is 1 more than the version of the state that could not fold the next entry; 0 for
+	// none.
+	blocked       Version
+	headRegressed bool
+	// snapshotVersion is the version of the newest snapshot at the last call of SnapshotDue.
+	// snapshotSeenAt is the time at which this process first saw it, by its own clock.
+	snapshotVersion Version
+	snapshotSeenAt  time.Time
 }
 
-// NewReplica starts from a state, or from nothing when it is nil.
+// NewReplica returns a replica that starts with the state from, or with an empty state if from is
+// nil.
 func NewReplica(from *State) *Replica {
 	if from == nil {
 		from = NewState()
 	}
-	return &Replica{state: from, scan: -1, skipped: -1, window: scanWindow}
+	return &Replica{state: from, scanOffset: -1, resumeAt: -1, window: scanWindow}
 }
 
-// scanWindow is twice DefaultSnapshotRule's MaxBehind, so that the newest
-// snapshot lies in it as long as snapshots are written.
+// scanWindow is twice DefaultSnapshotRule's MaxBehind, so that it contains the newest snapshot as
+// long as snapshots are written.
 const scanWindow = 200_000
 
 // State returns the state in force.
@@ -47,114 +48,113 @@
 
 // Next returns the offset to read from.
 func (r *Replica) Next() int64 {
-	if r.scan >= 0 {
-		return r.scan
+	if r.scanOffset >= 0 {
+		return r.scanOffset
 	}
 	return int64(r.state.version)
 }
 
-// Behind reports that entries expired before they were read and no snapshot or
-// peer has filled the gap yet. The state in force is then old but never
-// reverted; a process that just started has none and serves nothing.
-func (r *Replica) Behind() bool { return r.scan >= 0 }
+// Behind reports whether entries expired before they were read and no snapshot or peer has filled
+// the gap yet. The state in force is then outdated, but does not go back. A process that has just
+// started has no state and can't serve.
+func (r *Replica) Behind() bool { return r.scanOffset >= 0 }
 
-// Blocked reports that the next entry needs rules of a newer release. What is
-// in force stays; a newer release, or the state of a peer of one, leads on.
+// Blocked reports whether the next entry needs rules of a newer release. The state in force stays
+// until a newer release runs or a peer with a newer release passes its state.
 func (r *Replica) Blocked() bool { return r.blocked == r.state.version+1 }
 
-// HeadBelow reports that the log's head was below the state at the last page:
-// the log lost acknowledged records or was replaced by another. What comes
-// there next would be skipped as folded already, so it needs an operator; a
-// log whose reads lag may show it for a moment.
-func (r *Replica) HeadBelow() bool { return r.headBelow }
+// HeadRegressed reports whether the log's head in the last page was below the version of the
+// state: the log lost acknowledged records or was replaced by another one. New records at these
+// offsets would be skipped as already folded, so an operator has to intervene. Stale reads of the
+// log can cause it for a moment.
+func (r *Replica) HeadRegressed() bool { return r.headRegressed }
 
-// Take folds a page that was read from Next and reports whether the state
-// changed.
+// Take folds a page that was read from Next and reports whether the state changed.
 func (r *Replica) Take(page logstore.Page) bool {
 	before := r.state.version
-	r.headBelow = page.Head < int64(before)
+	r.headRegressed = page.Head < int64(before)
 	for i := range page.Entries {
-		was := r.state
-		r.state = was.Apply(page.Entries[i])
-		if r.state == was && Version(page.Entries[i].Offset) == was.version {
-			r.blocked = was.version + 1
-			r.scan = page.Next
+		previous := r.state
+		r.state = previous.Apply(page.Entries[i])
+		if r.state == previous && Version(page.Entries[i].Offset) == previous.version {
+			r.blocked = previous.version + 1
+			r.scanOffset = page.Next
 		}
 	}
-	if r.scan < 0 {
+	if r.scanOffset < 0 {
 		return r.state.version > before
 	}
-	r.scan = max(r.scan, page.Next)
-	r.scanOn(page)
+	r.scanOffset = max(r.scanOffset, page.Next)
+	r.advanceScan(page)
 	return r.state.version > before
 }
 
-// scanOn chooses the next step of a scan after page. It goes on to the head,
-// since a newer snapshot spares folding from an older one, and ends only when
-// the entries after the state are still there. A log may hold millions of
-// entries of other kinds, so it jumps to the newest window first.
-func (r *Replica) scanOn(page logstore.Page) {
-	closed := int64(r.state.version) >= page.Oldest && !r.Blocked()
+// advanceScan chooses the next offset of a scan after page. The scan continues to the head, since
+// a newer snapshot saves folding from an older one. It ends only if the entries after the state
+// still exist. A log may have millions of entries of other kinds, so the scan first jumps to the
+// newest window.
+func (r *Replica) advanceScan(page logstore.Page) {
+	contiguous := int64(r.state.version) >= page.Oldest && !r.Blocked()
 	switch {
 	case page.Next < page.Head:
-		if r.skipped < 0 && page.Head-r.scan > r.window {
-			r.skipped = r.scan
-			r.scan = page.Head - r.window
+		if r.resumeAt < 0 && page.Head-r.scanOffset > r.window {
+			r.resumeAt = r.scanOffset
+			r.scanOffset = page.Head - r.window
 		}
-	case closed:
-		r.scan = -1
-		r.skipped = -1
-	case r.skipped >= 0 && r.skipped < page.Head && !r.Blocked():
-		r.scan = max(r.skipped, page.Oldest)
-		r.skipped = scannedAll
+	case contiguous:
+		r.scanOffset = -1
+		r.resumeAt = -1
+	case r.resumeAt >= 0 && r.resumeAt < page.Head && !r.Blocked():
+		r.scanOffset = max(r.resumeAt, page.Oldest)
+		r.resumeAt = scanResumed
 	}
 }
 
-// scannedAll stands in Replica.skipped once a scan went back for what it had
-// skipped; offsets never reach it.
-const scannedAll = math.MaxInt64
+// scanResumed is the value of Replica.resumeAt after the scan has returned to the entries that it
+// jumped over. No offset reaches it.
+const scanResumed = math.MaxInt64
 
-// Truncated is told that a read below oldest failed. Entries between the state
-// and oldest are gone: folding what is left would miss what they accepted, so
-// only a snapshot or a peer's state leads on.
+// Truncated records that a read failed because the log starts at oldest. The entries between the
+// state and oldest have expired, and folding the remaining ones would omit the changes that the
+// expired ones accepted. Only a snapshot or the state of a peer closes the gap.
 func (r *Replica) Truncated(oldest int64) {
 	if oldest > int64(r.state.version) {
-		r.scan = max(r.scan, oldest)
+		r.scanOffset = max(r.scanOffset, oldest)
 		return
 	}
-	r.scan = -1
-	r.skipped = -1
+	r.scanOffset = -1
+	r.resumeAt = -1
 }
 
-// Merge takes a peer's state when it is newer, and reports whether it was.
+// Merge replaces the state by a peer's state if that is newer, and reports whether it was.
 func (r *Replica) Merge(peer *State) bool {
 	if peer == nil || peer.version <= r.state.version {
 		return false
 	}
 	r.state = peer
-	// Whether the entries after it are still there shows at the next read.
-	r.scan = -1
-	r.skipped = -1
+	// The next read shows whether the entries after the new state still exist.
+	r.scanOffset = -1
+	r.resumeAt = -1
 	return true
 }
 
-// SnapshotRule says when a snapshot is written again.
+// SnapshotRule determines when the next snapshot is written.
 type SnapshotRule struct {
-	// Retention is how long the log keeps a record.
+	// Retention is the time for which the log keeps a record.
 	Retention time.Duration
-	// Every is the age at which the newest snapshot is repeated; at most a
+	// Every is the age of the newest snapshot at which the next one is written. It is at most a
 	// quarter of Retention, so that three writers in a row may fail.
 	Every time.Duration
-	// MaxBehind is how many entries a starting reader may have to fold.
+	// MaxBehind is the number of entries that a starting reader may have to fold.
 	MaxBehind int64
 }
 
-// DefaultSnapshotRule fits a log that keeps records for retention.
+// DefaultSnapshotRule returns the rule for a log that keeps records for retention.
 func DefaultSnapshotRule(retention time.Duration) SnapshotRule {
 	return SnapshotRule{Retention: retention, Every: retention / 8, MaxBehind: 100_000}
 }
 
-// Validate reports the first setting out of bounds.
+// Validate returns the settings that are out of bounds as FieldErrors.
 func (r *SnapshotRule) Validate() error {
 	var errs FieldErrors
 	if r.Every <= 0 || r.Every > r.Retention/4 {
@@ -166,37 +166,37 @@
 	return asError(errs)
 }
 
-// SnapshotDue reports whether the state should be written as a snapshot.
-// oldest is that of the last page. It is called now and then; a process that
-// is behind writes none, since what it holds is of no use to a reader.
+// SnapshotDue reports whether the state is to be written as a snapshot. oldest is the oldest
+// offset in the last page. The caller polls it. A process that is behind writes no snapshot,
+// since its state is outdated.
 func (r *Replica) SnapshotDue(rule *SnapshotRule, now time.Time, oldest int64) bool {
 	if r.Behind() {
 		return false
 	}
-	mark := r.state.snapshot
-	if r.markSince.IsZero() || mark.Version != r.markVersion {
-		r.markVersion = mark.Version
-		r.markSince = now
+	snapshot := r.state.snapshot
+	if r.snapshotSeenAt.IsZero() || snapshot.Version != r.snapshotVersion {
+		r.snapshotVersion = snapshot.Version
+		r.snapshotSeenAt = now
 	}
-	return rule.due(r.state, now, now.Sub(r.markSince), oldest)
+	return rule.due(r.state, now, now.Sub(r.snapshotSeenAt), oldest)
 }
 
-// due decides by three ages of the newest snapshot: how long this process has
-// known it, what its writer's clock says, and how far down the log it lies. A
-// wrong clock can only make it due earlier, and the last age needs no clock:
-// so the newest snapshot can't expire because some clock was wrong.
-func (r *SnapshotRule) due(s *State, now time.Time, known time.Duration, oldest int64) bool {
-	mark := s.snapshot
-	behind := int64(s.version - mark.Version)
-	if known >= r.Every || behind > r.MaxBehind {
+// due compares three ages of the newest snapshot with the rule: the time for which this process
+// has known it, its age by the clock of its writer, and its distance from the head of the log. A
+// wrong clock can only make a snapshot due earlier, and the distance needs no clock. The newest
+// snapshot can therefore not expire because of a wrong clock.
+func (r *SnapshotRule) due(s *State, now time.Time, knownFor time.Duration, oldest int64) bool {
+	snapshot := s.snapshot
+	behind := int64(s.version - snapshot.Version)
+	if knownFor >= r.Every || behind > r.MaxBehind {
 		return true
 	}
-	if mark.Version == 0 {
+	if snapshot.Version == 0 {
 		return oldest > 0
 	}
-	if now.Sub(time.UnixMilli(mark.AtMillis)) >= r.Every {
+	if now.Sub(time.UnixMilli(snapshot.AtMillis)) >= r.Every {
 		return true
 	}
-	kept := int64(mark.Version) - oldest
-	return oldest > 0 && behind > kept
+	retained := int64(snapshot.Version) - oldest
+	return oldest > 0 && behind > retained
 }
--- a/internal/policy/scalar.go
+++ b/internal/policy/scalar.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// parseScalar decodes text as t; ok is false when it does not read as one.
+// parseScalar decodes text as a value of type t; ok is false if it is not one.
 func parseScalar(t Type, text string) (s scalar, ok bool) {
 	if len(text) > MaxValueBytes {
 		return scalar{}, false
@@ -33,8 +33,8 @@
 	return s, err == nil
 }
 
-// form says how a value of t is written, for error messages.
-func (t Type) form() string {
+// formatHint describes the text form of values of type t, for error messages.
+func (t Type) formatHint() string {
 	switch t {
 	case TypeInt:
 		return "a whole number"
@@ -55,7 +55,7 @@
 // ordered reports whether values of t can have Min and Max.
 func (t Type) ordered() bool { return t.known() && t != TypeBool }
 
-// less compares two scalars of type t.
+// less reports whether a is less than b, both of type t.
 func (t Type) less(a, b scalar) bool {
 	switch t {
 	case TypeInt:
@@ -68,8 +68,8 @@
 	return false
 }
 
-// show writes a scalar of type t in its one canonical form.
-func (t Type) show(s scalar) string {
+// format returns the canonical text of a scalar of type t.
+func (t Type) format(s scalar) string {
 	switch t {
 	case TypeInt:
 		return strconv.FormatInt(s.i, 10)
@@ -83,12 +83,12 @@
 	return s.s
 }
 
-// parseBounded decodes text as t within low and high (written values, empty
-// for none) and files what is wrong under name.
+// parseBounded decodes text as a value of type t between low and high, which are in text form and
+// empty for no bound. It adds errors under name.
 func parseBounded(errs *FieldErrors, name string, t Type, text, low, high string) (scalar, bool) {
 	s, ok := parseScalar(t, text)
 	if !ok {
-		errs.add(name, text, t.form())
+		errs.add(name, text, t.formatHint())
 		return scalar{}, false
 	}
 	if l, set := parseScalar(t, low); set && t.less(s, l) {
@@ -102,7 +102,7 @@
 	return s, true
 }
 
-// parse decodes a literal of field f, filing what is wrong under name.
+// parse decodes a literal of field f. It adds errors under name.
 func (f *Field) parse(errs *FieldErrors, name, text string) (scalar, bool) {
 	if f.Type != "" {
 		return parseBounded(errs, name, f.Type, text, f.Min, f.Max)
@@ -117,24 +117,24 @@
 	}
 	for _, w := range words {
 		if !slices.Contains(f.Choices, w) {
-			errs.add(name, text, f.choiceForm())
+			errs.add(name, text, f.choicesText())
 			return scalar{}, false
 		}
 	}
 	return scalar{s: text}, true
 }
 
-func (f *Field) choiceForm() string {
+func (f *Field) choicesText() string {
 	if f.List {
 		return "a comma-separated list of " + strings.Join(f.Choices, ", ")
 	}
 	return "one of " + strings.Join(f.Choices, ", ")
 }
 
-// show writes the field of e; a nil e has none.
-func (f *Field) show(e *Effective) string {
+// format returns the text of the field in e; empty if e is nil.
+func (f *Field) format(e *Effective) string {
 	if e == nil {
 		return ""
 	}
-	return f.Type.show(f.get(e))
+	return f.Type.format(f.get(e))
 }
--- a/internal/policy/stories_test.go
+++ b/internal/policy/scenarios_test.go
@@ -10,24 +10,26 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// Guards against the loser of two racing changes having part of its change in force, or not being told.
-func TestRacingOperators(t *testing.T) {
+// Guards against two changes of one version that are both accepted, and against a conflict that
+// is not reported with the publication that caused it.
+func TestConflictingChangesOfTwoOperators(t *testing.T) {
 	h := newHistory()
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
 	h.append(record(&Publication{ID: "i", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")}))
-	based := h.now().InstanceVersion("chikugo", "letters")
-	h.append(record(&Publication{ID: "a", Author: "ito", BaseVersion: based, Instance: testInstance("letters", "strict", 1, "3")}))
-	h.append(record(&Publication{ID: "b", Author: "reyes", BaseVersion: based, Instance: testInstance("letters", "strict", 1, "4")}))
-	e, _ := h.now().Lookup("chikugo", "letters")
+	baseVersion := h.current().InstanceVersion("chikugo", "letters")
+	h.append(record(&Publication{ID: "a", Author: "ito", BaseVersion: baseVersion, Instance: testInstance("letters", "strict", 1, "3")}))
+	h.append(record(&Publication{ID: "b", Author: "reyes", BaseVersion: baseVersion, Instance: testInstance("letters", "strict", 1, "4")}))
+	e, _ := h.current().Lookup("chikugo", "letters")
 	must.Eq(t, 3, e.RetryAllowance)
-	d, ok := h.now().Decision("b")
+	d, ok := h.current().Decision("b")
 	must.True(t, ok)
 	must.Eq(t, Lost, d.Outcome)
 	must.Eq(t, &ConflictingPublication{ID: "a", Author: "ito", Version: 3, What: "instance chikugo/letters: retry_allowance 1 -> 3"}, d.Lost)
 	must.ErrorContains(t, d.Err(), "lost to a by ito at version 3")
 }
 
-// Guards against a repeated publication that undoes a later change of another operator.
+// Guards against a retry of an accepted publication that undoes a later change of another
+// operator.
 func TestRepeatAfterLostAck(t *testing.T) {
 	h := newHistory()
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
@@ -35,20 +37,20 @@
 	h.append(first)
 	h.append(record(&Publication{ID: "b", Author: "reyes", BaseVersion: 2, Instance: testInstance("letters", "strict", 1, "2")}))
 	h.append(first)
-	d, _ := h.now().Decision("a")
+	d, _ := h.current().Decision("a")
 	must.Eq(t, Accepted, d.Outcome)
 	must.Eq(t, 2, d.Version)
-	e, _ := h.now().Lookup("chikugo", "letters")
+	e, _ := h.current().Lookup("chikugo", "letters")
 	must.Eq(t, 2, e.RetryAllowance)
 	must.Eq(t, 3, e.Version)
 }
 
-// Guards against a late snapshot that takes a newer configuration back.
+// Guards against a snapshot that is appended late and restores an older configuration.
 func TestStaleSnapshotAfterNewerVersion(t *testing.T) {
 	h := newHistory()
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
 	h.append(record(&Publication{ID: "a", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")}))
-	old, err := h.now().SnapshotRecord("s", epoch)
+	old, err := h.current().SnapshotRecord("s", epoch)
 	must.NoError(t, err)
 	h.append(record(&Publication{ID: "b", Author: "ito", BaseVersion: 2, Instance: testInstance("letters", "strict", 1, "2")}))
 	h.append(old)
@@ -61,33 +63,33 @@
 	}
 	stale, err := UnmarshalState(old.Body)
 	must.NoError(t, err)
-	must.Eq(t, h.now(), Merge(h.now(), stale))
-	must.Eq(t, h.now(), Merge(stale, h.now()))
+	must.Eq(t, h.current(), Merge(h.current(), stale))
+	must.Eq(t, h.current(), Merge(stale, h.current()))
 }
 
 // Guards against a reader that folds across a gap of expired records.
-func TestExpiryWithReaderAway(t *testing.T) {
+func TestLaggingReaderWaitsForSnapshot(t *testing.T) {
 	h := newHistory()
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
 	h.append(record(&Publication{ID: "a", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")}))
-	away := h.replicas[0]
-	h.catchUp(away)
+	lagging := h.replicas[0]
+	h.catchUp(lagging)
 	h.append(record(&Publication{ID: "b", Author: "ito", BaseVersion: 2, Instance: testInstance("letters", "strict", 1, "2")}))
 	h.append(record(&Publication{ID: "c", Author: "ito", Instance: testInstance("tracker", "strict", 1, "1")}))
 	h.oldest = 3
-	h.catchUp(away)
-	must.True(t, away.Behind())
-	must.Eq(t, 2, away.State().Version())
-	snap, err := h.now().SnapshotRecord("s", epoch)
+	h.catchUp(lagging)
+	must.True(t, lagging.Behind())
+	must.Eq(t, 2, lagging.State().Version())
+	snap, err := h.current().SnapshotRecord("s", epoch)
 	must.NoError(t, err)
 	h.append(snap)
-	h.catchUp(away)
-	must.False(t, away.Behind())
-	must.Eq(t, mustMarshal(t, h.now()), mustMarshal(t, away.State()))
+	h.catchUp(lagging)
+	must.False(t, lagging.Behind())
+	must.Eq(t, mustMarshal(t, h.current()), mustMarshal(t, lagging.State()))
 }
 
-// A snapshot that claims to fold more than stood before it is not from this
-// log; a reader across a gap must not take it.
+// Guards against a reader that adopts, across a gap, a snapshot from another log. Such a snapshot
+// claims to fold more entries than there are before it.
 func TestSnapshotFromTheFutureIsIgnored(t *testing.T) {
 	r, err := EmptyAt(90).SnapshotRecord("s", epoch)
 	must.NoError(t, err)
@@ -97,28 +99,29 @@
 	must.Eq(t, 90, s.Version())
 }
 
-// A repeat that comes after its decision was forgotten is decided again. It
-// loses: the version that it was based on never comes back.
-func TestForgottenRepeatUndoesNothing(t *testing.T) {
+// Guards against a retry that undoes a change after the decision on the first attempt was
+// dropped. It is decided again and must conflict, since the version that it is based on never
+// returns.
+func TestRepeatAfterDroppedDecisionConflicts(t *testing.T) {
 	h := newHistory()
 	first := record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)})
 	h.append(first)
 	for i := range maxDecisions + 10 {
 		h.append(logstore.Record{ID: fmt.Sprint("x", i), Kind: logstore.KindInstance, Body: []byte("{}")})
 	}
-	_, ok := h.now().Decision("t")
+	_, ok := h.current().Decision("t")
 	must.False(t, ok)
 	h.append(first)
-	d, _ := h.now().Decision("t")
+	d, _ := h.current().Decision("t")
 	must.Eq(t, Lost, d.Outcome)
-	must.Eq(t, 1, h.now().TemplateVersion("strict"))
+	must.Eq(t, 1, h.current().TemplateVersion("strict"))
 	must.True(t, strings.Contains(d.Lost.What, "created"))
-	copied, err := UnmarshalState([]byte(mustMarshal(t, h.now())))
+	copied, err := UnmarshalState([]byte(mustMarshal(t, h.current())))
 	must.NoError(t, err)
-	must.Eq(t, mustMarshal(t, h.now()), mustMarshal(t, copied))
+	must.Eq(t, mustMarshal(t, h.current()), mustMarshal(t, copied))
 }
 
-// Guards against an old release that passes a record it can't understand.
+// Guards against an old release that folds past a publication with rules of a newer release.
 func TestOldReleaseStopsBeforeNewRules(t *testing.T) {
 	h := startedHistory()
 	r := h.replicas[0]
@@ -139,8 +142,8 @@
 	must.Eq(t, 5, r.State().Version())
 }
 
-// Operators publish until the configuration outgrows what a snapshot can hold.
-// The one too many is refused with the figure, and the snapshot still fits.
+// Guards against a configuration that outgrows a snapshot. Operators publish until the limit; the
+// next publication is rejected with the size, and the snapshot still fits a record.
 func TestConfigurationStaysWithinOneSnapshot(t *testing.T) {
 	h := newHistory()
 	help := strings.Repeat("x", MaxHelpBytes)
@@ -150,19 +153,19 @@
 		p.Template.Help = help
 		h.append(record(p))
 		h.oracle = h.oracle[len(h.oracle)-1:]
-		d, _ = h.now().Decision(p.ID)
+		d, _ = h.current().Decision(p.ID)
 		must.Less(t, 5000, i)
 	}
 	must.ErrorContains(t, d.Err(), "must be at most 1310720 bytes in all")
-	r, err := h.now().SnapshotRecord("s", epoch)
+	r, err := h.current().SnapshotRecord("s", epoch)
 	must.NoError(t, err)
 	must.Less(t, logstore.MaxRecordBytes, len(r.Body))
 	copied, err := UnmarshalState(r.Body)
 	must.NoError(t, err)
-	must.Eq(t, h.now().bytes, copied.bytes)
+	must.Eq(t, h.current().bytes, copied.bytes)
 }
 
-// Guards against a withdrawn instance that comes back by a late repeat of its creation.
+// Guards against a withdrawn instance that a late retry of its creation restores.
 func TestWithdrawnInstanceStaysWithdrawn(t *testing.T) {
 	h := startedHistory()
 	first := record(&Publication{ID: "i", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")})
@@ -173,25 +176,26 @@
 		h.append(logstore.Record{ID: fmt.Sprint("x", i), Kind: logstore.KindInstance, Body: []byte("{}")})
 	}
 	h.append(first)
-	copied, err := UnmarshalState([]byte(mustMarshal(t, h.now())))
+	copied, err := UnmarshalState([]byte(mustMarshal(t, h.current())))
 	must.NoError(t, err)
-	for _, s := range []*State{h.now(), copied} {
+	for _, s := range []*State{h.current(), copied} {
 		_, ok := s.Lookup("chikugo", "letters")
 		must.False(t, ok)
 		must.SliceEmpty(t, s.Instances())
 		must.Eq(t, 4, s.InstanceVersion("chikugo", "letters"))
 	}
-	again, _ := h.now().Check(&Publication{ID: "w2", Author: "ito", BaseVersion: 4, Instance: gone})
+	again, _ := h.current().Check(&Publication{ID: "w2", Author: "ito", BaseVersion: 4, Instance: gone})
 	must.Eq(t, Rejected, again.Outcome)
 	back := testInstance("letters", "strict", 1, "2")
 	h.append(record(&Publication{ID: "b", Author: "ito", BaseVersion: 4, Instance: back}))
-	e, ok := h.now().Lookup("chikugo", "letters")
+	e, ok := h.current().Lookup("chikugo", "letters")
 	must.True(t, ok)
 	must.Eq(t, 2, e.RetryAllowance)
 }
 
-// Guards against a restarted node that serves without state, or takes an emptied log for its own.
-func TestRestartWhileLogIsOut(t *testing.T) {
+// Guards against a restarted node that serves without state, or that accepts an emptied log as
+// its own.
+func TestRestartDuringLogOutage(t *testing.T) {
 	h := startedHistory()
 	h.append(record(&Publication{ID: "i", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")}))
 	h.catchUp(h.replicas[0])
@@ -204,13 +208,14 @@
 	h.catchUp(started)
 	e, _ := started.State().Lookup("chikugo", "letters")
 	must.Eq(t, 2, e.RetryAllowance)
-	must.False(t, started.HeadBelow())
+	must.False(t, started.HeadRegressed())
 	started.Take(logstore.Page{Next: 4, Head: 0})
-	must.True(t, started.HeadBelow())
+	must.True(t, started.HeadRegressed())
 }
 
-// Guards against a start that reads the whole log, or misses an older snapshot.
-func TestStartReadsTheNewestRecordsFirst(t *testing.T) {
+// Guards against a start that reads the whole log, or that misses a snapshot before the newest
+// window.
+func TestStartReadsNewestRecordsFirst(t *testing.T) {
 	for _, after := range []int{10, 400} {
 		h := startedHistory()
 		claims := func(n int) {
@@ -219,7 +224,7 @@
 			}
 		}
 		claims(600)
-		snap, err := h.now().SnapshotRecord("s", epoch)
+		snap, err := h.current().SnapshotRecord("s", epoch)
 		must.NoError(t, err)
 		h.append(snap)
 		claims(after)
@@ -232,6 +237,6 @@
 			must.Less(t, 200, reads)
 		}
 		must.Eq(t, after > 50, reads > 15)
-		must.Eq(t, mustMarshal(t, h.now()), mustMarshal(t, r.State()))
+		must.Eq(t, mustMarshal(t, h.current()), mustMarshal(t, r.State()))
 	}
 }
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -10,22 +10,23 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// formatVersion is that of the snapshot document.
+// formatVersion is the version of the snapshot document's format.
 const formatVersion = 1
 
-// SnapshotMark is the newest snapshot that a state knows to be in the log.
+// SnapshotMark describes the newest snapshot in the log that a state has seen.
 type SnapshotMark struct {
-	// Version that the snapshot folds; a reader that starts from it reads on
-	// from there.
+	// Version is the version of the state in the snapshot. A reader that starts from the snapshot
+	// continues at this offset.
 	Version Version `json:"version"`
-	// Offset of its record.
+	// Offset is the offset of the snapshot's record.
 	Offset int64 `json:"offset"`
-	// AtMillis is its writer's clock, in milliseconds since 1970.
+	// AtMillis is the time at which the snapshot was written, by the writer's clock, in
+	// milliseconds since 1970.
 	AtMillis int64 `json:"at_ms"`
 }
 
-// document is a State in JSON, lists sorted so that equal states give equal
-// bytes. What Lookup reads is worked out again on decoding.
+// document is the JSON form of a State. Its lists are sorted, so that equal states have equal
+// bytes. The behaviours that Lookup returns are not part of it; decoding resolves them again.
 type document struct {
 	Format    int           `json:"format"`
 	Version   Version       `json:"version"`
@@ -45,7 +46,7 @@
 	Last     change   `json:"last"`
 }
 
-// Marshal returns the state for a snapshot record or a peer.
+// Marshal returns the state as JSON, for a snapshot record or a peer.
 func (s *State) Marshal() ([]byte, error) {
 	doc := document{Format: formatVersion, Version: s.version, Snapshot: s.snapshot, Decisions: s.decisions.list}
 	for _, name := range slices.Sorted(maps.Keys(s.templates)) {
@@ -67,14 +68,14 @@
 func jsonBytes(v any) int {
 	data, err := json.Marshal(v)
 	if err != nil {
-		// Documents hold nothing that JSON can't; see Marshal.
+		// Not reached: a document has no values that JSON can't represent.
 		return MaxStateBytes + 1
 	}
 	return len(data)
 }
 
-// UnmarshalState reads what Marshal wrote and validates all of it. It fails as
-// a whole: half a configuration must not come in force.
+// UnmarshalState decodes and validates the output of Marshal. It returns either the whole state
+// or an error, since a part of a configuration must not come into force.
 func UnmarshalState(data []byte) (*State, error) {
 	var doc document
 	if errs := decodeStrict(data, &doc); len(errs) > 0 {
@@ -191,9 +192,9 @@
 	return nil
 }
 
-// Merge returns the newer of two folds of one log. Both are folds of prefixes
-// of the same log, so the longer prefix holds everything that the shorter one
-// accepted; nothing is ever taken from the older.
+// Merge returns the newer of two states of one log. Both are folds of prefixes of the same log,
+// so the longer prefix contains everything that the shorter one accepted. Nothing is taken from
+// the older state.
 func Merge(a, b *State) *State {
 	if a == nil || b != nil && b.version > a.version {
 		return b
@@ -201,7 +202,7 @@
 	return a
 }
 
-// SnapshotRecord returns the record that repeats s, written at now.
+// SnapshotRecord returns a log record with a snapshot of s and the time now.
 func (s *State) SnapshotRecord(id string, now time.Time) (logstore.Record, error) {
 	body, err := s.Marshal()
 	if err != nil {
@@ -213,9 +214,9 @@
 	return logstore.Record{ID: id, Kind: logstore.KindSnapshot, At: now, Body: body}, nil
 }
 
-// adopt takes the snapshot of e across a gap. One that claims to fold its own
-// place or later is not the fold of what stood before it, and is ignored.
-func (s *State) adopt(e logstore.Entry) *State {
+// adoptSnapshot returns the state of the snapshot in e, across a gap. A snapshot whose version is
+// above its own offset can't be the fold of the entries before it, and is ignored.
+func (s *State) adoptSnapshot(e logstore.Entry) *State {
 	version, ok := snapshotVersion(e)
 	if !ok || version <= s.version {
 		return s
@@ -227,15 +228,15 @@
 	return snap
 }
 
-// mark notes that a snapshot is in the log. A slow process may append an old
-// one after a newer; the newest counts, and contents are never taken from it:
-// s has folded all that it could hold.
-func (s *State) mark(e logstore.Entry) {
+// recordSnapshot records that e is a snapshot in the log. A slow process may append an old
+// snapshot after a newer one; only the newest is recorded. The contents are not used: s has
+// already folded all entries that the snapshot can contain.
+func (s *State) recordSnapshot(e logstore.Entry) {
 	version, ok := snapshotVersion(e)
 	if !ok || version <= s.snapshot.Version {
 		return
 	}
-	// One that no reader could adopt must not put off the next.
+	// A snapshot that no reader can decode must not delay the next one.
 	if _, err := UnmarshalState(e.Record.Body); err == nil {
 		s.snapshot = SnapshotMark{Version: version, Offset: e.Offset, AtMillis: e.Record.At.UnixMilli()}
 	}
@@ -255,5 +256,5 @@
 	return head.Version, head.Version > 0 && head.Version <= Version(e.Offset)
 }
 
-// Snapshot returns the newest snapshot that s knows to be in the log.
+// Snapshot returns the newest snapshot in the log that s has seen.
 func (s *State) Snapshot() SnapshotMark { return s.snapshot }
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -8,23 +8,24 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// State is the fold of the log up to Version. It is immutable: Apply returns
-// another one, so a reader may keep it behind an atomic pointer.
+// State is the fold of the log up to Version. It is immutable: Apply returns a new State, so that
+// readers can share it through an atomic pointer.
 type State struct {
 	version   Version
 	templates map[string]*templateEntry
 	instances map[key]*instanceEntry
-	// effective is what Lookup reads; one map so that a call costs one read.
+	// effective is the map that Lookup reads. It is one map, so that a call needs a single read.
 	effective map[key]*Effective
 	decisions *decisions
 	snapshot  SnapshotMark
-	// bytes is the size of templates and instances in a snapshot.
+	// bytes is the encoded size of the templates and instances in a snapshot.
 	bytes int
 }
 
+// key identifies an instance.
 type key struct{ workspace, service string }
 
-// change names the publication that last changed an object.
+// change describes the publication that last changed an object.
 type change struct {
 	ID      string  `json:"id"`
 	Author  string  `json:"author"`
@@ -33,7 +34,7 @@
 }
 
 type templateEntry struct {
-	// revisions ascend by one; the last is current.
+	// revisions are in ascending order; the last one is current.
 	revisions []Template
 	last      change
 	bytes     int
@@ -45,7 +46,7 @@
 	bytes    int
 }
 
-// NewState returns the fold of nothing.
+// NewState returns the state of an empty log.
 func NewState() *State {
 	return &State{
 		templates: map[string]*templateEntry{},
@@ -55,20 +56,20 @@
 	}
 }
 
-// EmptyAt returns a state without configuration at a version. Written as a
-// snapshot it lets an operator start anew when the log has expired and no
-// process that held the state is left; see docs/operations/log-outage.md.
+// EmptyAt returns a state without configuration at a version. An operator writes it as a snapshot
+// to start again when records of the log have expired and no process that held the state is left;
+// see docs/operations/log-outage.md.
 func EmptyAt(v Version) *State {
 	s := NewState()
 	s.version = v
 	return s
 }
 
-// Version returns the offset up to which the log is folded: the next to read.
+// Version returns the offset up to which the log is folded, which is the next offset to read.
 func (s *State) Version() Version { return s.version }
 
-// NewestChange returns the version of the last accepted change in force; 0
-// when there is none. Version also counts the log's other records.
+// NewestChange returns the version of the last accepted change; 0 if there is none. Unlike
+// Version it does not increase with the other records of the log.
 func (s *State) NewestChange() Version {
 	var newest Version
 	for _, t := range s.templates {
@@ -80,19 +81,19 @@
 	return newest
 }
 
-// Lookup returns the behaviour in force; it is shared and must not be changed.
+// Lookup returns the behaviour in force for a service. It is shared and must not be changed.
 func (s *State) Lookup(workspace, service string) (*Effective, bool) {
 	e, ok := s.effective[key{workspace, service}]
 	return e, ok
 }
 
-// Decision returns what became of a publication; false when it is not folded
-// yet or long forgotten.
+// Decision returns the decision on a publication; false if its record is not folded yet or the
+// decision was dropped.
 func (s *State) Decision(publicationID string) (Decision, bool) {
 	return s.decisions.get(publicationID)
 }
 
-// TemplateVersion returns the version to base a change of the template on.
+// TemplateVersion returns the BaseVersion for the next change of the template.
 func (s *State) TemplateVersion(name string) Version {
 	if t, ok := s.templates[name]; ok {
 		return t.last.Version
@@ -100,7 +101,7 @@
 	return 0
 }
 
-// InstanceVersion returns the version to base a change of the instance on.
+// InstanceVersion returns the BaseVersion for the next change of the instance.
 func (s *State) InstanceVersion(workspace, service string) Version {
 	if i, ok := s.instances[key{workspace, service}]; ok {
 		return i.last.Version
@@ -108,8 +109,8 @@
 	return 0
 }
 
-// Template returns a revision; revision 0 means the current one. It is shared
-// and must not be changed.
+// Template returns a revision of a template; revision 0 means the current one. It is shared and
+// must not be changed.
 func (s *State) Template(name string, revision int) (*Template, bool) {
 	t, ok := s.templates[name]
 	if !ok {
@@ -126,7 +127,7 @@
 	return nil, false
 }
 
-// Templates returns the current revision of each template by name.
+// Templates returns the current revision of each template, ordered by name.
 func (s *State) Templates() []Template {
 	out := make([]Template, 0, len(s.templates))
 	for _, name := range slices.Sorted(maps.Keys(s.templates)) {
@@ -136,7 +137,7 @@
 	return out
 }
 
-// Instances returns the instances in force by workspace and service.
+// Instances returns the instances that are not withdrawn, ordered by workspace and service.
 func (s *State) Instances() []Instance {
 	out := make([]Instance, 0, len(s.instances))
 	for _, k := range s.instanceKeys() {
@@ -156,18 +157,22 @@
 // Gap reports whether entries between s and e are missing.
 func (s *State) Gap(e logstore.Entry) bool { return Version(e.Offset) > s.version }
 
-// Apply folds e and returns the state after it. An entry that is folded
-// already changes nothing. Neither does one after a gap, unless it is a
-// snapshot newer than s: folding past a gap would let replicas of one log
-// differ. For the same reason a state stays before a publication whose rules
-// this release does not know; it keeps what is in force, and Replica goes on
-// from the snapshot or peer of a release that could decide.
+// Apply folds e and returns the resulting state. It returns s itself in these cases:
+//
+// An entry below the version of s is folded already.
+//
+// An entry after a gap is ignored, unless it is a snapshot newer than s. Folding past a gap would
+// let replicas of one log differ.
+//
+// A publication with rules that this release does not know is not folded either, for the same
+// reason. The behaviour in force stays, and Replica continues from the snapshot or the peer of a
+// release that can decide the publication.
 func (s *State) Apply(e logstore.Entry) *State {
 	if Version(e.Offset) < s.version {
 		return s
 	}
 	if s.Gap(e) {
-		return s.adopt(e)
+		return s.adoptSnapshot(e)
 	}
 	if needsNewerRules(e) {
 		return s
@@ -178,7 +183,7 @@
 	case logstore.KindTemplate, logstore.KindInstance:
 		next.publish(e)
 	case logstore.KindSnapshot:
-		next.mark(e)
+		next.recordSnapshot(e)
 	}
 	return &next
 }
--- a/internal/policy/table.go
+++ b/internal/policy/table.go
@@ -7,9 +7,9 @@
 	"github.com/galenagrade/galenagrade/internal/callctx"
 )
 
-// fields is the one place that knows all behaviour fields; decoding, bounds,
-// defaults and Diff go by it. A bound guards against a value under which the
-// layer itself would break, not against a poor choice.
+// fields is the table of all behaviour fields; decoding, bounds, defaults and Diff use it. The
+// bounds exclude values with which the layer itself would fail; they do not exclude unsuitable
+// values.
 var fields = []Field{
 	intField("retry_allowance", "retries", "2", "0", "16", "retries of one root request over its whole tree",
 		func(b *Behaviour) *Value { return &b.RetryAllowance }, func(e *Effective) *int { return &e.RetryAllowance }),
--- a/internal/policy/validate.go
+++ b/internal/policy/validate.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Validate reports every field of t that is out of bounds, alone and as
-// instantiated with its defaults.
+// Validate returns all fields of t that are out of bounds as FieldErrors. It checks the template
+// itself and its instance with default values.
 func (t *Template) Validate() error { return asError(t.check()) }
 
 // Resolve returns the behaviour of inst under t, or FieldErrors.
@@ -18,7 +18,8 @@
 	return e, asError(errs)
 }
 
-// asError keeps an empty list from becoming an error that is not nil.
+// asError returns nil for an empty list. A nil FieldErrors converted to error would not equal
+// nil.
 func asError(errs FieldErrors) error {
 	if len(errs) == 0 {
 		return nil
@@ -50,20 +51,20 @@
 	seen := map[string]bool{}
 	for i := range t.Parameters {
 		p := &t.Parameters[i]
-		at := fmt.Sprintf("template.parameters[%d]", i)
-		checkName(errs, at+".name", p.Name)
-		checkHelp(errs, at+".help", p.Help)
+		path := fmt.Sprintf("template.parameters[%d]", i)
+		checkName(errs, path+".name", p.Name)
+		checkHelp(errs, path+".help", p.Help)
 		if seen[p.Name] {
-			errs.add(at+".name", p.Name, "unique in the template")
+			errs.add(path+".name", p.Name, "unique in the template")
 		}
 		seen[p.Name] = true
-		p.checkBounds(errs, at)
+		p.checkBounds(errs, path)
 	}
 }
 
-func (p *Parameter) checkBounds(errs *FieldErrors, at string) {
+func (p *Parameter) checkBounds(errs *FieldErrors, path string) {
 	if !p.Type.known() {
-		errs.add(at+".type", string(p.Type), "one of int, float, duration, bool")
+		errs.add(path+".type", string(p.Type), "one of int, float, duration, bool")
 		return
 	}
 	for _, b := range []struct{ name, text string }{{".min", p.Min}, {".max", p.Max}} {
@@ -71,16 +72,16 @@
 			continue
 		}
 		if !p.Type.ordered() {
-			errs.add(at+b.name, b.text, "empty for type "+string(p.Type))
+			errs.add(path+b.name, b.text, "empty for type "+string(p.Type))
 		} else if _, ok := parseScalar(p.Type, b.text); !ok {
-			errs.add(at+b.name, b.text, p.Type.form())
+			errs.add(path+b.name, b.text, p.Type.formatHint())
 		}
 	}
-	parseBounded(errs, at+".default", p.Type, p.Default, p.Min, p.Max)
+	parseBounded(errs, path+".default", p.Type, p.Default, p.Min, p.Max)
 }
 
-// checkReferences checks that each "$name" of the behaviour is a parameter of
-// the field's type and unit, and that no parameter goes unused.
+// checkReferences checks that each "$name" in the behaviour refers to a parameter of the field's
+// type and unit, and that every parameter is used.
 func (t *Template) checkReferences(errs *FieldErrors) {
 	used := map[string]bool{}
 	for i := range fields {
@@ -89,18 +90,18 @@
 		if !ok {
 			continue
 		}
-		at := "template.behaviour." + f.Name
+		path := "template.behaviour." + f.Name
 		p := t.parameter(name)
 		switch {
 		case p == nil:
-			errs.add(at, "$"+name, "a declared parameter")
+			errs.add(path, "$"+name, "a declared parameter")
 			continue
 		case f.Type == "":
-			errs.add(at, "$"+name, "a literal, "+f.choiceForm())
+			errs.add(path, "$"+name, "a literal, "+f.choicesText())
 		case p.Type != f.Type:
-			errs.add(at, "$"+name, fmt.Sprintf("a parameter of type %s, not %s", f.Type, p.Type))
+			errs.add(path, "$"+name, fmt.Sprintf("a parameter of type %s, not %s", f.Type, p.Type))
 		case p.Unit != f.Unit:
-			errs.add(at, "$"+name, fmt.Sprintf("a parameter with unit %q, not %q", f.Unit, p.Unit))
+			errs.add(path, "$"+name, fmt.Sprintf("a parameter with unit %q, not %q", f.Unit, p.Unit))
 		}
 		used[name] = true
 	}
@@ -120,11 +121,11 @@
 	return nil
 }
 
-// reference returns the parameter that v names, if it names one.
+// reference returns the name of the parameter that v refers to; false if v is a literal.
 func reference(v Value) (string, bool) { return strings.CutPrefix(string(v), "$") }
 
-// resolve instantiates t. It files an error under the value that an instance
-// set where there is one, and else under the template's field.
+// resolve instantiates t. It adds an error under the value of the instance if that sets one, and
+// under the template's field otherwise.
 func resolve(t *Template, inst *Instance) (*Effective, FieldErrors) {
 	var errs FieldErrors
 	checkName(&errs, "instance.workspace", inst.Workspace)
@@ -141,7 +142,7 @@
 	if len(errs) > 0 {
 		return nil, errs
 	}
-	e.checkTogether(&errs)
+	e.checkRelations(&errs)
 	if len(errs) > 0 {
 		return nil, errs
 	}
@@ -149,7 +150,7 @@
 }
 
 func (t *Template) resolveField(errs *FieldErrors, f *Field, inst *Instance, e *Effective) {
-	at := "template.behaviour." + f.Name
+	path := "template.behaviour." + f.Name
 	text := string(*f.value(&t.Behaviour))
 	if text == "" {
 		text = f.Default
@@ -157,24 +158,24 @@
 	if name, ok := reference(Value(text)); ok {
 		p := t.parameter(name)
 		if p == nil || p.Type != f.Type {
-			errs.add(at, text, "a declared parameter of the field's type")
+			errs.add(path, text, "a declared parameter of the field's type")
 			return
 		}
-		at, text = "template.parameters."+name+".default", p.Default
+		path, text = "template.parameters."+name+".default", p.Default
 		if v, set := inst.Values[name]; set {
-			at, text = "instance.values."+name, v
+			path, text = "instance.values."+name, v
 		}
-		if _, ok = parseBounded(errs, at, p.Type, text, p.Min, p.Max); !ok {
+		if _, ok = parseBounded(errs, path, p.Type, text, p.Min, p.Max); !ok {
 			return
 		}
 	}
-	if s, ok := f.parse(errs, at, text); ok {
+	if s, ok := f.parse(errs, path, text); ok {
 		f.set(e, s)
 	}
 }
 
-// checkTogether checks fields that bound each other.
-func (e *Effective) checkTogether(errs *FieldErrors) {
+// checkRelations checks the fields that bound each other.
+func (e *Effective) checkRelations(errs *FieldErrors) {
 	if e.DefaultTimeout > e.MaxTimeout {
 		errs.add("default_timeout", e.DefaultTimeout.String(), "at most max_timeout "+e.MaxTimeout.String())
 	}
@@ -194,14 +195,14 @@
 	}
 }
 
-// checkName allows what can stand in a header, a path and a log line.
+// checkName accepts the characters that are valid in a header, a path and a log line.
 func checkName(errs *FieldErrors, field, name string) {
 	const bound = "1..64 of a-z, 0-9, '-', '_' and '.', beginning with a letter or digit"
 	ok := name != "" && len(name) <= MaxNameBytes
 	for i := 0; ok && i < len(name); i++ {
 		c := name[i]
-		word := c >= 'a' && c <= 'z' || c >= '0' && c <= '9'
-		ok = word || i > 0 && (c == '-' || c == '_' || c == '.')
+		alphanumeric := c >= 'a' && c <= 'z' || c >= '0' && c <= '9'
+		ok = alphanumeric || i > 0 && (c == '-' || c == '_' || c == '.')
 	}
 	if !ok {
 		errs.add(field, clip(name), bound)
@@ -214,7 +215,7 @@
 	}
 }
 
-// clip bounds what an error repeats of a hostile document.
+// clip bounds the length of untrusted text that is copied into errors and decisions.
 func clip(text string) string {
 	if len(text) <= MaxNameBytes {
 		return text
--- a/internal/policy/validate_test.go
+++ b/internal/policy/validate_test.go
@@ -12,19 +12,20 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
+// libraryState returns a state with the ready-made templates.
 func libraryState(t testing.TB) *State {
 	h := newHistory()
 	for _, tpl := range Library() {
 		must.NoError(t, tpl.Validate())
 		h.append(record(&Publication{ID: "lib-" + tpl.Name, Author: "ito", Template: &tpl}))
-		d, _ := h.now().Decision("lib-" + tpl.Name)
+		d, _ := h.current().Decision("lib-" + tpl.Name)
 		must.NoError(t, d.Err())
 	}
-	return h.now()
+	return h.current()
 }
 
-// The committed examples are published on top of the ready templates, as an
-// operator would.
+// Guards against committed example instances that are rejected when an operator publishes them
+// after the ready-made templates.
 func TestExamplesAreAccepted(t *testing.T) {
 	for workspace, services := range map[string]int{"chikugo": 4, "yardstick": 4} {
 		data, err := os.ReadFile(filepath.Join("..", "..", "examples", workspace, "instances.json"))
@@ -45,6 +46,8 @@
 	}
 }
 
+// Guards against an invalid document that is accepted, or whose error lacks the field, the value
+// or the bound.
 func TestErrorsNameFieldValueAndBound(t *testing.T) {
 	strict := Library()[0]
 	valid := func() *Template {
@@ -108,8 +111,8 @@
 	}
 }
 
-// Every field can be set and shows in a diff: a field left out of the table
-// would be accepted and have no effect.
+// Guards against a behaviour field that is missing from the table: it would be accepted and have
+// no effect, and would not appear in a diff.
 func TestEveryBehaviourFieldIsInTheTable(t *testing.T) {
 	all := map[string]string{}
 	for _, f := range Fields() {
@@ -131,7 +134,7 @@
 	must.Len(t, len(Fields()), Diff(nil, given))
 }
 
-// An operator sees what a change would do before publishing it.
+// Guards against a check before publication that misses a change or records a decision.
 func TestCheckShowsTheDiff(t *testing.T) {
 	s := libraryState(t)
 	inst := &Instance{Workspace: "w", Service: "s", Template: "balanced", Revision: 1}
@@ -152,33 +155,34 @@
 	must.Eq(t, Lost, d.Outcome)
 }
 
-// A template goes through many revisions while one instance stays on an early
-// one: it keeps what it runs, and revisions that nobody uses go.
+// Guards against a dropped template revision that an instance still uses, and against unused
+// revisions that are kept. The template gets many revisions while one instance stays on an early
+// one.
 func TestRevisionInUseIsKept(t *testing.T) {
 	h := newHistory()
 	h.append(record(&Publication{ID: "t1", Author: "ito", Template: testTemplate("strict", 1, 0)}))
 	h.append(record(&Publication{ID: "i", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")}))
 	for r := 2; r <= 9; r++ {
-		h.append(record(&Publication{ID: "t" + string(rune('0'+r)), Author: "ito", BaseVersion: h.now().TemplateVersion("strict"), Template: testTemplate("strict", r, r)}))
+		h.append(record(&Publication{ID: "t" + string(rune('0'+r)), Author: "ito", BaseVersion: h.current().TemplateVersion("strict"), Template: testTemplate("strict", r, r)}))
 	}
-	_, used := h.now().Template("strict", 1)
-	_, unused := h.now().Template("strict", 3)
+	_, used := h.current().Template("strict", 1)
+	_, unused := h.current().Template("strict", 3)
 	must.True(t, used && !unused)
-	e, _ := h.now().Lookup("chikugo", "letters")
+	e, _ := h.current().Lookup("chikugo", "letters")
 	must.Eq(t, 1, e.MaxDepth)
 }
 
-// Guards against a snapshot that expires because clocks put off the next one.
+// Guards against a snapshot that expires because wrong clocks delay the next one.
 func TestSnapshotComesDueWithWrongClocks(t *testing.T) {
 	rule := DefaultSnapshotRule(time.Hour)
 	must.NoError(t, rule.Validate())
 	h := newHistory()
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
-	old, err := h.now().SnapshotRecord("s0", epoch)
+	old, err := h.current().SnapshotRecord("s0", epoch)
 	must.NoError(t, err)
-	ahead, err := h.now().SnapshotRecord("s", epoch.Add(24*time.Hour))
+	ahead, err := h.current().SnapshotRecord("s", epoch.Add(24*time.Hour))
 	must.NoError(t, err)
-	r := NewReplica(h.now())
+	r := NewReplica(h.current())
 	must.False(t, r.SnapshotDue(&rule, epoch, 0))
 	must.True(t, r.SnapshotDue(&rule, epoch.Add(rule.Every), 0))
 	h.append(ahead)
@@ -192,7 +196,7 @@
 		h.append(logstore.Record{ID: "c", Kind: logstore.KindClaim})
 	}
 	h.oldest = 1
-	fresh := NewReplica(h.now())
+	fresh := NewReplica(h.current())
 	must.True(t, fresh.SnapshotDue(&rule, epoch, h.oldest))
 	behind := NewReplica(nil)
 	h.catchUp(behind)
