--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -16,24 +16,24 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-func pair(t *testing.T) (*world, *Server, *Server) {
-	w := newWorld(t)
+func startPair(t *testing.T) (*testCluster, *Server, *Server) {
+	w := newTestCluster(t)
 	a, b := w.start("letters-1", nil), w.start("letters-2", nil)
 	echo := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("letter")) })
-	w.announce(a, "letters", echo)
-	w.announce(b, "letters", echo)
-	w.knows("letters", 2, a, b)
+	w.announceUpstream(a, "letters", echo)
+	w.announceUpstream(b, "letters", echo)
+	w.awaitTargets("letters", 2, a, b)
 	return w, a, b
 }
 
 // Guards against racing operators who both win, or a repeat that counts as a second change.
-func TestOfRacingOperatorsOneWinsAndTheOtherIsTold(t *testing.T) {
-	w, a, b := pair(t)
-	base := w.publish(a, "letters")
+func TestRacingPublicationsAcceptOneAndReportTheConflict(t *testing.T) {
+	w, a, b := startPair(t)
+	base := w.publishInstance(a, "letters")
 	must.Eq(t, 2, int(base.NodesInForce))
 	var pubs [2]*adminpb.Publication
 	var errs [2]error
-	race := []struct {
+	contenders := []struct {
 		at               *Server
 		operator, change string
 		values           string
@@ -42,54 +42,54 @@
 		{b, "abe", "change-abe", `{"retry_allowance": 4}`},
 	}
 	var wg sync.WaitGroup
-	for i, r := range race {
+	for i, r := range contenders {
 		wg.Go(func() {
-			pubs[i], errs[i] = w.set(r.at, r.operator, "letters", r.change, base.Version, r.values)
+			pubs[i], errs[i] = w.setInstance(r.at, r.operator, "letters", r.change, base.Version, r.values)
 		})
 	}
 	wg.Wait()
 	must.NoError(t, errs[0])
 	must.NoError(t, errs[1])
 	must.NotEq(t, pubs[0].Accepted, pubs[1].Accepted)
-	win := 0
+	winner := 0
 	if pubs[1].Accepted {
-		win = 1
+		winner = 1
 	}
-	lost := pubs[1-win]
-	must.Eq(t, race[win].operator, lost.LostToOperator)
-	must.Eq(t, race[win].change, lost.LostToChangeId)
-	must.Eq(t, pubs[win].Version, lost.LostToVersion)
+	lost := pubs[1-winner]
+	must.Eq(t, contenders[winner].operator, lost.LostToOperator)
+	must.Eq(t, contenders[winner].change, lost.LostToChangeId)
+	must.Eq(t, pubs[winner].Version, lost.LostToVersion)
 	must.StrContains(t, lost.Detail, "retry_allowance")
 
-	changes := w.changes()
-	again, err := w.set(race[win].at, race[win].operator, "letters", race[win].change, base.Version, race[win].values)
+	changes := w.countChanges()
+	again, err := w.setInstance(contenders[winner].at, contenders[winner].operator, "letters", contenders[winner].change, base.Version, contenders[winner].values)
 	must.NoError(t, err)
 	must.True(t, again.Accepted)
-	must.Eq(t, pubs[win].Version, again.Version)
-	must.Eq(t, changes, w.changes())
-	_, err = w.set(a, "mori", "ledgers", race[win].change, 0, `{}`)
+	must.Eq(t, pubs[winner].Version, again.Version)
+	must.Eq(t, changes, w.countChanges())
+	_, err = w.setInstance(a, "mori", "ledgers", contenders[winner].change, 0, `{}`)
 	must.Eq(t, connect.CodeInvalidArgument, connect.CodeOf(err))
 }
 
 // Guards against a change called accepted that no log has taken.
-func TestChangeWithoutLogIsNeverCalledAccepted(t *testing.T) {
-	w, a, _ := pair(t)
-	base := w.publish(a, "letters")
+func TestChangeIsNotAcceptedWhileLogIsUnavailable(t *testing.T) {
+	w, a, _ := startPair(t)
+	base := w.publishInstance(a, "letters")
 	w.log.Update(func(k *logd.Knobs) { k.Outage = true })
 	short := connect.NewRequest(&adminpb.SetInstanceRequest{
 		Workspace: "chikugo", Service: "letters", ValuesJson: `{"retry_allowance": 3}`, Merge: true,
 		BasedOn: base.Version, ChangeId: "open",
 	})
-	ctx, cancel := withDeadline(t)
+	ctx, cancel := shortDeadline(t)
 	defer cancel()
 	_, err := w.admin(a, "abe").SetInstance(ctx, short)
 	must.SliceContains(t, []connect.Code{connect.CodeUnavailable, connect.CodeAborted}, connect.CodeOf(err))
-	w.until("the outage to show", func() bool {
+	w.waitFor("the outage to show", func() bool {
 		st, err := w.admin(a, "view").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
 		return err == nil && !st.Msg.LogAvailable
 	})
 	w.log.Update(func(k *logd.Knobs) { k.Outage = false })
-	pub, err := w.set(a, "abe", "letters", "open", base.Version, `{"retry_allowance": 3}`)
+	pub, err := w.setInstance(a, "abe", "letters", "open", base.Version, `{"retry_allowance": 3}`)
 	must.NoError(t, err)
 	must.True(t, pub.Accepted)
 	show, err := w.admin(a, "view").ShowInstance(t.Context(), connect.NewRequest(&adminpb.ShowInstanceRequest{Workspace: "chikugo", Service: "letters"}))
@@ -99,22 +99,22 @@
 
 // The log takes a change and its acknowledgement is lost. The node reads the
 // change back: the operator is told "accepted", and it was decided once.
-func TestLostAcknowledgementIsSettledByReading(t *testing.T) {
-	w, a, _ := pair(t)
-	base := w.publish(a, "letters")
+func TestLostAcknowledgementIsResolvedByReadBack(t *testing.T) {
+	w, a, _ := startPair(t)
+	base := w.publishInstance(a, "letters")
 	w.log.Update(func(k *logd.Knobs) { k.LoseAcks = 1 })
-	pub, err := w.set(a, "abe", "letters", "acked", base.Version, `{"retry_allowance": 3}`)
+	pub, err := w.setInstance(a, "abe", "letters", "acked", base.Version, `{"retry_allowance": 3}`)
 	must.NoError(t, err)
 	must.True(t, pub.Accepted)
 	must.Eq(t, 2, int(pub.NodesInForce))
-	next, err := w.set(a, "abe", "letters", "after", pub.Version, `{"retry_allowance": 4}`)
+	next, err := w.setInstance(a, "abe", "letters", "after", pub.Version, `{"retry_allowance": 4}`)
 	must.NoError(t, err)
 	must.True(t, next.Accepted)
 }
 
 func TestDiffAndFaultyValues(t *testing.T) {
-	w, a, _ := pair(t)
-	w.publish(a, "letters")
+	w, a, _ := startPair(t)
+	w.publishInstance(a, "letters")
 	diff, err := w.admin(a, "view").DiffInstance(t.Context(), connect.NewRequest(&adminpb.DiffInstanceRequest{
 		Workspace: "chikugo", Service: "letters", ValuesJson: `{"max_wait":"250ms"}`, Merge: true,
 	}))
@@ -122,17 +122,17 @@
 	must.Len(t, 1, diff.Msg.Differences)
 	must.Eq(t, "max_wait", diff.Msg.Differences[0].Path)
 	must.Eq(t, `"250ms"`, diff.Msg.Differences[0].ToJson)
-	changes := w.changes()
-	_, err = w.set(a, "abe", "letters", "bad", diff.Msg.BasedOn, `{"retry_allowance": 99}`)
+	changes := w.countChanges()
+	_, err = w.setInstance(a, "abe", "letters", "bad", diff.Msg.BasedOn, `{"retry_allowance": 99}`)
 	must.Eq(t, connect.CodeInvalidArgument, connect.CodeOf(err))
 	must.ErrorContains(t, err, "at most 4")
-	must.Eq(t, changes, w.changes())
+	must.Eq(t, changes, w.countChanges())
 }
 
 // Guards against a silent node counted as if it had answered.
-func TestSilentNodeIsListedAsUnknown(t *testing.T) {
-	w, a, b := pair(t)
-	w.publish(a, "letters")
+func TestUnreachableNodeIsListedAsUnknown(t *testing.T) {
+	w, a, b := startPair(t)
+	w.publishInstance(a, "letters")
 	all, err := w.admin(a, "view").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{Workspace: "chikugo"}))
 	must.NoError(t, err)
 	must.Eq(t, 2, int(all.Msg.NodesInForce))
@@ -150,22 +150,22 @@
 }
 
 // Guards against a change counted as in force on a node that lags, or published over what it lacks.
-func TestNodeThatLagsIsNamed(t *testing.T) {
-	w := newWorld(t)
+func TestLaggingNodeIsListed(t *testing.T) {
+	w := newTestCluster(t)
 	a := w.start("letters-1", nil)
 	b := w.start("letters-2", nil)
 	for _, s := range []*Server{a, b} {
-		w.announce(s, "letters", http.NotFoundHandler())
+		w.announceUpstream(s, "letters", http.NotFoundHandler())
 	}
-	w.knows("letters", 2, a)
+	w.awaitTargets("letters", 2, a)
 	// To cut it off from the log alone would not do: it gets the records of a.
-	b.control.enforcing.Lock()
-	release := sync.OnceFunc(b.control.enforcing.Unlock)
+	b.control.applyMu.Lock()
+	release := sync.OnceFunc(b.control.applyMu.Unlock)
 	t.Cleanup(release)
-	pub, err := w.set(a, "mori", "letters", "none", 0, `{}`)
+	pub, err := w.setInstance(a, "mori", "letters", "none", 0, `{}`)
 	must.Eq(t, connect.CodeNotFound, connect.CodeOf(err))
 	must.Nil(t, pub)
-	w.publishNow(a)
+	w.publishTemplate(a)
 	lagging := func() []string {
 		st, err := w.admin(a, "view").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{LaggingOnly: true}))
 		must.NoError(t, err)
@@ -184,15 +184,15 @@
 	must.Eq(t, connect.CodeUnavailable, connect.CodeOf(err))
 	must.ErrorContains(t, err, "this node lags")
 	release()
-	w.until("the slow node to follow", func() bool { return len(lagging()) == 0 })
+	w.waitFor("the slow node to follow", func() bool { return len(lagging()) == 0 })
 }
 
 // Guards against a change said to be in force nowhere because no join was read yet.
 func TestNodeCountsItselfBeforeItsJoinIsRead(t *testing.T) {
-	w := newWorld(t)
-	a := w.startWith("letters-1", unjoinedLog{w.log}, nil)
-	w.announce(a, "letters", http.NotFoundHandler())
-	pub := w.publish(a, "letters")
+	w := newTestCluster(t)
+	a := w.startWith("letters-1", joinRejectingLog{w.log}, nil)
+	w.announceUpstream(a, "letters", http.NotFoundHandler())
+	pub := w.publishInstance(a, "letters")
 	must.Eq(t, 1, int(pub.NodesKnown))
 	must.Eq(t, 1, int(pub.NodesInForce))
 	st, err := w.admin(a, "mori").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
@@ -204,10 +204,10 @@
 
 // A viewer, an operator of one workspace and a caller each try what their
 // token doesn't cover. All are refused, and the attempt is on the time line.
-func TestTokensLimitWhatIsReached(t *testing.T) {
-	w, a, _ := pair(t)
-	w.publish(a, "letters")
-	_, err := w.set(a, "view", "letters", "v", 0, `{}`)
+func TestTokensLimitAccess(t *testing.T) {
+	w, a, _ := startPair(t)
+	w.publishInstance(a, "letters")
+	_, err := w.setInstance(a, "view", "letters", "v", 0, `{}`)
 	must.Eq(t, connect.CodePermissionDenied, connect.CodeOf(err))
 	_, err = w.admin(a, "caller").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
 	must.Eq(t, connect.CodePermissionDenied, connect.CodeOf(err))
@@ -221,14 +221,14 @@
 }
 
 func TestCallerTokens(t *testing.T) {
-	w := newWorld(t)
+	w := newTestCluster(t)
 	s := w.start("letters-1", func(c *settings.Node) { c.Callers.RequireToken = true })
 	var seen []string
-	w.announce(s, "letters", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	w.announceUpstream(s, "letters", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		seen = append(seen, r.Header.Get("Authorization"))
 	}))
-	w.knows("letters", 1, s)
-	w.publish(s, "letters")
+	w.awaitTargets("letters", 1, s)
+	w.publishInstance(s, "letters")
 	for _, token := range []string{"", "guess", "abe"} {
 		status, h, _ := w.call(s, "letters", token)
 		must.Eq(t, http.StatusForbidden, status)
@@ -243,8 +243,8 @@
 // An operator drains the other node through this one. That node says so, takes
 // no new call, and calls go on at the rest.
 func TestDrainOfAnotherNode(t *testing.T) {
-	w, a, b := pair(t)
-	w.publish(a, "letters")
+	w, a, b := startPair(t)
+	w.publishInstance(a, "letters")
 	resp, err := w.admin(a, "abe").Drain(t.Context(), connect.NewRequest(&adminpb.DrainRequest{NodeId: "letters-2", Reason: "kernel", WaitMs: 1000}))
 	must.NoError(t, err)
 	must.Eq(t, "drained", resp.Msg.State)
@@ -266,8 +266,8 @@
 
 // An operator follows one node's events and the node stops: the stream ends
 // instead of holding the stop up.
-func TestFollowedEventsEndWithTheNode(t *testing.T) {
-	w := newWorld(t)
+func TestEventStreamEndsWhenTheNodeStops(t *testing.T) {
+	w := newTestCluster(t)
 	s := w.start("letters-1", nil)
 	// The guard's first tick records its limit whenever it comes; these two are awaited.
 	kinds := []string{string(timeline.NodeStarted), string(timeline.Cleared)}
--- a/internal/server/adminport.go
+++ b/internal/server/adminport.go
@@ -14,17 +14,17 @@
 // adminHandler serves operators: the administration API and the metrics.
 func (s *Server) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(admin.NewHandler(s.backend, s.tokens, s.accessRefused))
+	mux.Handle(admin.NewHandler(s.backend, s.tokens, s.recordRefusedAccess))
 	mux.Handle(metrics.Path, s.metricsHandler())
 	return mux
 }
 
-// accessRefused puts a refused operator's call on the time line and counts it.
-func (s *Server) accessRefused(r admin.RefusedAccess) {
-	s.noteRefusal(r.Name, r.Workspace, r.Procedure+" from "+r.Peer+": "+r.Reason)
+// recordRefusedAccess puts a refused operator's call on the time line and counts it.
+func (s *Server) recordRefusedAccess(r admin.RefusedAccess) {
+	s.recordRefusal(r.Name, r.Workspace, r.Procedure+" from "+r.Peer+": "+r.Reason)
 }
 
-func (s *Server) noteRefusal(name, workspace, detail string) {
+func (s *Server) recordRefusal(name, workspace, detail string) {
 	s.metrics.Inc(metrics.AuthRefused, 1)
 	if name != "" {
 		detail = name + ": " + detail
@@ -54,7 +54,7 @@
 		}
 		if reason != "" {
 			s.metrics.Result(result.Unauthorized)
-			s.noteRefusal(id.Name, workspace, "caller port from "+r.RemoteAddr+": "+reason)
+			s.recordRefusal(id.Name, workspace, "caller port from "+r.RemoteAddr+": "+reason)
 			result.Refuse(result.Unauthorized, "%s", reason).Write(w, "")
 			return
 		}
--- a/internal/server/announce.go
+++ b/internal/server/announce.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// maxAnnouncement bounds the body of an announcement, in bytes.
-	maxAnnouncement = 4 << 10
+	// maxAnnouncementBytes bounds the body of an announcement, in bytes.
+	maxAnnouncementBytes = 4 << 10
 	// maxSlots bounds what an upstream may announce, a guard against a unit
 	// mistaken for another.
 	maxSlots = 100_000
 )
 
-// announcements is what the local upstream tells its node:
+// announcementHandler is what the local upstream tells its node:
 // PUT /v1/upstream announces it, once a second; DELETE says that it is
 // leaving; GET shows whether it may go.
-type announcements struct {
+type announcementHandler struct {
 	server *Server
 
-	mu      sync.Mutex
-	current *node.Announcement
-	last    time.Time
-	down    bool
+	mu            sync.Mutex
+	current       *node.Announcement
+	lastAnnounced time.Time
+	down          bool
 }
 
 // upstreamState is the answer to the upstream.
@@ -42,29 +42,29 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (a *announcements) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *announcementHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodPut:
 		a.put(w, r)
 	case http.MethodDelete:
 		a.server.BeginDrain()
-		a.answer(w)
+		a.writeState(w)
 	case http.MethodGet:
-		a.answer(w)
+		a.writeState(w)
 	default:
 		w.Header().Set("Allow", "GET, PUT, DELETE")
 		http.Error(w, "method not allowed", http.StatusMethodNotAllowed)
 	}
 }
 
-func (a *announcements) put(w http.ResponseWriter, r *http.Request) {
-	got, err := decodeAnnouncement(http.MaxBytesReader(w, r.Body, maxAnnouncement))
+func (a *announcementHandler) put(w http.ResponseWriter, r *http.Request) {
+	announced, err := decodeAnnouncement(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	if err != nil {
 		http.Error(w, "announcement: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	a.accept(got)
-	a.answer(w)
+	a.accept(announced)
+	a.writeState(w)
 }
 
 // decodeAnnouncement reads one announcement and checks its bounds. What follows
@@ -72,17 +72,17 @@
 func decodeAnnouncement(r io.Reader) (node.Announcement, error) {
 	dec := json.NewDecoder(r)
 	dec.DisallowUnknownFields()
-	var got node.Announcement
-	if err := dec.Decode(&got); err != nil {
+	var announced node.Announcement
+	if err := dec.Decode(&announced); err != nil {
 		return node.Announcement{}, err
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
 		return node.Announcement{}, errors.New("something follows the document")
 	}
-	if fault := checkAnnouncement(got); fault != "" {
+	if fault := checkAnnouncement(announced); fault != "" {
 		return node.Announcement{}, errors.New(fault)
 	}
-	return got, nil
+	return announced, nil
 }
 
 func checkAnnouncement(a node.Announcement) string {
@@ -101,49 +101,49 @@
 	return ""
 }
 
-func (a *announcements) accept(got node.Announcement) {
+func (a *announcementHandler) accept(announced node.Announcement) {
 	now := a.server.node.Now()
 	a.mu.Lock()
-	first := a.current == nil || a.down || *a.current != got
-	a.current = &got
-	a.last = now
+	changed := a.current == nil || a.down || *a.current != announced
+	a.current = &announced
+	a.lastAnnounced = now
 	a.down = false
 	a.mu.Unlock()
-	if !first {
+	if !changed {
 		return
 	}
-	a.server.upstream.SetAddr(got.Address)
-	a.server.node.UpstreamAnnounced(now, got)
-	a.server.control.join(got)
+	a.server.upstream.SetAddr(announced.Address)
+	a.server.node.UpstreamAnnounced(now, announced)
+	a.server.control.join(announced)
 }
 
-// crashed notes that the upstream's process died, so that its next
+// markDown notes that the upstream's process died, so that its next
 // announcement takes it into service again.
-func (a *announcements) crashed() {
+func (a *announcementHandler) markDown() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.down = true
 }
 
-// check holds an upstream that stopped announcing itself for gone.
-func (a *announcements) check(now time.Time) {
+// checkExpiry holds an upstream that stopped announcing itself for gone.
+func (a *announcementHandler) checkExpiry(now time.Time) {
 	a.mu.Lock()
-	silent := a.current != nil && !a.down && now.Sub(a.last) > a.server.cfg.Timing.UpstreamSilence.Std()
-	if silent {
+	expired := a.current != nil && !a.down && now.Sub(a.lastAnnounced) > a.server.cfg.Timing.UpstreamSilence.Std()
+	if expired {
 		a.down = true
 	}
 	a.mu.Unlock()
-	if silent && a.server.node.Guard().Draining() {
+	if expired && a.server.node.Guard().Draining() {
 		a.server.node.Event(now, timeline.Event{Kind: timeline.UpstreamLeft, Upstream: a.server.cfg.NodeID, Detail: "as planned"})
 		return
 	}
-	if silent {
+	if expired {
 		a.server.node.Event(now, timeline.Event{Kind: timeline.UpstreamLeft, Upstream: a.server.cfg.NodeID, Detail: "no announcement"})
 		a.server.node.UpstreamCrashed(now)
 	}
 }
 
-func (a *announcements) answer(w http.ResponseWriter) {
+func (a *announcementHandler) writeState(w http.ResponseWriter) {
 	g := a.server.node.Guard()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(upstreamState{Draining: g.Draining(), InFlight: g.Busy()})
--- a/internal/server/announce_fuzz_test.go
+++ b/internal/server/announce_fuzz_test.go
@@ -30,12 +30,12 @@
 		must.NoError(t, err)
 		ip, _, _ := strings.Cut(host, "%")
 		must.NotNil(t, net.ParseIP(ip), must.Sprint(got.Address))
-		must.True(t, nameOK(got.Service), must.Sprint(got.Service))
+		must.True(t, validName(got.Service), must.Sprint(got.Service))
 	})
 }
 
-// nameOK is the set of names that callers can send at all.
-func nameOK(s string) bool {
+// validName is the set of names that callers can send at all.
+func validName(s string) bool {
 	return !strings.ContainsFunc(s, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("-_.", r))
 	})
--- a/internal/server/authority.go
+++ b/internal/server/authority.go
@@ -23,10 +23,10 @@
 	if a.NeedsClaim(call) {
 		return time.Time{}, nil
 	}
-	if holder, ok := a.server.control.holder(call.IdempotencyKey().Hash()); ok {
-		if refusal := a.server.control.settled(holder); refusal != nil {
+	if holder, ok := a.server.control.claimHolder(call.IdempotencyKey().Hash()); ok {
+		if refusal := a.server.control.checkHolder(holder); refusal != nil {
 			return time.Time{}, refusal
 		}
 	}
-	return a.server.own.state.MayStart(now, call)
+	return a.server.ownership.state.MayStart(now, call)
 }
--- a/internal/server/ownership_watch.go
+++ b/internal/server/authority_watch.go
@@ -9,9 +9,9 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// watch puts the loss and the return of authority on the time line: while it
+// checkAuthority puts the loss and the return of authority on the time line: while it
 // is lost, calls under keys of the slots concerned are refused.
-func (o *ownership) watch(now time.Time) {
+func (o *ownership) checkAuthority(now time.Time) {
 	st := o.state.Status(now)
 	lapsed := lapsedSlots(&st)
 	o.mu.Lock()
@@ -21,9 +21,9 @@
 	switch {
 	case before == 0 && lapsed > 0:
 		o.server.metrics.Inc(metrics.AuthorityLapses, 1)
-		o.note(now, timeline.AuthorityLost, &st, lapsed)
+		o.recordAuthorityChange(now, timeline.AuthorityLost, &st, lapsed)
 	case before > 0 && lapsed == 0:
-		o.note(now, timeline.AuthorityGained, &st, lapsed)
+		o.recordAuthorityChange(now, timeline.AuthorityGained, &st, lapsed)
 	}
 }
 
@@ -33,7 +33,7 @@
 	return max(0, st.Owned-st.Released-st.Waiting-st.Ready)
 }
 
-func (o *ownership) note(now time.Time, kind timeline.Kind, st *lease.Status, lapsed int) {
+func (o *ownership) recordAuthorityChange(now time.Time, kind timeline.Kind, st *lease.Status, lapsed int) {
 	detail := fmt.Sprintf("%d of %d slots without authority, proof %s old, promises %d of %d",
 		lapsed, st.Owned, st.HeadAge.Round(time.Millisecond), st.Promises, st.Contenders)
 	o.server.node.Event(now, timeline.Event{Kind: kind, Service: o.state.Local(), Upstream: o.server.cfg.NodeID, Detail: detail})
@@ -42,17 +42,17 @@
 
 // refreshOwnership sets the gauges of ownership.
 func (s *Server) refreshOwnership() {
-	st := s.own.state.Status(s.node.Now())
+	st := s.ownership.state.Status(s.node.Now())
 	s.metrics.SetGauge(metrics.SlotsOwned, int64(st.Owned))
 	s.metrics.SetGauge(metrics.AuthorityAgeMillis, st.HeadAge.Milliseconds())
 }
 
 // countPromise counts the answer to a question for a promise.
-func (o *ownership) countPromise(asked, granted bool) {
+func (o *ownership) countPromise(requested, granted bool) {
 	switch {
 	case granted:
 		o.server.metrics.Inc(metrics.PromisesGiven, 1)
-	case asked:
+	case requested:
 		o.server.metrics.Inc(metrics.PromisesRefused, 1)
 	}
 }
--- a/internal/server/settings_test.go
+++ b/internal/server/authority_watch_test.go
@@ -12,16 +12,16 @@
 )
 
 // Guards against a guard that starts calls beyond the authority that settings give it.
-func TestAuthorityLastsAsLongAsSettingsSay(t *testing.T) {
+func TestAuthorityValidityFollowsSettings(t *testing.T) {
 	const authority = time.Second
-	w := newWorld(t)
+	w := newTestCluster(t)
 	short := func(c *settings.Node) { c.Timing.Authority = settings.Duration(authority) }
 	s, other := w.start("letters-1", short), w.start("letters-2", short)
-	w.announceAt(s, "letters", "127.0.0.1:1")
-	w.announceAt(other, "letters", "127.0.0.1:1")
-	w.until("ownership", func() bool { return s.OwnersSettled() && other.OwnersSettled() && s.own.state.Holds() > 0 })
+	w.announceAddress(s, "letters", "127.0.0.1:1")
+	w.announceAddress(other, "letters", "127.0.0.1:1")
+	w.waitFor("ownership", func() bool { return s.OwnersSettled() && other.OwnersSettled() && s.ownership.state.Holds() > 0 })
 	must.Less(t, lease.DefaultConfig().Validity, 2*authority)
-	s.own.watch(s.node.Now().Add(2 * authority))
+	s.ownership.checkAuthority(s.node.Now().Add(2 * authority))
 	lost := timeline.Filter{Kinds: []timeline.Kind{timeline.AuthorityLost}}
 	must.Positive(t, len(s.node.Ring().Events(lost)))
 }
--- a/internal/server/backend.go
+++ b/internal/server/backend.go
@@ -17,23 +17,23 @@
 // nodes it has asked them for.
 type backend struct {
 	server *Server
-	peers  *peerOps
+	peers  *peerClient
 }
 
 var _ admin.Backend = (*backend)(nil)
 
-func newBackend(s *Server) *backend { return &backend{server: s, peers: newPeerOps(s)} }
+func newBackend(s *Server) *backend { return &backend{server: s, peers: newPeerClient(s)} }
 
-// view returns the members folded so far.
-func (c *controlLoop) view() *membership.View {
+// memberView returns the members folded so far.
+func (c *controlLoop) memberView() *membership.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.plane.Members()
 }
 
-// known returns the members that calls can be routed to: those folded so far
+// knownMembers returns the members that calls can be routed to: those folded so far
 // and those whose join has not been read yet, this node among them.
-func (c *controlLoop) known() []membership.Member {
+func (c *controlLoop) knownMembers() []membership.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.plane.Known()
@@ -41,7 +41,7 @@
 
 // knownNode returns the known member of that node ID.
 func (c *controlLoop) knownNode(nodeID string) (membership.Member, bool) {
-	for _, m := range c.known() {
+	for _, m := range c.knownMembers() {
 		if m.Node == nodeID {
 			return m, true
 		}
@@ -80,7 +80,7 @@
 // node which answered has: this node may lag itself.
 func (b *backend) Status(ctx context.Context, r *adminpb.StatusRequest) (*adminpb.StatusResponse, error) {
 	state := b.server.node.Policy()
-	members := b.server.control.known()
+	members := b.server.control.knownMembers()
 	if r.GetWorkspace() != "" {
 		members = slices.DeleteFunc(members, func(m membership.Member) bool {
 			return !slices.Contains(workspacesOf(state, m), r.GetWorkspace())
@@ -117,22 +117,22 @@
 	}
 }
 
-func nodeStatus(m membership.Member, a *asked, newest uint64) *adminpb.NodeStatus {
+func nodeStatus(m membership.Member, result *reportResult, newest uint64) *adminpb.NodeStatus {
 	n := &adminpb.NodeStatus{
 		NodeId:      m.Node,
 		Incarnation: formatIncarnation(m.Incarnation),
 		Zone:        m.Zone,
-		ReportAgeMs: a.age.Milliseconds(),
+		ReportAgeMs: result.age.Milliseconds(),
 	}
-	if a.err != nil {
+	if result.err != nil {
 		n.Lagging = true
-		n.Detail = "unknown: " + a.err.Error()
+		n.Detail = "unknown: " + result.err.Error()
 		return n
 	}
-	n.ConfigVersion = a.report.Change
-	n.Lagging = a.report.Folded < newest
+	n.ConfigVersion = result.report.Change
+	n.Lagging = result.report.Folded < newest
 	if n.Lagging {
-		n.Detail = "has folded the log up to " + formatCount(a.report.Folded)
+		n.Detail = "has folded the log up to " + formatCount(result.report.Folded)
 	}
 	return n
 }
@@ -141,21 +141,21 @@
 // is listed once for each.
 func (b *backend) Members(ctx context.Context, r *adminpb.MembersRequest) ([]*adminpb.Member, error) {
 	state := b.server.node.Policy()
-	var picked []membership.Member
-	for _, m := range b.server.control.known() {
-		if accepts(r.GetService(), m.Service) && accepts(r.GetZone(), m.Zone) {
-			picked = append(picked, m)
+	var selected []membership.Member
+	for _, m := range b.server.control.knownMembers() {
+		if matches(r.GetService(), m.Service) && matches(r.GetZone(), m.Zone) {
+			selected = append(selected, m)
 		}
 	}
-	reports := b.peers.reports(ctx, picked)
+	reports := b.peers.reports(ctx, selected)
 	var list []*adminpb.Member
-	for i, m := range picked {
+	for i, m := range selected {
 		workspaces := workspacesOf(state, m)
 		if len(workspaces) == 0 {
 			workspaces = []string{""}
 		}
 		for _, w := range workspaces {
-			if accepts(r.GetWorkspace(), w) {
+			if matches(r.GetWorkspace(), w) {
 				list = append(list, memberMessage(m, w, &reports[i]))
 			}
 		}
@@ -163,9 +163,9 @@
 	return list, nil
 }
 
-func accepts(want, got string) bool { return want == "" || want == got }
+func matches(want, got string) bool { return want == "" || want == got }
 
-func memberMessage(m membership.Member, workspace string, a *asked) *adminpb.Member {
+func memberMessage(m membership.Member, workspace string, result *reportResult) *adminpb.Member {
 	msg := &adminpb.Member{
 		NodeId:      m.Node,
 		Incarnation: formatIncarnation(m.Incarnation),
@@ -177,32 +177,32 @@
 		Slots:       uint32(m.Slots),
 		Connections: uint32(m.Connections),
 		State:       "suspect",
-		HeardAgeMs:  a.age.Milliseconds(),
+		HeardAgeMs:  result.age.Milliseconds(),
 	}
-	if a.err != nil {
+	if result.err != nil {
 		return msg
 	}
 	msg.State = "alive"
-	if a.report.Draining {
+	if result.report.Draining {
 		msg.State = "draining"
 	}
-	msg.UpstreamAddr = a.report.UpstreamAddr
-	msg.InFlight = uint32(a.report.InFlight)
-	msg.Limit = uint32(a.report.Limit)
+	msg.UpstreamAddr = result.report.UpstreamAddr
+	msg.InFlight = uint32(result.report.InFlight)
+	msg.Limit = uint32(result.report.Limit)
 	return msg
 }
 
 // Drain implements admin.Backend.
 func (b *backend) Drain(ctx context.Context, operator string, r *adminpb.DrainRequest) (*adminpb.DrainResponse, error) {
-	order := drainOrder{Operator: operator, Reason: r.GetReason(), WaitMillis: r.GetWaitMs()}
+	request := drainRequest{Operator: operator, Reason: r.GetReason(), WaitMillis: r.GetWaitMs()}
 	if r.GetNodeId() == b.server.cfg.NodeID {
-		return drainMessage(b.server.drainFor(ctx, order)), nil
+		return drainMessage(b.server.drainAndWait(ctx, request)), nil
 	}
 	m, ok := b.server.control.knownNode(r.GetNodeId())
 	if !ok {
 		return nil, admin.NotFound("node %s is not a member", r.GetNodeId())
 	}
-	state, err := b.peers.drain(ctx, m, order)
+	state, err := b.peers.drain(ctx, m, request)
 	if err != nil {
 		return nil, admin.Unavailable("node %s: %v", r.GetNodeId(), err)
 	}
@@ -215,25 +215,25 @@
 
 // awaitInForce asks the members until the share of them that has a version in
 // force is reached or the time is over, and returns the last count.
-func (b *backend) awaitInForce(ctx context.Context, version policy.Version, percent uint32, within time.Duration) (inForce, known int) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (b *backend) awaitInForce(ctx context.Context, version policy.Version, percent uint32, timeout time.Duration) (inForce, known int) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		members := b.server.control.known()
+		members := b.server.control.knownMembers()
 		// The count itself may outlast the wait: an answer without it would
 		// say that nobody has the version.
-		askCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
-		inForce = countInForce(b.peers.reports(askCtx, members), version)
-		stop()
+		countCtx, cancelCount := context.WithTimeout(context.WithoutCancel(ctx), peerTimeout)
+		inForce = countInForce(b.peers.reports(countCtx, members), version)
+		cancelCount()
 		known = len(members)
 		if percent == 0 || inForce*100 >= known*int(percent) || ctx.Err() != nil {
 			return inForce, known
 		}
-		wait.For(ctx, inForcePause)
+		wait.For(ctx, inForcePollInterval)
 	}
 }
 
-func countInForce(reports []asked, version policy.Version) int {
+func countInForce(reports []reportResult, version policy.Version) int {
 	n := 0
 	for i := range reports {
 		if reports[i].err == nil && reports[i].report.Folded >= uint64(version) {
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -18,36 +18,36 @@
 // call made directly, in one run: the metric "added" is the difference of the
 // means in microseconds. Allocations are those of caller, nodes and upstream.
 func BenchmarkHop(b *testing.B) {
-	w := newWorld(b)
+	w := newTestCluster(b)
 	quiet := func(cfg *settings.Node) {
 		cfg.Limits.TimelineSample = 1 << 20
 		cfg.Timing.UpstreamSilence = settings.Duration(time.Minute)
 	}
 	entry, guard := w.start("entry", quiet), w.start("guard", quiet)
-	w.publish(entry, "archive")
+	w.publishInstance(entry, "archive")
 	up := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set("Content-Length", "1024")
 		_, _ = rw.Write(make([]byte, 1024))
 	}))
 	b.Cleanup(up.Close)
-	w.announceAt(guard, "archive", up.Listener.Addr().String())
-	w.knows("archive", 1, entry)
+	w.announceAddress(guard, "archive", up.Listener.Addr().String())
+	w.awaitTargets("archive", 1, entry)
 	callers, _, _, _ := entry.Addresses()
-	var direct, through, directCPU, throughCPU time.Duration
+	var direct, viaNodes, directCPU, viaNodesCPU time.Duration
 	b.ReportAllocs()
 	for b.Loop() {
-		began, beganCPU := time.Now(), processorTime(b)
+		start, startCPU := time.Now(), processorTime(b)
 		must.Eq(b, http.StatusOK, w.get(up.Listener.Addr().String()))
 		middle, middleCPU := time.Now(), processorTime(b)
 		must.Eq(b, http.StatusOK, w.get(callers))
-		direct += middle.Sub(began)
-		through += time.Since(middle)
-		directCPU += middleCPU - beganCPU
-		throughCPU += processorTime(b) - middleCPU
+		direct += middle.Sub(start)
+		viaNodes += time.Since(middle)
+		directCPU += middleCPU - startCPU
+		viaNodesCPU += processorTime(b) - middleCPU
 	}
-	b.ReportMetric(float64((throughCPU-directCPU).Microseconds())/float64(b.N), "added-cpu-us/op")
-	b.ReportMetric(float64((through-direct).Microseconds())/float64(b.N), "added-us/op")
-	b.ReportMetric(float64(through)/float64(direct), "through/direct")
+	b.ReportMetric(float64((viaNodesCPU-directCPU).Microseconds())/float64(b.N), "added-cpu-us/op")
+	b.ReportMetric(float64((viaNodes-direct).Microseconds())/float64(b.N), "added-us/op")
+	b.ReportMetric(float64(viaNodes)/float64(direct), "through/direct")
 }
 
 // processorTime is what the process has used, in user and system mode.
@@ -57,7 +57,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func (w *world) get(addr string) int {
+func (w *testCluster) get(addr string) int {
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/search", nil)
 	must.NoError(w.t, err)
 	req.Header.Set(callctx.HeaderWorkspace, "chikugo")
--- a/internal/server/catalogue.go
+++ b/internal/server/catalogue.go
@@ -50,7 +50,7 @@
 	state := b.server.node.Policy()
 	var list []*adminpb.InstanceSummary
 	for _, i := range state.Instances() {
-		if !accepts(workspace, i.Workspace) {
+		if !matches(workspace, i.Workspace) {
 			continue
 		}
 		list = append(list, &adminpb.InstanceSummary{
--- a/internal/server/claim.go
+++ b/internal/server/claim.go
@@ -21,12 +21,12 @@
 func (c *controlLoop) Claim(ctx context.Context, call *node.Call) *result.Refusal {
 	hash := call.IdempotencyKey().Hash()
 	id := c.server.node.Identity()
-	if holder, ok := c.holder(hash); ok {
-		return c.settled(holder)
+	if holder, ok := c.claimHolder(hash); ok {
+		return c.checkHolder(holder)
 	}
 	c.mu.Lock()
-	c.seq++
-	claim := idempotency.Claim{KeyHash: hash, Node: id.Node, Incarnation: id.Incarnation, Seq: c.seq, Addr: id.InnerAddr}
+	c.claimSeq++
+	claim := idempotency.Claim{KeyHash: hash, Node: id.Node, Incarnation: id.Incarnation, Seq: c.claimSeq, Addr: id.InnerAddr}
 	c.mu.Unlock()
 	raw, err := json.Marshal(claim)
 	if err != nil {
@@ -36,25 +36,25 @@
 	if err != nil {
 		return result.Refuse(result.NoAuthority, "the log did not settle the claim: %v", err).After(time.Second)
 	}
-	holder, ok := c.holder(hash)
+	holder, ok := c.claimHolder(hash)
 	if !ok {
 		return result.Refuse(result.NoAuthority, "the claim is no longer in memory")
 	}
-	return c.settled(holder)
+	return c.checkHolder(holder)
 }
 
-func (c *controlLoop) holder(hash uint64) (idempotency.Claim, bool) {
+func (c *controlLoop) claimHolder(hash uint64) (idempotency.Claim, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.plane.Replica().Claim(hash)
 }
 
-func (c *controlLoop) settled(holder idempotency.Claim) *result.Refusal {
+func (c *controlLoop) checkHolder(holder idempotency.Claim) *result.Refusal {
 	id := c.server.node.Identity()
 	if holder.Node == id.Node && holder.Incarnation == id.Incarnation {
 		return nil
 	}
-	if !c.live(membership.Identity{Node: holder.Node, Incarnation: holder.Incarnation}) {
+	if !c.isMember(membership.Identity{Node: holder.Node, Incarnation: holder.Incarnation}) {
 		return result.Refuse(result.OutcomeUnknown, "node %s held the key and is gone", holder.Node)
 	}
 	r := result.Refuse(result.OwnedElsewhere, "node %s holds the key", holder.Node)
--- a/internal/server/clients.go
+++ b/internal/server/clients.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// controlIdle bounds the age of an idle connection for control: a node
+	// idleClientTimeout bounds the age of an idle connection for control: a node
 	// probes six peers in turn, one a second, and keeps theirs open.
-	controlIdle = 15 * time.Second
+	idleClientTimeout = 15 * time.Second
 )
 
 // controlClients keeps a client for each address. Control messages go over
@@ -22,8 +22,8 @@
 type controlClients struct {
 	peers *proxy.Peers
 
-	mu   sync.Mutex
-	byID map[string]*controlClient
+	mu     sync.Mutex
+	byAddr map[string]*controlClient
 	// retired still had messages under way when they were dropped. They are
 	// closed once these have ended; nothing else would ever do so.
 	retired []*controlClient
@@ -32,13 +32,13 @@
 type controlClient struct {
 	innerpbconnect.ControlClient
 	transport *http.Transport
-	used      time.Time
-	// answered is when an exchange over it last brought an answer.
-	answered time.Time
+	lastUsed  time.Time
+	// lastResponse is when an exchange over it last brought an answer.
+	lastResponse time.Time
 }
 
 func newControlClients(peers *proxy.Peers) *controlClients {
-	return &controlClients{peers: peers, byID: make(map[string]*controlClient)}
+	return &controlClients{peers: peers, byAddr: make(map[string]*controlClient)}
 }
 
 func (c *controlClients) client(addr string) *controlClient {
@@ -46,9 +46,9 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	c.sweepLocked(now)
-	if got, ok := c.byID[addr]; ok {
-		got.used = now
-		return got
+	if client, ok := c.byAddr[addr]; ok {
+		client.lastUsed = now
+		return client
 	}
 	// The transport's own IdleConnTimeout counts from the making of an HTTP/2
 	// connection: past it every message would dial one that it then closes.
@@ -59,34 +59,34 @@
 		t.Protocols.SetUnencryptedHTTP2(true)
 	}
 	base := c.peers.Scheme() + "://" + addr
-	got := &controlClient{ControlClient: inner.NewControlClient(&http.Client{Transport: t}, base), transport: t, used: now}
-	c.byID[addr] = got
-	return got
+	created := &controlClient{ControlClient: inner.NewControlClient(&http.Client{Transport: t}, base), transport: t, lastUsed: now}
+	c.byAddr[addr] = created
+	return created
 }
 
 // sweepLocked closes connections that were not used for a while; a question
 // that is held ends long before.
 func (c *controlClients) sweepLocked(now time.Time) {
-	for addr, got := range c.byID {
-		if now.Sub(got.used) > controlIdle {
+	for addr, got := range c.byAddr {
+		if now.Sub(got.lastUsed) > idleClientTimeout {
 			c.retireLocked(addr, got)
 		}
 	}
-	kept := c.retired[:0]
+	remaining := c.retired[:0]
 	for _, got := range c.retired {
 		got.transport.CloseIdleConnections()
-		if now.Sub(got.used) <= 2*controlIdle {
-			kept = append(kept, got)
+		if now.Sub(got.lastUsed) <= 2*idleClientTimeout {
+			remaining = append(remaining, got)
 		}
 	}
-	clear(c.retired[len(kept):])
-	c.retired = kept
+	clear(c.retired[len(remaining):])
+	c.retired = remaining
 }
 
-func (c *controlClients) retireLocked(addr string, got *controlClient) {
-	got.transport.CloseIdleConnections()
-	delete(c.byID, addr)
-	c.retired = append(c.retired, got)
+func (c *controlClients) retireLocked(addr string, client *controlClient) {
+	client.transport.CloseIdleConnections()
+	delete(c.byAddr, addr)
+	c.retired = append(c.retired, client)
 }
 
 // drop forgets the connection to an address on which an answer failed to come:
@@ -94,29 +94,29 @@
 func (c *controlClients) drop(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if got, ok := c.byID[addr]; ok {
-		c.retireLocked(addr, got)
+	if client, ok := c.byAddr[addr]; ok {
+		c.retireLocked(addr, client)
 	}
 }
 
-// dropBefore forgets every connection that brought no answer since a moment. One
+// dropUnresponsive forgets every connection that brought no answer since a moment. One
 // that goes silent is rarely alone: what lost track of it, lost track of others.
-func (c *controlClients) dropBefore(at time.Time) {
+func (c *controlClients) dropUnresponsive(since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for addr, got := range c.byID {
-		if got.answered.Before(at) {
+	for addr, got := range c.byAddr {
+		if got.lastResponse.Before(since) {
 			c.retireLocked(addr, got)
 		}
 	}
 }
 
-// answer notes that a connection works.
-func (c *controlClients) answer(addr string) {
+// recordResponse notes that a connection works.
+func (c *controlClients) recordResponse(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if got, ok := c.byID[addr]; ok {
-		got.answered = time.Now()
+	if client, ok := c.byAddr[addr]; ok {
+		client.lastResponse = time.Now()
 	}
 }
 
@@ -128,12 +128,12 @@
 }
 
 func (c *controlClients) closeLocked() {
-	for _, got := range c.byID {
+	for _, got := range c.byAddr {
 		got.transport.CloseIdleConnections()
 	}
 	for _, got := range c.retired {
 		got.transport.CloseIdleConnections()
 	}
-	clear(c.byID)
+	clear(c.byAddr)
 	c.retired = nil
 }
--- a/internal/server/world_test.go
+++ b/internal/server/cluster_test.go
@@ -29,8 +29,8 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// world is a log stand-in and the nodes that follow it.
-type world struct {
+// testCluster is a log stand-in and the nodes that follow it.
+type testCluster struct {
 	t    testing.TB
 	log  *logd.Server
 	http *http.Client
@@ -38,13 +38,13 @@
 	scheme string
 }
 
-func newWorld(t testing.TB) *world {
+func newTestCluster(t testing.TB) *testCluster {
 	tr := &http.Transport{}
 	t.Cleanup(tr.CloseIdleConnections)
-	return &world{t: t, log: logd.New(logd.Options{Seed: 1}), http: &http.Client{Transport: tr}, scheme: "http"}
+	return &testCluster{t: t, log: logd.New(logd.Options{Seed: 1}), http: &http.Client{Transport: tr}, scheme: "http"}
 }
 
-func hashed(secret, name string, role settings.Role, workspaces ...string) settings.Token {
+func hashedToken(secret, name string, role settings.Role, workspaces ...string) settings.Token {
 	sum := sha256.Sum256([]byte(secret))
 	return settings.Token{SHA256: hex.EncodeToString(sum[:]), Name: name, Role: role, Workspaces: workspaces}
 }
@@ -62,24 +62,24 @@
 	cfg.Timing.DrainNotice = 0
 	cfg.Limits.TimelineSample = 1
 	cfg.Tokens = []settings.Token{
-		hashed("mori", "mori", settings.RoleOperator, "*"),
-		hashed("abe", "abe", settings.RoleOperator, "chikugo"),
-		hashed("view", "view", settings.RoleViewer, "chikugo"),
-		hashed("caller", "caller", settings.RoleCaller, "chikugo"),
+		hashedToken("mori", "mori", settings.RoleOperator, "*"),
+		hashedToken("abe", "abe", settings.RoleOperator, "chikugo"),
+		hashedToken("view", "view", settings.RoleViewer, "chikugo"),
+		hashedToken("caller", "caller", settings.RoleCaller, "chikugo"),
 	}
 	return cfg
 }
 
 // start runs a node until the test ends.
-func (w *world) start(id string, change func(*settings.Node)) *Server {
-	return w.startWith(id, w.log, change)
+func (w *testCluster) start(id string, configure func(*settings.Node)) *Server {
+	return w.startWith(id, w.log, configure)
 }
 
 // startWith runs a node that has that log for itself.
-func (w *world) startWith(id string, log logstore.Log, change func(*settings.Node)) *Server {
+func (w *testCluster) startWith(id string, log logstore.Log, configure func(*settings.Node)) *Server {
 	cfg := testSettings(id)
-	if change != nil {
-		change(cfg)
+	if configure != nil {
+		configure(cfg)
 	}
 	must.NoError(w.t, cfg.Validate())
 	s, err := Start(cfg, Options{Log: log, Logger: zerolog.Nop()})
@@ -88,14 +88,14 @@
 	return s
 }
 
-// announce puts an upstream with that handler behind the node.
-func (w *world) announce(s *Server, service string, h http.Handler) {
+// announceUpstream puts an upstream with that handler behind the node.
+func (w *testCluster) announceUpstream(s *Server, service string, h http.Handler) {
 	up := httptest.NewServer(h)
 	w.t.Cleanup(up.Close)
-	w.announceAt(s, service, up.Listener.Addr().String())
+	w.announceAddress(s, service, up.Listener.Addr().String())
 }
 
-func (w *world) announceAt(s *Server, service, addr string) {
+func (w *testCluster) announceAddress(s *Server, service, addr string) {
 	body, err := json.Marshal(node.Announcement{Service: service, Address: addr, Slots: 8})
 	must.NoError(w.t, err)
 	_, exit, _, _ := s.Addresses()
@@ -105,7 +105,7 @@
 	must.Eq(w.t, http.StatusOK, status)
 }
 
-func (w *world) do(req *http.Request) (int, http.Header, []byte) {
+func (w *testCluster) do(req *http.Request) (int, http.Header, []byte) {
 	resp, err := w.http.Do(req)
 	must.NoError(w.t, err)
 	defer resp.Body.Close()
@@ -115,7 +115,7 @@
 }
 
 // call makes a caller's GET for the service.
-func (w *world) call(s *Server, service, token string) (int, http.Header, []byte) {
+func (w *testCluster) call(s *Server, service, token string) (int, http.Header, []byte) {
 	callers, _, _, _ := s.Addresses()
 	req, err := http.NewRequest(http.MethodGet, "http://"+callers+"/x", nil)
 	must.NoError(w.t, err)
@@ -127,23 +127,23 @@
 	return w.do(req)
 }
 
-func (w *world) admin(s *Server, token string) adminpbconnect.AdminClient {
+func (w *testCluster) admin(s *Server, token string) adminpbconnect.AdminClient {
 	_, _, _, addr := s.Addresses()
 	return admin.NewClient(w.http, w.scheme+"://"+addr, token)
 }
 
-// until waits for what other goroutines bring about.
-func (w *world) until(what string, ok func() bool) {
+// waitFor waits for what other goroutines bring about.
+func (w *testCluster) waitFor(what string, condition func() bool) {
 	w.t.Helper()
 	must.Wait(w.t, wait.InitialSuccess(
-		wait.BoolFunc(ok), wait.Timeout(20*time.Second), wait.Gap(5*time.Millisecond),
+		wait.BoolFunc(condition), wait.Timeout(20*time.Second), wait.Gap(5*time.Millisecond),
 	), must.Sprint(what))
 }
 
-// knows waits until each node routes to so many upstreams of the service.
-func (w *world) knows(service string, n int, nodes ...*Server) {
+// awaitTargets waits until each node routes to so many upstreams of the service.
+func (w *testCluster) awaitTargets(service string, n int, nodes ...*Server) {
 	w.t.Helper()
-	w.until("members of "+service, func() bool {
+	w.waitFor("members of "+service, func() bool {
 		for _, s := range nodes {
 			if len(s.node.Table().Targets(service)) != n {
 				return false
@@ -153,8 +153,8 @@
 	})
 }
 
-// publish puts the template balanced and an instance for the service in force.
-func (w *world) publish(s *Server, service string) *adminpb.Publication {
+// publishInstance puts the template balanced and an instance for the service in force.
+func (w *testCluster) publishInstance(s *Server, service string) *adminpb.Publication {
 	w.t.Helper()
 	if _, ok := s.node.Policy().Template("balanced", 0); !ok {
 		doc, err := json.Marshal(libraryTemplate(w.t, "balanced"))
@@ -165,13 +165,13 @@
 		must.NoError(w.t, err)
 		must.True(w.t, resp.Msg.Publication.Accepted)
 	}
-	pub, err := w.set(s, "mori", service, "first-"+service, 0, `{}`)
+	pub, err := w.setInstance(s, "mori", service, "first-"+service, 0, `{}`)
 	must.NoError(w.t, err)
 	must.True(w.t, pub.Accepted)
 	return pub
 }
 
-func (w *world) set(s *Server, token, service, change string, basedOn uint64, values string) (*adminpb.Publication, error) {
+func (w *testCluster) setInstance(s *Server, token, service, change string, basedOn uint64, values string) (*adminpb.Publication, error) {
 	resp, err := w.admin(s, token).SetInstance(context.Background(), connect.NewRequest(&adminpb.SetInstanceRequest{
 		Workspace: "chikugo", Service: service, Template: "balanced", ValuesJson: values, Merge: true,
 		BasedOn: basedOn, ChangeId: change, WaitPercent: 100, WaitMs: 5000,
@@ -182,9 +182,9 @@
 	return resp.Msg.Publication, nil
 }
 
-// changes counts the operators' changes in the log, each copy of one. Nodes append records
+// countChanges counts the operators' countChanges in the log, each copy of one. Nodes append records
 // of their own at any time, such as that they take over slots.
-func (w *world) changes() (count int) {
+func (w *testCluster) countChanges() (count int) {
 	w.t.Helper()
 	from := int64(0)
 	for {
@@ -204,20 +204,20 @@
 }
 
 func libraryTemplate(t testing.TB, name string) policy.Template {
-	for _, x := range policy.Library() {
-		if x.Name == name {
-			return x
+	for _, template := range policy.Library() {
+		if template.Name == name {
+			return template
 		}
 	}
 	t.Fatalf("no template %s", name)
 	return policy.Template{}
 }
 
-// unjoinedLog takes everything but joins, as if they were lost on the way.
-type unjoinedLog struct{ *logd.Server }
+// joinRejectingLog takes everything but joins, as if they were lost on the way.
+type joinRejectingLog struct{ *logd.Server }
 
 // Append implements logstore.Log.
-func (l unjoinedLog) Append(ctx context.Context, records []logstore.Record) (int64, error) {
+func (l joinRejectingLog) Append(ctx context.Context, records []logstore.Record) (int64, error) {
 	kept := slices.DeleteFunc(slices.Clone(records), func(r logstore.Record) bool { return r.Kind == logstore.KindJoin })
 	if len(kept) == 0 {
 		return 0, logstore.ErrUnavailable
@@ -225,8 +225,8 @@
 	return l.Server.Append(ctx, kept)
 }
 
-// publishNow publishes a template without waiting for the other nodes.
-func (w *world) publishNow(s *Server) {
+// publishTemplate publishes a template without waiting for the other nodes.
+func (w *testCluster) publishTemplate(s *Server) {
 	w.t.Helper()
 	doc, err := json.Marshal(libraryTemplate(w.t, "balanced"))
 	must.NoError(w.t, err)
@@ -238,9 +238,9 @@
 	must.Eq(w.t, 2, int(resp.Msg.Publication.NodesKnown))
 }
 
-// withDeadline is an operator's patience; nothing is measured by it.
-func withDeadline(t *testing.T) (context.Context, context.CancelFunc) {
+// shortDeadline is an operator's patience; nothing is measured by it.
+func shortDeadline(t *testing.T) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(t.Context(), 600*time.Millisecond)
 }
 
-func limitsOf(calls int64) proxy.Limits { return proxy.Limits{Calls: calls} }
+func callLimit(calls int64) proxy.Limits { return proxy.Limits{Calls: calls} }
--- a/internal/server/events_rpc.go
+++ b/internal/server/events_rpc.go
@@ -42,7 +42,7 @@
 	if r.GetMaxEvents() > 0 {
 		limit = min(limit, int(r.GetMaxEvents()))
 	}
-	events, lines, err := fitting(newest(events, limit))
+	events, lines, err := encodeFitting(newest(events, limit))
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInternal, err)
 	}
@@ -63,8 +63,8 @@
 	return eventsRPC{s.control.server}.FetchEvents(ctx, req)
 }
 
-// fitting writes the newest events that an answer can hold.
-func fitting(events []timeline.Event) ([]timeline.Event, []byte, error) {
+// encodeFitting writes the newest events that an answer can hold.
+func encodeFitting(events []timeline.Event) ([]timeline.Event, []byte, error) {
 	for {
 		var lines bytes.Buffer
 		if err := timeline.WriteJSONLines(&lines, events); err != nil {
@@ -84,7 +84,7 @@
 	return events
 }
 
-func filterOf(f *adminpb.EventFilter) timeline.Filter {
+func timelineFilter(f *adminpb.EventFilter) timeline.Filter {
 	tf := timeline.Filter{
 		CallID:    f.GetCallId(),
 		RequestID: f.GetRequestId(),
@@ -100,7 +100,7 @@
 // Timeline implements admin.Backend. Members that don't answer are named; what
 // the others have stands.
 func (b *backend) Timeline(ctx context.Context, r *adminpb.TimelineRequest) (*adminpb.TimelineResponse, error) {
-	filter := filterOf(r.GetFilter())
+	filter := timelineFilter(r.GetFilter())
 	if since := r.GetSinceUnixMs(); since > 0 {
 		filter.After = timeline.HLCAt(time.UnixMilli(since))
 	}
@@ -131,22 +131,22 @@
 	return resp, nil
 }
 
-type fetched struct {
+type fetchResult struct {
 	node      string
 	events    []timeline.Event
 	forgotten uint64
 	err       error
 }
 
-func (b *backend) fetchAll(ctx context.Context, f timeline.Filter) []fetched {
-	members := b.server.control.known()
-	out := make([]fetched, len(members))
-	b.peers.each(ctx, members, func(ctx context.Context, i int) {
+func (b *backend) fetchAll(ctx context.Context, f timeline.Filter) []fetchResult {
+	members := b.server.control.knownMembers()
+	out := make([]fetchResult, len(members))
+	b.peers.forEach(ctx, members, func(ctx context.Context, i int) {
 		out[i].node = members[i].Node
-		if b.peers.own(members[i]) {
+		if b.peers.isSelf(members[i]) {
 			return
 		}
-		resp, err := b.peers.control(members[i]).FetchEvents(ctx, connect.NewRequest(&innerpb.FetchEventsRequest{
+		resp, err := b.peers.controlClient(members[i]).FetchEvents(ctx, connect.NewRequest(&innerpb.FetchEventsRequest{
 			CallId: f.CallID, RequestId: f.RequestID, Workspace: f.Workspace, Upstream: f.Upstream,
 			AfterHlc: uint64(f.After), Hlc: uint64(b.server.node.Ring().Clock().Now(b.server.node.Now())),
 		}))
@@ -177,7 +177,7 @@
 	b.server.followers.n.Add(1)
 	defer b.server.followers.n.Add(-1)
 	ring := b.server.node.Ring()
-	filter := filterOf(r.GetFilter())
+	filter := timelineFilter(r.GetFilter())
 	events, position, _ := ring.Since(0, filter)
 	if err := sendEvents(newest(events, int(r.GetMaxEvents())), 0, send); err != nil {
 		return err
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -26,7 +26,7 @@
 	if service == "" {
 		return
 	}
-	live := identities(o.server.control.liveOf(service))
+	live := identities(o.server.control.liveMembersOf(service))
 	for ctx.Err() == nil {
 		moves := o.state.StopPlan(live)
 		if len(moves) == 0 {
@@ -38,7 +38,7 @@
 			}
 		}
 	}
-	o.awaitTaken(ctx)
+	o.awaitTakeovers(ctx)
 }
 
 // moveInSteps moves the slots without running calls at once, and the others a
@@ -53,7 +53,7 @@
 			idle = append(idle, slot)
 		}
 	}
-	steps := slices.Collect(slices.Chunk(busy, moveStep))
+	steps := slices.Collect(slices.Chunk(busy, slotsPerStep))
 	if len(idle) > 0 {
 		steps = append([][]int{idle}, steps...)
 	}
@@ -65,13 +65,13 @@
 	return true
 }
 
-// awaitTaken waits until the log shows the new owners. Were this guard's leave
+// awaitTakeovers waits until the log shows the new owners. Were this guard's leave
 // record there first, any guard could take the slots, without their memory.
-func (o *ownership) awaitTaken(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, takenTimeout)
+func (o *ownership) awaitTakeovers(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
 	for o.state.Holds() > 0 && ctx.Err() == nil {
-		wait.For(ctx, idleCheck)
+		wait.For(ctx, drainPollInterval)
 	}
 }
 
@@ -79,11 +79,11 @@
 // took them. One move is out at a time: two to the same guard could overtake
 // each other.
 func (o *ownership) move(ctx context.Context, m lease.MoveSlots) bool {
-	o.moving.Lock()
-	defer o.moving.Unlock()
+	o.moveMu.Lock()
+	defer o.moveMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
-	if resp, err := o.ask(ctx, m.Addr, nil); err != nil || !resp.GetEligible() {
+	if resp, err := o.sendPromiseRequest(ctx, m.Addr, nil); err != nil || !resp.GetEligible() {
 		return false
 	}
 	h := o.state.Release(o.server.node.Now(), m.Addr, m.Slots)
@@ -110,11 +110,11 @@
 		if ctx.Err() != nil {
 			return errors.Wrap(ctx.Err(), "calls still run")
 		}
-		wait.For(ctx, idleCheck)
+		wait.For(ctx, drainPollInterval)
 	}
 	entries := guard.ExportKeys(o.server.node.Now(), match)
 	for part := uint32(0); ; part++ {
-		n := min(len(entries), partEntries)
+		n := min(len(entries), maxPartEntries)
 		req := &innerpb.HandOverRequest{
 			From:    control.Ref(o.server.control.self()),
 			Service: &innerpb.ServiceRef{Service: o.state.Local()},
@@ -125,7 +125,7 @@
 		if req.Last {
 			req.Slots = encodeSlots(h.Slots)
 		}
-		resp, err := o.control(m.Addr).HandOver(ctx, connect.NewRequest(req))
+		resp, err := o.client(m.Addr).HandOver(ctx, connect.NewRequest(req))
 		if err != nil {
 			return errors.Wrapf(err, "part %d", part)
 		}
@@ -142,7 +142,7 @@
 // HandOver takes another guard's memory. A part that found no room spoils the
 // whole: its keys would be new here and could run again.
 func (o *ownership) HandOver(_ context.Context, req *connect.Request[innerpb.HandOverRequest]) (*connect.Response[innerpb.HandOverResponse], error) {
-	detail := o.take(control.IdentityOf(req.Msg.GetFrom()), req.Msg)
+	detail := o.acceptPart(control.IdentityOf(req.Msg.GetFrom()), req.Msg)
 	return connect.NewResponse(&innerpb.HandOverResponse{
 		From:     control.Ref(o.server.control.self()),
 		Accepted: detail == "",
@@ -150,7 +150,7 @@
 	}), nil
 }
 
-func (o *ownership) take(from membership.Identity, req *innerpb.HandOverRequest) (refused string) {
+func (o *ownership) acceptPart(from membership.Identity, req *innerpb.HandOverRequest) (refusal string) {
 	now := o.server.node.Now()
 	service := o.state.Local()
 	if service == "" || req.GetService().GetService() != service {
@@ -164,9 +164,9 @@
 	if !complete {
 		o.incomplete[from] = true
 	}
-	spoilt := o.incomplete[from]
+	isIncomplete := o.incomplete[from]
 	o.mu.Unlock()
-	if spoilt {
+	if isIncomplete {
 		return "no room for all keys"
 	}
 	if !req.GetLast() {
@@ -175,7 +175,7 @@
 	if !o.state.Imported(now, lease.HandOver{From: from, Slots: decodeSlots(req.GetSlots())}) {
 		return "this guard may not take slots yet"
 	}
-	o.planSoon()
+	o.requestPlan()
 	return ""
 }
 
@@ -250,13 +250,13 @@
 			AnswerAge: time.Duration(k.GetAnswerAgeUs()) * time.Microsecond,
 		}
 		if k.GetHasAnswer() {
-			out[i].Answer = decodeKept(k)
+			out[i].Answer = decodeResponse(k)
 		}
 	}
 	return out
 }
 
-func decodeKept(k *innerpb.KeyEntry) *idempotency.Response {
+func decodeResponse(k *innerpb.KeyEntry) *idempotency.Response {
 	header := make(map[string][]string, len(k.GetHeader()))
 	for _, f := range k.GetHeader() {
 		header[f.GetName()] = append(header[f.GetName()], f.GetValue())
--- a/internal/server/logstate.go
+++ b/internal/server/logstate.go
@@ -27,9 +27,9 @@
 }
 
 // Read implements logstore.Log. The time includes the wait at the log's head.
-func (l *meteredLog) Read(ctx context.Context, from int64, most int, wait time.Duration) (logstore.Page, error) {
+func (l *meteredLog) Read(ctx context.Context, from int64, maxEntries int, wait time.Duration) (logstore.Page, error) {
 	began := time.Now()
-	page, err := l.Log.Read(ctx, from, most, wait)
+	page, err := l.Log.Read(ctx, from, maxEntries, wait)
 	l.metrics.Observe(metrics.LogReadTime, time.Since(began))
 	return page, err
 }
@@ -38,8 +38,8 @@
 // and learn the log's head from others.
 type logState struct{ failing atomic.Bool }
 
-// noteRead takes the end of one read of the log.
-func (c *controlLoop) noteRead(err error) {
+// recordRead takes the end of one read of the log.
+func (c *controlLoop) recordRead(err error) {
 	now := c.server.node.Now()
 	c.server.metrics.Inc(metrics.LogReads, 1)
 	var truncated *logstore.TruncatedError
@@ -56,9 +56,9 @@
 	}
 }
 
-// headStale is when the log counts as unavailable to a node that does not read
+// maxHeadAge is when the log counts as unavailable to a node that does not read
 // it: its zone's reader reads twice a second, and an update needs an exchange.
-const headStale = 5 * time.Second
+const maxHeadAge = 5 * time.Second
 
 // logHealth returns the next offset to fold, the age of the newest known head
 // of the log (negative when none is known), and whether the log is there.
@@ -70,5 +70,5 @@
 	if !known {
 		return next, -time.Millisecond, false
 	}
-	return next, age, age < headStale && !c.log.failing.Load()
+	return next, age, age < maxHeadAge && !c.log.failing.Load()
 }
--- a/internal/server/hooks.go
+++ b/internal/server/members.go
@@ -12,10 +12,10 @@
 	return s.control.plane.Live()
 }
 
-// liveOf returns the members that serve a service and are not dead. Those that
+// liveMembersOf returns the members that serve a service and are not dead. Those that
 // are leaving count: were they left out, the others would take their keys over
 // while they hand them on, and the memory of what ran would be lost.
-func (c *controlLoop) liveOf(service string) []membership.Member {
+func (c *controlLoop) liveMembersOf(service string) []membership.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	dead := c.plane.Dead()
--- a/internal/server/watch.go
+++ b/internal/server/observe.go
@@ -21,42 +21,42 @@
 // nothing is measured that nobody asks for.
 func (s *Server) metricsHandler() http.Handler {
 	next := s.metrics.Handler()
-	var seen counted
+	var exported exportedCounters
 	var mu sync.Mutex
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		s.refresh(&seen)
+		s.refresh(&exported)
 		mu.Unlock()
 		next.ServeHTTP(w, r)
 	})
 }
 
-// counted is what the metrics have taken over of others' counters so far.
-type counted struct {
-	appender logstore.AppenderStats
-	control  ControlStats
-	held     int64
-	// forgotten are the events that the ring pushed out.
-	forgotten int64
+// exportedCounters is what the metrics have taken over of others' counters so far.
+type exportedCounters struct {
+	appender      logstore.AppenderStats
+	control       ControlStats
+	rejectedCalls int64
+	// droppedEvents are the events that the ring pushed out.
+	droppedEvents int64
 }
 
-func (s *Server) refresh(seen *counted) {
+func (s *Server) refresh(exported *exportedCounters) {
 	load := s.node.Guard().Load()
 	s.metrics.SetGauge(metrics.AdmissionLimit, int64(load.Limit))
 	s.metrics.SetGauge(metrics.AdmissionThreshold, int64(load.Threshold))
-	s.metrics.SetGauge(metrics.IsDraining, asInt(load.Draining))
+	s.metrics.SetGauge(metrics.IsDraining, boolToInt(load.Draining))
 	s.metrics.SetGauge(metrics.ConfigVersion, int64(s.node.Policy().NewestChange()))
 	next, age, _ := s.control.logHealth()
 	s.metrics.SetGauge(metrics.LogOffset, next)
 	s.metrics.SetGauge(metrics.LogHeadAgeMillis, age.Milliseconds())
 	s.refreshMembers()
 	s.refreshOwnership()
-	s.refreshCounters(seen)
+	s.refreshCounters(exported)
 }
 
 func (s *Server) refreshMembers() {
 	known, live := 0, 0
-	for _, m := range s.control.known() {
+	for _, m := range s.control.knownMembers() {
 		if m.Service == "" {
 			continue
 		}
@@ -69,31 +69,31 @@
 	s.metrics.SetGauge(metrics.UpstreamsLive, int64(live))
 }
 
-func (s *Server) refreshCounters(seen *counted) {
-	now := s.appender.Stats()
-	s.metrics.Inc(metrics.LogAppends, now.Appends-seen.appender.Appends)
-	s.metrics.Inc(metrics.LogAppendFailures, now.Failures-seen.appender.Failures)
-	s.metrics.Inc(metrics.LogAppendsSettled, now.Uncertain-seen.appender.Uncertain)
-	s.metrics.CountRejected(metrics.BoundAppends, now.Refused-seen.appender.Refused)
-	seen.appender = now
-	s.refreshControl(seen)
-	held := s.proxy.Held().Rejected
-	s.metrics.CountRejected(metrics.BoundCallsInFlight, held-seen.held)
-	seen.held = held
-	forgotten := int64(s.node.Ring().Forgotten())
-	s.metrics.CountRejected(metrics.BoundTimeline, forgotten-seen.forgotten)
-	seen.forgotten = forgotten
+func (s *Server) refreshCounters(exported *exportedCounters) {
+	stats := s.appender.Stats()
+	s.metrics.Inc(metrics.LogAppends, stats.Appends-exported.appender.Appends)
+	s.metrics.Inc(metrics.LogAppendFailures, stats.Failures-exported.appender.Failures)
+	s.metrics.Inc(metrics.LogAppendsSettled, stats.Uncertain-exported.appender.Uncertain)
+	s.metrics.CountRejected(metrics.BoundAppends, stats.Refused-exported.appender.Refused)
+	exported.appender = stats
+	s.refreshControl(exported)
+	rejected := s.proxy.Held().Rejected
+	s.metrics.CountRejected(metrics.BoundCallsInFlight, rejected-exported.rejectedCalls)
+	exported.rejectedCalls = rejected
+	dropped := int64(s.node.Ring().Forgotten())
+	s.metrics.CountRejected(metrics.BoundTimeline, dropped-exported.droppedEvents)
+	exported.droppedEvents = dropped
 }
 
 // refreshControl takes over what the control plane counted.
-func (s *Server) refreshControl(seen *counted) {
-	now := s.ControlStats()
-	s.metrics.Inc(metrics.ControlExchanges, int64(now.Exchanges-seen.control.Exchanges))
-	seen.control = now
+func (s *Server) refreshControl(exported *exportedCounters) {
+	stats := s.ControlStats()
+	s.metrics.Inc(metrics.ControlExchanges, int64(stats.Exchanges-exported.control.Exchanges))
+	exported.control = stats
 	s.control.mu.Lock()
-	leads := s.control.plane.IsLeader()
+	isLeader := s.control.plane.IsLeader()
 	s.control.mu.Unlock()
-	s.metrics.SetGauge(metrics.IsRelay, asInt(leads))
+	s.metrics.SetGauge(metrics.IsRelay, boolToInt(isLeader))
 }
 
 // watchBounds shows everything that is held and has a limit. A limit of 0 in
@@ -102,23 +102,23 @@
 func (s *Server) watchBounds() {
 	l, guard := &s.cfg.Limits, s.node.Guard()
 	watch := s.metrics.WatchBound
-	kept := guard.Kept()
+	retention := guard.Kept()
 	watch(metrics.BoundQueue, int64(l.Queue), func() int64 { return int64(guard.Load().Queued) })
 	watch(metrics.BoundCallsInFlight, int64(l.CallsInFlight), func() int64 { return s.proxy.Held().Calls })
 	watch(metrics.BoundCallerConnections, int64(l.CallerConnections), s.connections.open.Load)
 	watch(metrics.BoundPeerConnections, 0, s.peers.Open)
 	watch(metrics.BoundHeldBytes, int64(l.HeldBytes), func() int64 { return s.proxy.Held().Bytes })
-	watch(metrics.BoundAnswerBytes, kept.MaxBytes, func() int64 { return guard.Kept().Bytes })
-	watch(metrics.BoundAnswerKeys, kept.MaxKeys, func() int64 { return guard.Kept().Keys })
+	watch(metrics.BoundAnswerBytes, retention.MaxBytes, func() int64 { return guard.Kept().Bytes })
+	watch(metrics.BoundAnswerKeys, retention.MaxKeys, func() int64 { return guard.Kept().Keys })
 	watch(metrics.BoundTimeline, int64(s.node.Ring().Cap()), func() int64 { return int64(s.node.Ring().Len()) })
 	watch(metrics.BoundCrashRecords, int64(l.Suspects), func() int64 { return int64(len(guard.CrashRecords(s.node.Now()))) })
-	watch(metrics.BoundMembers, 0, func() int64 { return int64(s.control.view().Len()) })
+	watch(metrics.BoundMembers, 0, func() int64 { return int64(s.control.memberView().Len()) })
 	watch(metrics.BoundAppends, int64(s.appenderConfig().MaxQueue), func() int64 { return int64(s.appender.Stats().Queued) })
 	watch(metrics.BoundAccounts, int64(l.CallsInFlight), func() int64 { return int64(guard.Busy()) })
 	watch(metrics.BoundFollowers, admin.MaxFollowers, s.followers.n.Load)
 }
 
-func asInt(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
@@ -133,33 +133,33 @@
 		Str("why", r.Detail).Msg("refused")
 }
 
-// errorLines makes net/http's own lines, such as failed handshakes, lines of
+// errorLogWriter makes net/http's own lines, such as failed handshakes, lines of
 // the node's log.
-type errorLines struct{ logger zerolog.Logger }
+type errorLogWriter struct{ logger zerolog.Logger }
 
 // Write implements io.Writer.
-func (l errorLines) Write(p []byte) (int, error) {
+func (l errorLogWriter) Write(p []byte) (int, error) {
 	l.logger.Warn().Str("why", strings.TrimSpace(string(p))).Msg("connection")
 	return len(p), nil
 }
 
-// connections counts the callers' open connections.
-type connections struct{ open atomic.Int64 }
+// connectionCounter counts the callers' open connectionCounter.
+type connectionCounter struct{ open atomic.Int64 }
 
-// limitCallers closes connections beyond the bound at once: one that waits in
+// limitCallerConnections closes connections beyond the bound at once: one that waits in
 // the backlog would be a silent connection to its caller.
-func (s *Server) limitCallers(l net.Listener) net.Listener {
-	return &countedListener{Listener: l, server: s, limit: int64(s.cfg.Limits.CallerConnections)}
+func (s *Server) limitCallerConnections(l net.Listener) net.Listener {
+	return &limitedListener{Listener: l, server: s, limit: int64(s.cfg.Limits.CallerConnections)}
 }
 
-type countedListener struct {
+type limitedListener struct {
 	net.Listener
 	server *Server
 	limit  int64
 }
 
 // Accept implements net.Listener.
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
--- a/internal/server/observe_test.go
+++ b/internal/server/observe_test.go
@@ -25,13 +25,13 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// chain runs letters on one node, which calls archive on the other.
-func chain(t *testing.T, archive http.Handler) (*world, *Server, *Server) {
-	w := newWorld(t)
+// startChain runs letters on one node, which calls archive on the other.
+func startChain(t *testing.T, archive http.Handler) (*testCluster, *Server, *Server) {
+	w := newTestCluster(t)
 	a, b := w.start("letters-1", nil), w.start("archive-1", nil)
 	_, exit, _, _ := a.Addresses()
-	w.announce(b, "archive", archive)
-	w.announce(a, "letters", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	w.announceUpstream(b, "archive", archive)
+	w.announceUpstream(a, "letters", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+exit+"/hull", nil)
 		if err != nil {
 			return
@@ -47,14 +47,14 @@
 		rw.WriteHeader(resp.StatusCode)
 		_, _ = io.Copy(rw, resp.Body)
 	}))
-	w.knows("letters", 1, a, b)
-	w.knows("archive", 1, a, b)
-	w.publish(a, "letters")
-	w.publish(a, "archive")
+	w.awaitTargets("letters", 1, a, b)
+	w.awaitTargets("archive", 1, a, b)
+	w.publishInstance(a, "letters")
+	w.publishInstance(a, "archive")
 	return w, a, b
 }
 
-func (w *world) timeline(s *Server, id string) []timeline.Event {
+func (w *testCluster) timeline(s *Server, id string) []timeline.Event {
 	resp, err := w.admin(s, "view").Timeline(w.t.Context(), connect.NewRequest(&adminpb.TimelineRequest{
 		Filter: &adminpb.EventFilter{CallId: id}, AllNodes: true,
 	}))
@@ -66,16 +66,16 @@
 
 // Guards against a time line that lacks a hop, or shows an effect before its cause.
 func TestTimelineShowsOneRequestOverTwoHops(t *testing.T) {
-	w, a, b := chain(t, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
+	w, a, b := startChain(t, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
 	status, h, body := w.call(a, "letters", "")
 	must.Eq(t, http.StatusOK, status)
 	must.Eq(t, "hull", string(body))
 	var got []string
-	deeper := ""
+	innerCallID := ""
 	for _, e := range w.timeline(b, h.Get("Galena-Request-Id")) {
 		got = append(got, e.Node+" "+string(e.Kind))
 		if e.Node == "archive-1" {
-			deeper = e.CallID
+			innerCallID = e.CallID
 		}
 	}
 	want := []string{
@@ -84,7 +84,7 @@
 		"archive-1 call_answered", "letters-1 call_answered", "letters-1 call_answered", "letters-1 call_answered",
 	}
 	must.Eq(t, want, got)
-	hop := w.timeline(a, deeper)
+	hop := w.timeline(a, innerCallID)
 	must.Len(t, 4, hop)
 	must.Eq(t, timeline.CallRouted, hop[0].Kind)
 	must.Eq(t, "archive-1", hop[0].Upstream)
@@ -92,7 +92,7 @@
 
 // Guards against a refusal that can't be traced to who refused, and why.
 func TestRefusalIsExplained(t *testing.T) {
-	w, a, _ := chain(t, http.NotFoundHandler())
+	w, a, _ := startChain(t, http.NotFoundHandler())
 	status, h, _ := w.call(a, "nothing", "")
 	must.Eq(t, http.StatusNotFound, status)
 	must.Eq(t, "4002", h.Get(result.HeaderResult))
@@ -104,7 +104,7 @@
 }
 
 func TestRefusalIsLogged(t *testing.T) {
-	w := newWorld(t)
+	w := newTestCluster(t)
 	lines := &testlog.Buffer{}
 	s, err := Start(testSettings("letters-1"), Options{Log: w.log, Logger: zerolog.New(lines)})
 	must.NoError(t, err)
@@ -114,7 +114,7 @@
 	must.StrContains(t, lines.String(), `"why":"no configuration has reached this node yet"`)
 }
 
-func (w *world) metrics(s *Server) map[string]map[string]float64 {
+func (w *testCluster) metrics(s *Server) map[string]map[string]float64 {
 	_, _, _, addr := s.Addresses()
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+metrics.Path, nil)
 	must.NoError(w.t, err)
@@ -125,40 +125,40 @@
 }
 
 func TestMetricsOfTwoHops(t *testing.T) {
-	w, a, b := chain(t, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
+	w, a, b := startChain(t, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
 	must.SliceEmpty(t, a.metrics.UnwatchedBounds())
 	for range 3 {
 		w.call(a, "letters", "")
 	}
-	top, deep := w.metrics(a), w.metrics(b)
+	lettersMetrics, archiveMetrics := w.metrics(a), w.metrics(b)
 	counts := map[string]float64{
 		"calls.received": 3, "calls.from_upstream": 3, "calls.local": 3, "calls.forwarded": 3, "calls.guarded": 3,
 		"results.ok": 6, "calls.retried": 0,
 	}
 	for name, want := range counts {
-		must.Eq(t, want, top[name]["count"], must.Sprint(name))
+		must.Eq(t, want, lettersMetrics[name]["count"], must.Sprint(name))
 	}
-	must.Eq(t, 3, deep["calls.guarded"]["count"])
-	must.Eq(t, 2, top["members.upstreams_live"]["value"])
-	must.Eq(t, float64(a.node.Policy().NewestChange()), top["config.version"]["value"])
-	must.Positive(t, top["admission.limit"]["value"])
-	must.Positive(t, top["log.appends"]["count"])
-	must.Positive(t, top["control.exchanges"]["count"]+deep["control.exchanges"]["count"])
-	w.until("a relay for the zone", func() bool {
+	must.Eq(t, 3, archiveMetrics["calls.guarded"]["count"])
+	must.Eq(t, 2, lettersMetrics["members.upstreams_live"]["value"])
+	must.Eq(t, float64(a.node.Policy().NewestChange()), lettersMetrics["config.version"]["value"])
+	must.Positive(t, lettersMetrics["admission.limit"]["value"])
+	must.Positive(t, lettersMetrics["log.appends"]["count"])
+	must.Positive(t, lettersMetrics["control.exchanges"]["count"]+archiveMetrics["control.exchanges"]["count"])
+	w.waitFor("a relay for the zone", func() bool {
 		return w.metrics(a)["members.is_relay"]["value"]+w.metrics(b)["members.is_relay"]["value"] == 1
 	})
-	must.Positive(t, top["timeline.events.size"]["value"])
-	must.Eq(t, 0, top["bodies.held_bytes.size"]["value"])
+	must.Positive(t, lettersMetrics["timeline.events.size"]["value"])
+	must.Eq(t, 0, lettersMetrics["bodies.held_bytes.size"]["value"])
 }
 
 // A node is given more calls than it may hold while an upstream hangs. Those
 // beyond the bound are refused at once as not run, and counted.
 func TestCallsBeyondTheBoundAreRefusedAndCounted(t *testing.T) {
 	hold := make(chan struct{})
-	w, a, _ := chain(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
+	w, a, _ := startChain(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release)
-	a.proxy.SetLimits(limitsOf(2))
+	a.proxy.SetLimits(callLimit(2))
 	codes := make(chan string, 4)
 	var wg sync.WaitGroup
 	for range 4 {
@@ -167,7 +167,7 @@
 			codes <- h.Get(result.HeaderResult)
 		})
 	}
-	w.until("two refusals", func() bool { return a.proxy.Held().Rejected == 2 })
+	w.waitFor("two refusals", func() bool { return a.proxy.Held().Rejected == 2 })
 	release()
 	wg.Wait()
 	var got []string
@@ -180,30 +180,30 @@
 }
 
 // Guards against authority over keys that lapses without a trace.
-func TestAuthorityThatLapsesIsOnTheTimeline(t *testing.T) {
-	w, s, other := pair(t)
-	w.until("ownership", func() bool { return s.OwnersSettled() && other.OwnersSettled() && s.own.state.Holds() > 0 })
+func TestLapsedAuthorityIsOnTheTimeline(t *testing.T) {
+	w, s, other := startPair(t)
+	w.waitFor("ownership", func() bool { return s.OwnersSettled() && other.OwnersSettled() && s.ownership.state.Holds() > 0 })
 	must.Positive(t, w.metrics(s)["lease.slots_owned"]["value"])
 	must.Positive(t, w.metrics(s)["lease.takeovers"]["count"])
 	has := func(k timeline.Kind) func() bool {
 		return func() bool { return len(s.node.Ring().Events(timeline.Filter{Kinds: []timeline.Kind{k}})) > 0 }
 	}
-	s.own.watch(s.node.Now().Add(10 * lease.DefaultConfig().Validity))
+	s.ownership.checkAuthority(s.node.Now().Add(10 * lease.DefaultConfig().Validity))
 	must.True(t, has(timeline.AuthorityLost)())
-	w.until("authority", has(timeline.AuthorityGained))
+	w.waitFor("authority", has(timeline.AuthorityGained))
 	must.Positive(t, w.metrics(s)["lease.authority_lapses"]["count"])
 }
 
 // Guards against a re-attachment refused as not run by a full node, while its call runs.
-func TestFullNodeTakesReattachments(t *testing.T) {
+func TestFullNodeAcceptsReattachments(t *testing.T) {
 	hold := make(chan struct{})
-	w, _, b := chain(t, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
+	w, _, b := startChain(t, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
 		<-hold
 		_, _ = rw.Write([]byte("hull"))
 	}))
 	release := sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release) // or a failed test would wait for its upstream for ever
-	b.proxy.SetLimits(limitsOf(1))
+	b.proxy.SetLimits(callLimit(1))
 	send := func(callID string, reattach bool) result.Code {
 		_, _, addr, _ := b.Addresses()
 		req, err := http.NewRequest(http.MethodPost, "http://"+addr+proxy.CallPath, nil)
@@ -215,16 +215,16 @@
 			RemainingUs: 10_000_000, TargetIncarnation: formatIncarnation(b.node.Incarnation()), FromNode: "letters-1",
 		}))
 		_, h, _ := w.do(req)
-		answer, err := inner.DecodeAnswer(h.Get(inner.HeaderAnswer))
+		header, err := inner.DecodeAnswer(h.Get(inner.HeaderAnswer))
 		must.NoError(t, err)
-		return result.Code(answer.GetCode())
+		return result.Code(header.GetCode())
 	}
 	codes := make(chan result.Code, 2)
 	go func() { codes <- send("c1", false) }()
-	w.until("the call", func() bool { return b.node.Guard().Busy() == 1 })
+	w.waitFor("the call", func() bool { return b.node.Guard().Busy() == 1 })
 	must.Eq(t, result.Shed, send("c2", false))
 	go func() { codes <- send("c1", true) }()
-	w.until("the re-attachment", func() bool { return b.proxy.Held().Calls == 2 })
+	w.waitFor("the re-attachment", func() bool { return b.proxy.Held().Calls == 2 })
 	release()
 	must.Eq(t, result.OK, <-codes)
 	must.Eq(t, result.OK, <-codes)
@@ -234,9 +234,9 @@
 // bound holds, and the request is refused as not run.
 func TestBodyBeyondTheNodesBoundIsRefused(t *testing.T) {
 	var ran atomic.Int32
-	w, a, _ := chain(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran.Add(1) }))
+	w, a, _ := startChain(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran.Add(1) }))
 	small := w.start("saga-letters-1", func(c *settings.Node) { c.Limits.BodyBytes = 1024 })
-	w.until("the configuration", func() bool {
+	w.waitFor("the configuration", func() bool {
 		return small.node.Policy().NewestChange() == a.node.Policy().NewestChange() && len(small.node.Table().Targets("archive")) > 0
 	})
 	post := func(s *Server, bytes int) string {
--- a/internal/server/ownership.go
+++ b/internal/server/ownership.go
@@ -23,33 +23,33 @@
 const (
 	// planPeriod is how often ownership is planned: promises last seconds.
 	planPeriod = 250 * time.Millisecond
-	// introducePeriod is how often a guard that may not take slots yet asks
+	// headExchangePeriod is how often a guard that may not take slots yet asks
 	// the others how far they have read.
-	introducePeriod = time.Second
+	headExchangePeriod = time.Second
 	// promiseTimeout bounds a question: an answer later is worth little.
 	promiseTimeout = time.Second
 	// moveTimeout bounds one move of slots, the calls that run included.
 	moveTimeout = 15 * time.Second
-	// partEntries bounds the keys of one part of a hand-over, so that a part
+	// maxPartEntries bounds the keys of one part of a hand-over, so that a part
 	// stays far below the bound of a control message.
-	partEntries = 200
-	// moveStep is how many slots move at a time in a planned stop.
-	moveStep = 4
-	// takenTimeout bounds the wait for the new owners' records.
-	takenTimeout = 3 * time.Second
+	maxPartEntries = 200
+	// slotsPerStep is how many slots move at a time in a planned stop.
+	slotsPerStep = 4
+	// takeoverTimeout bounds the wait for the new owners' records.
+	takeoverTimeout = 3 * time.Second
 )
 
 // ownership drives control.Ownership: it appends takeovers, asks for promises and
 // moves slots.
 type ownership struct {
-	server *Server
-	state  *control.Ownership
-	kick   chan struct{}
+	server  *Server
+	state   *control.Ownership
+	planNow chan struct{}
 
-	moving sync.Mutex // held for one move of slots
+	moveMu sync.Mutex // held for one move of slots
 
-	mu         sync.Mutex
-	introduced time.Time
+	mu               sync.Mutex
+	lastHeadExchange time.Time
 	// lapsed is how many slots had no authority when last looked at.
 	lapsed int
 	// importing holds the parts of hand-overs that are not complete.
@@ -62,7 +62,7 @@
 	return &ownership{
 		server:     s,
 		state:      control.NewOwnership(cfg, id),
-		kick:       make(chan struct{}, 1),
+		planNow:    make(chan struct{}, 1),
 		incomplete: make(map[membership.Identity]bool),
 	}
 }
@@ -76,18 +76,18 @@
 			return
 		case now := <-t.C:
 			o.plan(ctx, now)
-			o.watch(now)
-		case <-o.kick:
+			o.checkAuthority(now)
+		case <-o.planNow:
 			o.plan(ctx, o.server.node.Now())
 		}
 	}
 }
 
-// planSoon plans at once: slots were handed to this guard and have no owner
+// requestPlan plans at once: slots were handed to this guard and have no owner
 // that starts calls.
-func (o *ownership) planSoon() {
+func (o *ownership) requestPlan() {
 	select {
-	case o.kick <- struct{}{}:
+	case o.planNow <- struct{}{}:
 	default:
 	}
 }
@@ -97,19 +97,19 @@
 	if service == "" || o.server.node.Guard().Draining() {
 		return
 	}
-	live := o.server.control.liveOf(service)
+	live := o.server.control.liveMembersOf(service)
 	for _, action := range o.state.Plan(now, identities(live)) {
-		o.server.loop(func() { o.perform(ctx, action) })
+		o.server.spawn(func() { o.perform(ctx, action) })
 	}
-	if o.introductionDue(now) {
-		o.server.loop(func() { o.introduce(ctx, live) })
+	if o.headExchangeDue(now) {
+		o.server.spawn(func() { o.exchangeHeads(ctx, live) })
 	}
 }
 
 func (o *ownership) perform(ctx context.Context, action lease.Action) {
 	switch a := action.(type) {
 	case lease.AskPromise:
-		o.askPromise(ctx, a)
+		o.requestPromise(ctx, a)
 	case lease.AppendTakeover:
 		o.appendTakeover(ctx, a.Record)
 	case lease.MoveSlots:
@@ -146,22 +146,22 @@
 // OwnersSettled reports whether every slot of the local service has an owner
 // and this node is none of those that wait for theirs.
 func (s *Server) OwnersSettled() bool {
-	return s.own.state.Settled(s.node.Now())
+	return s.ownership.state.Settled(s.node.Now())
 }
 
-func (o *ownership) control(addr string) *controlClient {
+func (o *ownership) client(addr string) *controlClient {
 	return o.server.control.clients.client(addr)
 }
 
-// ask sends a question about slots; none of them only exchanges heads.
-func (o *ownership) ask(ctx context.Context, addr string, slots []int) (*innerpb.PromiseResponse, error) {
+// sendPromiseRequest sends a question about slots; none of them only exchanges heads.
+func (o *ownership) sendPromiseRequest(ctx context.Context, addr string, slots []int) (*innerpb.PromiseResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
 	head, proven := o.state.Head()
-	resp, err := o.control(addr).Promise(ctx, connect.NewRequest(&innerpb.PromiseRequest{
+	resp, err := o.client(addr).Promise(ctx, connect.NewRequest(&innerpb.PromiseRequest{
 		Owner:     control.Ref(o.server.control.self()),
 		Service:   &innerpb.ServiceRef{Service: o.state.Local()},
-		Slots:     slotNumbers(slots),
+		Slots:     encodeSlotNumbers(slots),
 		ProofHead: head,
 		Proven:    proven,
 	}))
@@ -174,30 +174,30 @@
 	return resp.Msg, nil
 }
 
-func (o *ownership) askPromise(ctx context.Context, a lease.AskPromise) {
-	resp, err := o.ask(ctx, a.Addr, a.Slots)
+func (o *ownership) requestPromise(ctx context.Context, a lease.AskPromise) {
+	resp, err := o.sendPromiseRequest(ctx, a.Addr, a.Slots)
 	if err != nil || !resp.GetGranted() {
 		return
 	}
 	o.state.Promised(a.At, control.IdentityOf(resp.GetFrom()), a.Addr)
 }
 
-func (o *ownership) introductionDue(now time.Time) bool {
+func (o *ownership) headExchangeDue(now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if now.Sub(o.introduced) < introducePeriod || o.state.Eligible(now) {
+	if now.Sub(o.lastHeadExchange) < headExchangePeriod || o.state.Eligible(now) {
 		return false
 	}
-	o.introduced = now
+	o.lastHeadExchange = now
 	return true
 }
 
-// introduce tells the other guards how far this one has read and learns how
+// exchangeHeads tells the other guards how far this one has read and learns how
 // far they have: only then may it take slots that have had an owner.
-func (o *ownership) introduce(ctx context.Context, live []membership.Member) {
+func (o *ownership) exchangeHeads(ctx context.Context, live []membership.Member) {
 	for _, m := range live {
 		if m.Node != o.server.cfg.NodeID {
-			_, _ = o.ask(ctx, m.InnerAddr, nil)
+			_, _ = o.sendPromiseRequest(ctx, m.InnerAddr, nil)
 		}
 	}
 }
@@ -209,7 +209,7 @@
 	if req.Msg.GetProven() {
 		o.state.ObservePeerHead(from, req.Msg.GetProofHead())
 	}
-	slots := slotInts(req.Msg.GetSlots())
+	slots := decodeSlotNumbers(req.Msg.GetSlots())
 	granted := len(slots) > 0 && o.state.Promise(now, req.Msg.GetService().GetService(), from, slots)
 	o.countPromise(len(slots) > 0, granted)
 	head, proven := o.state.Head()
--- a/internal/server/peerops.go
+++ b/internal/server/peerops.go
@@ -24,16 +24,16 @@
 	// reportPath and drainPath are on the inner port, which only nodes reach.
 	reportPath = "/v1/report"
 	drainPath  = "/v1/drain"
-	// askTimeout bounds one question to one node. A healthy one answers
+	// peerTimeout bounds one question to one node. A healthy one answers
 	// within milliseconds, also over zones.
-	askTimeout = time.Second
-	// askAllTimeout bounds the questions to all nodes together: with many that
+	peerTimeout = time.Second
+	// allPeersTimeout bounds the questions to all nodes together: with many that
 	// are gone, the rest must not wait for each of their timeouts.
-	askAllTimeout = 5 * time.Second
-	// askParallel bounds the questions that are out at a time.
-	askParallel = 32
-	// maxReport bounds an answer to one of the paths above, in bytes.
-	maxReport = 16 << 10
+	allPeersTimeout = 5 * time.Second
+	// maxParallelRequests bounds the questions that are out at a time.
+	maxParallelRequests = 32
+	// maxMessageBytes bounds an answer to one of the paths above, in bytes.
+	maxMessageBytes = 16 << 10
 )
 
 // report is what a node says of itself to the node that an operator asked.
@@ -50,8 +50,8 @@
 	Draining     bool   `json:"draining"`
 }
 
-// drainOrder asks a node to take no new calls.
-type drainOrder struct {
+// drainRequest asks a node to take no new calls.
+type drainRequest struct {
 	Operator   string `json:"operator"`
 	Reason     string `json:"reason"`
 	WaitMillis int64  `json:"wait_ms"`
@@ -63,39 +63,39 @@
 	InFlight int    `json:"in_flight"`
 }
 
-// asked is one member's answer; err is set when there was none. age is the
+// reportResult is one member's answer; err is set when there was none. age is the
 // time since the node was last heard, negative when it never was.
-type asked struct {
+type reportResult struct {
 	report report
 	age    time.Duration
 	err    error
 }
 
-// peerOps asks other nodes on behalf of operators. Safe for concurrent use.
-type peerOps struct {
+// peerClient asks other nodes on behalf of operators. Safe for concurrent use.
+type peerClient struct {
 	server *Server
 	client *http.Client
 
 	mu sync.Mutex
-	// heard holds when each present member last answered.
-	heard map[membership.Identity]time.Time
+	// lastResponse holds when each present member last answered.
+	lastResponse map[membership.Identity]time.Time
 }
 
-func newPeerOps(s *Server) *peerOps {
-	return &peerOps{
-		server: s,
-		client: &http.Client{Transport: s.peers.ControlTransport()},
-		heard:  map[membership.Identity]time.Time{},
+func newPeerClient(s *Server) *peerClient {
+	return &peerClient{
+		server:       s,
+		client:       &http.Client{Transport: s.peers.ControlTransport()},
+		lastResponse: map[membership.Identity]time.Time{},
 	}
 }
 
-func (p *peerOps) close() { p.client.CloseIdleConnections() }
+func (p *peerClient) close() { p.client.CloseIdleConnections() }
 
 // reports asks each member, this node included, and returns the answers in
 // the members' order.
-func (p *peerOps) reports(ctx context.Context, members []membership.Member) []asked {
-	out := make([]asked, len(members))
-	p.each(ctx, members, func(ctx context.Context, i int) {
+func (p *peerClient) reports(ctx context.Context, members []membership.Member) []reportResult {
+	out := make([]reportResult, len(members))
+	p.forEach(ctx, members, func(ctx context.Context, i int) {
 		out[i].report, out[i].err = p.report(ctx, members[i])
 	})
 	now := p.server.node.Now()
@@ -103,35 +103,35 @@
 	defer p.mu.Unlock()
 	for i, m := range members {
 		if out[i].err == nil {
-			p.heard[m.Identity] = now
+			p.lastResponse[m.Identity] = now
 		}
 		out[i].age = -time.Millisecond
-		if at, ok := p.heard[m.Identity]; ok {
+		if at, ok := p.lastResponse[m.Identity]; ok {
 			out[i].age = now.Sub(at)
 		}
 	}
-	p.forgetLocked()
+	p.pruneLocked()
 	return out
 }
 
-// forgetLocked keeps the memory to present members.
-func (p *peerOps) forgetLocked() {
+// pruneLocked keeps the memory to present members.
+func (p *peerClient) pruneLocked() {
 	present := map[membership.Identity]bool{}
-	for _, m := range p.server.control.known() {
+	for _, m := range p.server.control.knownMembers() {
 		present[m.Identity] = true
 	}
-	maps.DeleteFunc(p.heard, func(id membership.Identity, _ time.Time) bool { return !present[id] })
+	maps.DeleteFunc(p.lastResponse, func(id membership.Identity, _ time.Time) bool { return !present[id] })
 }
 
-// each runs f for every member with bounds on number and time.
-func (p *peerOps) each(ctx context.Context, members []membership.Member, f func(ctx context.Context, i int)) {
-	ctx, cancel := context.WithTimeout(ctx, askAllTimeout)
+// forEach runs f for every member with bounds on number and time.
+func (p *peerClient) forEach(ctx context.Context, members []membership.Member, f func(ctx context.Context, i int)) {
+	ctx, cancel := context.WithTimeout(ctx, allPeersTimeout)
 	defer cancel()
 	var g errgroup.Group
-	g.SetLimit(askParallel)
+	g.SetLimit(maxParallelRequests)
 	for i := range members {
 		g.Go(func() error {
-			ctx, cancel := context.WithTimeout(ctx, askTimeout)
+			ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 			defer cancel()
 			f(ctx, i)
 			return nil
@@ -140,12 +140,12 @@
 	_ = g.Wait()
 }
 
-func (p *peerOps) own(m membership.Member) bool {
+func (p *peerClient) isSelf(m membership.Member) bool {
 	return m.Node == p.server.cfg.NodeID && m.Incarnation == p.server.node.Incarnation()
 }
 
-func (p *peerOps) report(ctx context.Context, m membership.Member) (report, error) {
-	if p.own(m) {
+func (p *peerClient) report(ctx context.Context, m membership.Member) (report, error) {
+	if p.isSelf(m) {
 		return p.server.report(), nil
 	}
 	var r report
@@ -158,15 +158,15 @@
 	return r, nil
 }
 
-func (p *peerOps) drain(ctx context.Context, m membership.Member, order drainOrder) (drainState, error) {
+func (p *peerClient) drain(ctx context.Context, m membership.Member, request drainRequest) (drainState, error) {
 	var s drainState
-	ctx, cancel := context.WithTimeout(ctx, askTimeout+time.Duration(order.WaitMillis)*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout+time.Duration(request.WaitMillis)*time.Millisecond)
 	defer cancel()
-	err := p.call(ctx, m, http.MethodPost, drainPath, order, &s)
+	err := p.call(ctx, m, http.MethodPost, drainPath, request, &s)
 	return s, err
 }
 
-func (p *peerOps) call(ctx context.Context, m membership.Member, method, path string, in, out any) error {
+func (p *peerClient) call(ctx context.Context, m membership.Member, method, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return errors.Wrap(err, "request")
@@ -183,15 +183,15 @@
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("answered %s", resp.Status)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxReport)).Decode(out)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxMessageBytes)).Decode(out)
 	return errors.Wrap(err, "answer")
 }
 
-func (p *peerOps) url(m membership.Member) string {
+func (p *peerClient) url(m membership.Member) string {
 	return p.server.peers.Scheme() + "://" + m.InnerAddr
 }
 
-func (p *peerOps) control(m membership.Member) innerpbconnect.ControlClient {
+func (p *peerClient) controlClient(m membership.Member) innerpbconnect.ControlClient {
 	return inner.NewControlClient(p.client, p.url(m))
 }
 
@@ -211,19 +211,19 @@
 	}
 }
 
-// opsHandler serves other nodes' questions.
-func (s *Server) opsHandler(mux *http.ServeMux) {
+// registerPeerHandlers serves other nodes' questions.
+func (s *Server) registerPeerHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+reportPath, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, s.report())
 	})
 	mux.HandleFunc("POST "+drainPath, func(w http.ResponseWriter, r *http.Request) {
-		var order drainOrder
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxReport)).Decode(&order); err != nil {
+		var request drainRequest
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessageBytes)).Decode(&request); err != nil {
 			http.Error(w, "drain: "+err.Error(), http.StatusBadRequest)
 			return
 		}
-		order.WaitMillis = min(order.WaitMillis, admin.MaxWait.Milliseconds())
-		writeJSON(w, s.drainFor(r.Context(), order))
+		request.WaitMillis = min(request.WaitMillis, admin.MaxWait.Milliseconds())
+		writeJSON(w, s.drainAndWait(r.Context(), request))
 	})
 }
 
--- a/internal/server/plane_test.go
+++ b/internal/server/plane_test.go
@@ -21,39 +21,39 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// gate is a node's way to the log, which can be shut for that node alone.
-type gate struct {
+// gatedLog is a node's way to the log, which can be shut for that node alone.
+type gatedLog struct {
 	logstore.Log
-	shut atomic.Bool
+	unavailable atomic.Bool
 }
 
-func (g *gate) Read(ctx context.Context, from int64, max int, hold time.Duration) (logstore.Page, error) {
-	if g.shut.Load() {
+func (g *gatedLog) Read(ctx context.Context, from int64, max int, hold time.Duration) (logstore.Page, error) {
+	if g.unavailable.Load() {
 		return logstore.Page{}, logstore.ErrUnavailable
 	}
 	page, err := g.Log.Read(ctx, from, max, hold)
-	if g.shut.Load() {
+	if g.unavailable.Load() {
 		return logstore.Page{}, logstore.ErrUnavailable
 	}
 	return page, err
 }
 
-func (g *gate) Append(ctx context.Context, records []logstore.Record) (int64, error) {
-	if g.shut.Load() {
+func (g *gatedLog) Append(ctx context.Context, records []logstore.Record) (int64, error) {
+	if g.unavailable.Load() {
 		return 0, logstore.ErrUnavailable
 	}
 	return g.Log.Append(ctx, records)
 }
 
-type planeCase struct {
+type planeCluster struct {
 	t     *testing.T
 	log   *logd.Server
-	gates []*gate
+	logs  []*gatedLog
 	nodes []*server.Server
 }
 
-func newPlaneCase(t *testing.T, zones ...string) *planeCase {
-	p := &planeCase{t: t, log: logd.New(logd.Options{})}
+func newPlaneCluster(t *testing.T, zones ...string) *planeCluster {
+	p := &planeCluster{t: t, log: logd.New(logd.Options{})}
 	p.publish("first")
 	for _, zone := range zones {
 		p.start(zone, p.log)
@@ -62,7 +62,7 @@
 	return p
 }
 
-func (p *planeCase) start(zone string, log logstore.Log, seeds ...string) *server.Server {
+func (p *planeCluster) start(zone string, log logstore.Log, seeds ...string) *server.Server {
 	cfg := settings.Defaults()
 	cfg.NodeID = fmt.Sprintf("n%d", len(p.nodes))
 	cfg.Region, cfg.Zone, cfg.SeedPeers = "r", zone, seeds
@@ -71,11 +71,11 @@
 	cfg.Admin.Address = "127.0.0.1:0"
 	cfg.Timing.UpstreamSilence = settings.Duration(time.Hour)
 	cfg.Timing.DrainNotice = settings.Duration(time.Millisecond)
-	g := &gate{Log: log}
-	s, err := server.Start(cfg, server.Options{Log: g, Logger: zerolog.Nop()})
+	gated := &gatedLog{Log: log}
+	s, err := server.Start(cfg, server.Options{Log: gated, Logger: zerolog.Nop()})
 	must.NoError(p.t, err)
 	p.t.Cleanup(s.Kill)
-	p.gates, p.nodes = append(p.gates, g), append(p.nodes, s)
+	p.logs, p.nodes = append(p.logs, gated), append(p.nodes, s)
 	_, exit, _, _ := s.Addresses()
 	body := strings.NewReader(`{"service":"letters","address":"127.0.0.1:9","slots":4}`)
 	req, err := http.NewRequest(http.MethodPut, "http://"+exit+"/v1/upstream", body)
@@ -87,7 +87,7 @@
 	return s
 }
 
-func (p *planeCase) publish(id string) policy.Version {
+func (p *planeCluster) publish(id string) policy.Version {
 	t := policy.Library()[0]
 	t.Name = "t-" + id
 	pub := policy.Publication{ID: id, Author: "op", Template: &t}
@@ -99,11 +99,11 @@
 }
 
 // await waits until ok holds for all nodes; the bound only ends a failed test.
-func (p *planeCase) await(what string, ok func(*server.Server) bool) {
+func (p *planeCluster) await(what string, condition func(*server.Server) bool) {
 	p.t.Helper()
 	all := func() bool {
 		for _, s := range p.nodes {
-			if !ok(s) {
+			if !condition(s) {
 				return false
 			}
 		}
@@ -113,19 +113,19 @@
 }
 
 // Guards against a zone without the log that misses a change its peers have.
-func TestZoneCutFromLogFollowsPeers(t *testing.T) {
+func TestZoneWithoutLogReceivesChangesFromPeers(t *testing.T) {
 	checkLeaks(t)
-	p := newPlaneCase(t, "a", "a", "b", "b")
-	p.gates[2].shut.Store(true)
-	p.gates[3].shut.Store(true)
+	p := newPlaneCluster(t, "a", "a", "b", "b")
+	p.logs[2].unavailable.Store(true)
+	p.logs[3].unavailable.Store(true)
 	version := p.publish("second")
 	p.await("configuration", func(s *server.Server) bool { return s.Node().Policy().Version() >= version })
 }
 
 // Guards against a replaced VM that can't join its peers while the log is out.
-func TestServerStartsFromSeedPeerWithLogOut(t *testing.T) {
+func TestServerStartsFromSeedPeerDuringLogOutage(t *testing.T) {
 	checkLeaks(t)
-	p := newPlaneCase(t, "a", "a", "b")
+	p := newPlaneCluster(t, "a", "a", "b")
 	p.log.Update(func(k *logd.Knobs) { k.Outage = true })
 	before := p.log.Appends()
 	_, _, seed, _ := p.nodes[0].Addresses()
@@ -139,9 +139,9 @@
 }
 
 // Guards against work sent to a stopping node during an outage of the log.
-func TestDrainSpreadsWithLogOut(t *testing.T) {
+func TestDrainReachesPeersDuringLogOutage(t *testing.T) {
 	checkLeaks(t)
-	p := newPlaneCase(t, "a", "a", "a")
+	p := newPlaneCluster(t, "a", "a", "a")
 	p.log.Update(func(k *logd.Knobs) { k.Outage = true })
 	p.nodes[1].BeginDrain()
 	p.await("drain", func(s *server.Server) bool { return len(s.LiveMembers()) == 2 })
@@ -152,7 +152,7 @@
 // Cause: nobody announces a crash.
 func TestKilledServerIsEvicted(t *testing.T) {
 	checkLeaks(t)
-	p := newPlaneCase(t, "a", "a", "a", "b")
+	p := newPlaneCluster(t, "a", "a", "a", "b")
 	p.nodes[2].Kill()
 	p.nodes = append(p.nodes[:2], p.nodes[3])
 	p.await("evicted", func(s *server.Server) bool { return len(s.LiveMembers()) == 3 })
--- a/internal/server/probe.go
+++ b/internal/server/probe.go
@@ -29,7 +29,7 @@
 // perform carries out what the plane wants, each on its own.
 func (c *controlLoop) perform(ctx context.Context, actions []control.Action) {
 	for _, a := range actions {
-		c.server.loop(func() { c.performOne(ctx, a) })
+		c.server.spawn(func() { c.performOne(ctx, a) })
 	}
 }
 
@@ -40,18 +40,18 @@
 	case control.SendProbe:
 		from, ok := c.probe(ctx, a.To.Addr, probeTimeout)
 		var more []control.Action
-		c.with(func(now time.Time, p *control.Plane) { more = p.OnProbe(now, a.To.ID, from, ok) })
+		c.withPlane(func(now time.Time, p *control.Plane) { more = p.OnProbe(now, a.To.ID, from, ok) })
 		c.perform(ctx, more)
 	case control.SendProbeVia:
 		reached := c.probeVia(ctx, a.Helper, a.Target)
-		c.with(func(now time.Time, p *control.Plane) { p.OnProbeVia(now, a.Target.ID, reached) })
+		c.withPlane(func(now time.Time, p *control.Plane) { p.OnProbeVia(now, a.Target.ID, reached) })
 	case control.CheckEvict:
 		alive := false
 		for _, h := range a.Helpers {
 			alive = alive || c.probeVia(ctx, h, a.Target)
 		}
 		var more []control.Action
-		c.with(func(now time.Time, p *control.Plane) { more = p.OnEvictChecked(now, a.Target.ID, alive) })
+		c.withPlane(func(now time.Time, p *control.Plane) { more = p.OnEvictChecked(now, a.Target.ID, alive) })
 		c.perform(ctx, more)
 	}
 }
@@ -87,14 +87,14 @@
 	return resp.Msg.GetReached()
 }
 
-// spreadSuspects tells the guards of the same service in the zone what is new
+// gossipCrashRecords tells the guards of the same service in the zone what is new
 // about crashing requests; the exchange tells all others.
-func (c *controlLoop) spreadSuspects(ctx context.Context) {
+func (c *controlLoop) gossipCrashRecords(ctx context.Context) {
 	now := c.server.node.Now()
 	known := c.server.node.Guard().CrashRecords(now)
 	var fresh []quarantine.CrashRecord
 	var peers []control.Peer
-	c.with(func(now time.Time, p *control.Plane) {
+	c.withPlane(func(now time.Time, p *control.Plane) {
 		fresh = p.SetCrashRecords(now, known)
 		peers = p.ServicePeers()
 	})
@@ -106,10 +106,10 @@
 		req.Suspects = append(req.Suspects, inner.SuspectMessage(now, s))
 	}
 	for _, peer := range peers {
-		c.server.loop(func() {
+		c.server.spawn(func() {
 			ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 			defer cancel()
-			c.counters.spreads.Add(1)
+			c.counters.gossips.Add(1)
 			// What is lost here comes with the next exchanges.
 			_, _ = c.clients.client(peer.Addr).SpreadSuspects(ctx, connect.NewRequest(req))
 		})
--- a/internal/server/publish.go
+++ b/internal/server/publish.go
@@ -23,18 +23,18 @@
 	// publishTimeout bounds the wait for a publication to be read back; the
 	// log answers within milliseconds on a good day.
 	publishTimeout = 10 * time.Second
-	// answerMargin is kept of the operator's time for the answer's way back.
-	answerMargin = 250 * time.Millisecond
-	// inForcePause is between two counts of the nodes that have a version.
-	inForcePause = 100 * time.Millisecond
+	// responseMargin is kept of the operator's time for the answer's way back.
+	responseMargin = 250 * time.Millisecond
+	// inForcePollInterval is between two counts of the nodes that have a version.
+	inForcePollInterval = 100 * time.Millisecond
 )
 
 // PublishTemplate implements admin.Backend. A document without a revision
 // gets the next one.
 func (b *backend) PublishTemplate(ctx context.Context, operator string, r *adminpb.PublishTemplateRequest) (*adminpb.Publication, error) {
 	state := b.server.node.Policy()
-	if known, ok := b.repeated(state, r.GetChangeId(), "template "+r.GetName()); ok {
-		return b.decided(ctx, known, r.GetWaitPercent(), r.GetWaitMs())
+	if earlier, ok := b.findDecision(state, r.GetChangeId(), "template "+r.GetName()); ok {
+		return b.publicationMessage(ctx, earlier, r.GetWaitPercent(), r.GetWaitMs())
 	}
 	doc, err := completeTemplate(state, r.GetName(), r.GetDocumentJson())
 	if err != nil {
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return b.decided(ctx, d, r.GetWaitPercent(), r.GetWaitMs())
+	return b.publicationMessage(ctx, d, r.GetWaitPercent(), r.GetWaitMs())
 }
 
 func completeTemplate(state *policy.State, name, text string) ([]byte, error) {
@@ -65,15 +65,15 @@
 	if hasName && hasRevision {
 		return []byte(text), nil
 	}
-	next := 1
+	nextRevision := 1
 	if current, ok := state.Template(name, 0); ok {
-		next = current.Revision + 1
+		nextRevision = current.Revision + 1
 	}
 	if !hasName {
 		doc["name"] = json.RawMessage(strconv.Quote(name))
 	}
 	if !hasRevision {
-		doc["revision"] = json.RawMessage(strconv.Itoa(next))
+		doc["revision"] = json.RawMessage(strconv.Itoa(nextRevision))
 	}
 	full, err := json.Marshal(doc)
 	return full, errors.Wrap(err, "complete template")
@@ -82,10 +82,10 @@
 // SetInstance implements admin.Backend.
 func (b *backend) SetInstance(ctx context.Context, operator string, r *adminpb.SetInstanceRequest) (*adminpb.Publication, error) {
 	state := b.server.node.Policy()
-	if known, ok := b.repeated(state, r.GetChangeId(), "instance "+r.GetWorkspace()+"/"+r.GetService()); ok {
-		return b.decided(ctx, known, r.GetWaitPercent(), r.GetWaitMs())
+	if earlier, ok := b.findDecision(state, r.GetChangeId(), "instance "+r.GetWorkspace()+"/"+r.GetService()); ok {
+		return b.publicationMessage(ctx, earlier, r.GetWaitPercent(), r.GetWaitMs())
 	}
-	inst, err := propose(state, r.GetWorkspace(), r.GetService(), r.GetTemplate(), r.GetValuesJson(), r.GetMerge())
+	inst, err := buildInstance(state, r.GetWorkspace(), r.GetService(), r.GetTemplate(), r.GetValuesJson(), r.GetMerge())
 	if err != nil {
 		return nil, err
 	}
@@ -94,12 +94,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return b.decided(ctx, d, r.GetWaitPercent(), r.GetWaitMs())
+	return b.publicationMessage(ctx, d, r.GetWaitPercent(), r.GetWaitMs())
 }
 
-// propose makes the instance that a request asks for. Naming a template takes
+// buildInstance makes the instance that a request asks for. Naming a template takes
 // its current revision; naming none keeps template and revision.
-func propose(state *policy.State, workspace, service, template, valuesJSON string, merge bool) (*policy.Instance, error) {
+func buildInstance(state *policy.State, workspace, service, template, valuesJSON string, merge bool) (*policy.Instance, error) {
 	inst := &policy.Instance{Workspace: workspace, Service: service, Values: map[string]string{}}
 	old, exists := findInstance(state, workspace, service)
 	if exists {
@@ -155,9 +155,9 @@
 	return nil
 }
 
-// repeated returns the decision on a change that was sent before. A change ID
+// findDecision returns the decision on a change that was sent before. A change ID
 // that named another object is no repeat and is refused by publish.
-func (b *backend) repeated(state *policy.State, changeID, object string) (policy.Decision, bool) {
+func (b *backend) findDecision(state *policy.State, changeID, object string) (policy.Decision, bool) {
 	d, ok := state.Decision(changeID)
 	return d, ok && d.Object == object
 }
@@ -170,25 +170,25 @@
 	if have := versionOf(state, p); p.BaseVersion > have {
 		return policy.Decision{}, admin.Unavailable("this node lags: it has %s at version %d, the change is based on %d", p.Object(), have, p.BaseVersion)
 	}
-	if d, ok := foreseen(state, p); ok {
+	if d, ok := decideLocally(state, p); ok {
 		return d, nil
 	}
 	rec, err := p.Record(b.server.node.Now())
 	if err != nil {
 		return policy.Decision{}, admin.Invalid("%v", err)
 	}
-	sendCtx, cancel := withMargin(ctx)
+	sendCtx, cancel := appendContext(ctx)
 	defer cancel()
 	if _, err := b.server.appender.Append(sendCtx, rec); err != nil {
 		return policy.Decision{}, appendFailure(p, err)
 	}
-	b.server.control.awaitEnforced()
+	b.server.control.awaitApplied()
 	b.server.metrics.Observe(metrics.PublishTime, b.server.node.Now().Sub(rec.At))
 	d, ok := b.server.node.Policy().Decision(p.ID)
 	if !ok {
 		return d, admin.Undecided("change %s was read back and its decision is no longer kept here", p.ID)
 	}
-	b.noteDecision(p, &d)
+	b.recordDecision(p, &d)
 	return d, nil
 }
 
@@ -202,8 +202,8 @@
 	return state.InstanceVersion(p.Instance.Workspace, p.Instance.Service)
 }
 
-// noteDecision puts what the log decided on the time line.
-func (b *backend) noteDecision(p *policy.Publication, d *policy.Decision) {
+// recordDecision puts what the log decided on the time line.
+func (b *backend) recordDecision(p *policy.Publication, d *policy.Decision) {
 	e := timeline.Event{Kind: timeline.PublicationDecided, Detail: fmt.Sprintf("%s by %s: %s", d.Object, d.Author, d.Outcome)}
 	if p.Instance != nil {
 		e.Workspace, e.Service = p.Instance.Workspace, p.Instance.Service
@@ -216,10 +216,10 @@
 		Str("outcome", string(d.Outcome)).Int64("version", int64(d.Version)).Msg("publication decided")
 }
 
-// foreseen decides what no later record could change: a loss to a newer
+// decideLocally decides what no later record could change: a loss to a newer
 // version of the object, or a document that is wrong by itself. What may look
 // wrong only because this node lags goes to the log.
-func foreseen(state *policy.State, p *policy.Publication) (policy.Decision, bool) {
+func decideLocally(state *policy.State, p *policy.Publication) (policy.Decision, bool) {
 	d, _ := state.Check(p)
 	switch d.Outcome {
 	case policy.Lost:
@@ -235,10 +235,10 @@
 	return d, false
 }
 
-func withMargin(ctx context.Context) (context.Context, context.CancelFunc) {
+func appendContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	limit := publishTimeout
 	if end, ok := ctx.Deadline(); ok {
-		limit = min(limit, max(0, time.Until(end)-answerMargin))
+		limit = min(limit, max(0, time.Until(end)-responseMargin))
 	}
 	return context.WithTimeout(ctx, limit)
 }
@@ -253,9 +253,9 @@
 	return admin.Unavailable("change %s was not published: %v", p.ID, err)
 }
 
-// decided turns a decision into the operator's answer and, for an accepted
+// publicationMessage turns a decision into the operator's answer and, for an accepted
 // change, waits as asked and counts the nodes.
-func (b *backend) decided(ctx context.Context, d policy.Decision, percent uint32, waitMillis int64) (*adminpb.Publication, error) {
+func (b *backend) publicationMessage(ctx context.Context, d policy.Decision, percent uint32, waitMillis int64) (*adminpb.Publication, error) {
 	if d.Outcome == policy.Rejected {
 		return nil, admin.Invalid("%s: %v", d.Object, d.Errors)
 	}
@@ -278,16 +278,16 @@
 // with that of the proposal, under defaults.
 func (b *backend) DiffInstance(_ context.Context, r *adminpb.DiffInstanceRequest) (*adminpb.DiffInstanceResponse, error) {
 	state := b.server.node.Policy()
-	inst, err := propose(state, r.GetWorkspace(), r.GetService(), r.GetTemplate(), r.GetValuesJson(), r.GetMerge())
+	inst, err := buildInstance(state, r.GetWorkspace(), r.GetService(), r.GetTemplate(), r.GetValuesJson(), r.GetMerge())
 	if err != nil {
 		return nil, err
 	}
-	based := state.InstanceVersion(r.GetWorkspace(), r.GetService())
-	d, changes := state.Check(&policy.Publication{ID: "diff", Author: "diff", BaseVersion: based, Instance: inst})
+	baseVersion := state.InstanceVersion(r.GetWorkspace(), r.GetService())
+	d, changes := state.Check(&policy.Publication{ID: "diff", Author: "diff", BaseVersion: baseVersion, Instance: inst})
 	if d.Outcome == policy.Rejected {
 		return nil, admin.Invalid("%v", d.Errors)
 	}
-	resp := &adminpb.DiffInstanceResponse{BasedOn: uint64(based)}
+	resp := &adminpb.DiffInstanceResponse{BasedOn: uint64(baseVersion)}
 	for _, c := range changes {
 		resp.Differences = append(resp.Differences, &adminpb.Difference{
 			Path: c.Field, FromJson: quoteOrEmpty(c.Old), ToJson: quoteOrEmpty(c.New),
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -56,33 +56,33 @@
 
 // Server is a running node. Make it with Start.
 type Server struct {
-	cfg      *settings.Node
-	log      logstore.Log
-	appender *logstore.Appender
-	logger   zerolog.Logger
-	node     *node.Node
-	proxy    *proxy.Proxy
-	peers    *proxy.Peers
-	upstream *proxy.Upstream
-	control  *controlLoop
-	own      *ownership
-	announce *announcements
-	backend  *backend
-	metrics  *metrics.Set
-	tokens   *admin.Tokens
+	cfg       *settings.Node
+	log       logstore.Log
+	appender  *logstore.Appender
+	logger    zerolog.Logger
+	node      *node.Node
+	proxy     *proxy.Proxy
+	peers     *proxy.Peers
+	upstream  *proxy.Upstream
+	control   *controlLoop
+	ownership *ownership
+	announce  *announcementHandler
+	backend   *backend
+	metrics   *metrics.Set
+	tokens    *admin.Tokens
 
 	listeners   listeners
 	servers     []*http.Server
 	followers   followers
-	connections connections
+	connections connectionCounter
 	certs       certificates
 	// innerServer is the one of servers that other nodes call.
 	innerServer *http.Server
 	// stopping is closed when the listeners close, so that streams end.
-	stopping chan struct{}
-	stopOnce sync.Once
-	stop     context.CancelFunc
-	loops    sync.WaitGroup
+	stopping   chan struct{}
+	stopOnce   sync.Once
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 	// handedOver is closed once owned keys have gone to other guards.
 	handedOver chan struct{}
 	drainOnce  sync.Once
@@ -169,7 +169,7 @@
 		}
 		*l.into = opened
 	}
-	s.listeners.callers = s.limitCallers(s.listeners.callers)
+	s.listeners.callers = s.limitCallerConnections(s.listeners.callers)
 	return nil
 }
 
@@ -194,13 +194,13 @@
 	s.upstream = proxy.NewUpstream(s.control)
 	s.upstream.BeforeRun = opts.BeforeRun
 	id := s.identity()
-	s.own = newOwnership(s, id)
+	s.ownership = newOwnership(s, id)
 	s.node = node.New(node.Config{
 		Identity:       id,
 		Clock:          systemClock{},
 		Runner:         s.upstream,
 		Authority:      authority{s},
-		Owners:         s.own.state,
+		Owners:         s.ownership.state,
 		Ring:           timeline.NewRing(s.cfg.NodeID, s.cfg.Limits.TimelineEvents, &timeline.Clock{}),
 		Routing:        routing.DefaultConfig(),
 		Retry:          retry.DefaultPolicy(),
@@ -209,8 +209,8 @@
 		Seed:           newSeed(),
 		Sample:         s.cfg.Limits.TimelineSample,
 		Observer:       opts.Observer,
-		OnCrash:        s.crashed,
-		OnCrashRecords: func([]quarantine.CrashRecord) { s.control.kickSoon() },
+		OnCrash:        s.onUpstreamCrash,
+		OnCrashRecords: func([]quarantine.CrashRecord) { s.control.requestTick() },
 		MaxQueue:       s.cfg.Limits.Queue,
 		MaxBody:        int64(s.cfg.Limits.BodyBytes),
 		Metrics:        s.metrics,
@@ -219,23 +219,23 @@
 	s.peers.Bind(s.node)
 	s.upstream.Bind(s.node)
 	s.proxy = proxy.New(s.node, s.peers, s.upstream)
-	s.announce = &announcements{server: s}
-	s.control.bind()
+	s.announce = &announcementHandler{server: s}
+	s.control.createPlane()
 	s.backend = newBackend(s)
 	s.proxy.SetLimits(proxy.Limits{Calls: int64(s.cfg.Limits.CallsInFlight), HeldBytes: int64(s.cfg.Limits.HeldBytes)})
 	s.watchBounds()
 }
 
-// crashed notes that the upstream's process died: its announcement counts
+// onUpstreamCrash notes that the upstream's process died: its announcement counts
 // anew, and what it ran is suspect.
-func (s *Server) crashed() {
-	s.announce.crashed()
-	s.control.kickSoon()
+func (s *Server) onUpstreamCrash() {
+	s.announce.markDown()
+	s.control.requestTick()
 }
 
 // Evicted is closed when the log says that this node is gone though it runs:
 // it has to stop and start again.
-func (s *Server) Evicted() <-chan struct{} { return s.control.gone }
+func (s *Server) Evicted() <-chan struct{} { return s.control.evicted }
 
 func (s *Server) identity() node.Identity {
 	return node.Identity{
@@ -270,7 +270,7 @@
 	innerMux := http.NewServeMux()
 	innerMux.Handle(proxy.CallPath, s.proxy.CallHandler())
 	innerMux.Handle(inner.NewControlHandler(service{control: s.control}))
-	s.opsHandler(innerMux)
+	s.registerPeerHandlers(innerMux)
 	exitMux := http.NewServeMux()
 	exitMux.Handle("/v1/upstream", s.announce)
 	exitMux.Handle("/", s.proxy.ExitHandler())
@@ -278,12 +278,12 @@
 	s.serve(s.listeners.exit, exitMux, nil)
 	s.serve(s.listeners.inner, innerMux, s.certs.inner)
 	s.serve(s.listeners.admin, s.adminHandler(), s.certs.admin)
-	s.loop(func() { s.appender.Run(ctx) })
-	s.loop(func() { s.control.read(ctx) })
-	s.loop(func() { s.control.exchange(ctx) })
-	s.loop(func() { s.control.tick(ctx) })
-	s.loop(func() { s.tick(ctx) })
-	s.loop(func() { s.own.run(ctx) })
+	s.spawn(func() { s.appender.Run(ctx) })
+	s.spawn(func() { s.control.read(ctx) })
+	s.spawn(func() { s.control.exchange(ctx) })
+	s.spawn(func() { s.control.tick(ctx) })
+	s.spawn(func() { s.tick(ctx) })
+	s.spawn(func() { s.ownership.run(ctx) })
 	s.node.Event(s.node.Now(), timeline.Event{Kind: timeline.NodeStarted})
 }
 
@@ -292,7 +292,7 @@
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    s.cfg.Limits.HeaderBytes,
-		ErrorLog:          log.New(errorLines{s.logger}, "", 0),
+		ErrorLog:          log.New(errorLogWriter{s.logger}, "", 0),
 	}
 	if l == s.listeners.inner {
 		srv.Protocols = new(http.Protocols)
@@ -301,13 +301,13 @@
 		s.innerServer = srv
 	}
 	s.servers = append(s.servers, srv)
-	s.loop(func() { _ = serveOn(srv, l, files) })
+	s.spawn(func() { _ = serveOn(srv, l, files) })
 }
 
-func (s *Server) loop(f func()) {
-	s.loops.Add(1)
+func (s *Server) spawn(f func()) {
+	s.goroutines.Add(1)
 	go func() {
-		defer s.loops.Done()
+		defer s.goroutines.Done()
 		f()
 	}()
 }
@@ -321,7 +321,7 @@
 			return
 		case now := <-t.C:
 			s.node.Guard().Tick(now)
-			s.announce.check(now)
+			s.announce.checkExpiry(now)
 		}
 	}
 }
--- a/internal/server/service.go
+++ b/internal/server/service.go
@@ -22,19 +22,19 @@
 
 // Exchange implements innerpbconnect.ControlHandler.
 func (s service) Exchange(ctx context.Context, req *connect.Request[innerpb.ExchangeRequest]) (*connect.Response[innerpb.ExchangeResponse], error) {
-	c, q := s.control, req.Msg
+	c, msg := s.control, req.Msg
 	received := c.server.node.Now()
-	hold := min(time.Duration(q.GetHoldUs())*time.Microsecond, maxHold)
+	hold := min(time.Duration(msg.GetHoldUs())*time.Microsecond, maxHold)
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
-	c.with(func(now time.Time, p *control.Plane) { p.OnRequest(now, q) })
+	c.withPlane(func(now time.Time, p *control.Plane) { p.OnRequest(now, msg) })
 	for expired := false; ; {
-		a, woken := c.answer(received, q, expired)
-		if a != nil {
-			return connect.NewResponse(a), nil
+		resp, updated := c.responseOrSignal(received, msg, expired)
+		if resp != nil {
+			return connect.NewResponse(resp), nil
 		}
 		select {
-		case <-woken:
+		case <-updated:
 		case <-timer.C:
 			expired = true
 		case <-c.closing:
@@ -45,22 +45,22 @@
 	}
 }
 
-// answer answers a question, or returns what to wait on while it is held.
-func (c *controlLoop) answer(received time.Time, q *innerpb.ExchangeRequest, expired bool) (*innerpb.ExchangeResponse, <-chan struct{}) {
+// responseOrSignal answers a question, or returns what to wait on while it is held.
+func (c *controlLoop) responseOrSignal(received time.Time, msg *innerpb.ExchangeRequest, expired bool) (*innerpb.ExchangeResponse, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.server.node.Now()
-	if !expired && !c.plane.ResponseDue(now, received, q) {
-		return nil, c.wake
+	if !expired && !c.plane.ResponseDue(now, received, msg) {
+		return nil, c.updated
 	}
-	return c.plane.NewResponse(now, received, q), nil
+	return c.plane.NewResponse(now, received, msg), nil
 }
 
 // Probe implements innerpbconnect.ControlHandler.
 func (s service) Probe(ctx context.Context, req *connect.Request[innerpb.ProbeRequest]) (*connect.Response[innerpb.ProbeResponse], error) {
-	c, q := s.control, req.Msg
+	c, msg := s.control, req.Msg
 	resp := &innerpb.ProbeResponse{From: control.Ref(c.self()), Reached: true}
-	if target := q.GetIndirect(); target != nil {
+	if target := msg.GetIndirect(); target != nil {
 		found, ok := c.probe(ctx, target.GetInnerAddr(), helperTimeout)
 		resp.Reached = ok && found == control.IdentityOf(target)
 	}
@@ -82,16 +82,16 @@
 // SpreadSuspects implements innerpbconnect.ControlHandler.
 func (s service) SpreadSuspects(_ context.Context, req *connect.Request[innerpb.SpreadSuspectsRequest]) (*connect.Response[innerpb.SpreadSuspectsResponse], error) {
 	list := req.Msg.GetSuspects()
-	s.control.with(func(now time.Time, p *control.Plane) { p.OnCrashRecords(now, list) })
+	s.control.withPlane(func(now time.Time, p *control.Plane) { p.OnCrashRecords(now, list) })
 	return connect.NewResponse(&innerpb.SpreadSuspectsResponse{Taken: uint32(len(list))}), nil
 }
 
 // Promise implements innerpbconnect.ControlHandler.
 func (s service) Promise(ctx context.Context, req *connect.Request[innerpb.PromiseRequest]) (*connect.Response[innerpb.PromiseResponse], error) {
-	return s.control.server.own.Promise(ctx, req)
+	return s.control.server.ownership.Promise(ctx, req)
 }
 
 // HandOver implements innerpbconnect.ControlHandler.
 func (s service) HandOver(ctx context.Context, req *connect.Request[innerpb.HandOverRequest]) (*connect.Response[innerpb.HandOverResponse], error) {
-	return s.control.server.own.HandOver(ctx, req)
+	return s.control.server.ownership.HandOver(ctx, req)
 }
--- a/internal/server/slots.go
+++ b/internal/server/slots.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-func slotNumbers(slots []int) []uint32 {
+func encodeSlotNumbers(slots []int) []uint32 {
 	out := make([]uint32, len(slots))
 	for i, s := range slots {
 		out[i] = uint32(s)
@@ -10,7 +10,7 @@
 	return out
 }
 
-func slotInts(slots []uint32) []int {
+func decodeSlotNumbers(slots []uint32) []int {
 	out := make([]int, len(slots))
 	for i, s := range slots {
 		out[i] = int(s)
--- a/internal/server/stats.go
+++ b/internal/server/stats.go
@@ -16,7 +16,7 @@
 }
 
 type controlCounters struct {
-	exchanges, probes, spreads, fetches, reads atomic.Uint64
+	exchanges, probes, gossips, fetches, reads atomic.Uint64
 }
 
 // ControlStats returns the counters.
@@ -31,7 +31,7 @@
 	return ControlStats{
 		Exchanges: n.exchanges.Load(),
 		Probes:    n.probes.Load(),
-		Gossips:   n.spreads.Load(),
+		Gossips:   n.gossips.Load(),
 		Fetches:   n.fetches.Load(),
 		Reads:     n.reads.Load(),
 		Appends:   uint64(s.appender.Stats().Appends),
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -9,11 +9,11 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// idleCheck is how often a stopping node looks whether calls are in flight.
-const idleCheck = 10 * time.Millisecond
+// drainPollInterval is how often a stopping node looks whether calls are in flight.
+const drainPollInterval = 10 * time.Millisecond
 
-// flushTime is left for answers that are written to leave the machine.
-const flushTime = 20 * time.Millisecond
+// flushDelay is left for answers that are written to leave the machine.
+const flushDelay = 20 * time.Millisecond
 
 // BeginDrain refuses new calls, truthfully, and hands the owned keys over: the
 // sooner they have a new owner, the fewer calls meet none.
@@ -26,23 +26,23 @@
 		s.node.Event(s.node.Now(), timeline.Event{Kind: timeline.DrainStarted, Upstream: s.cfg.NodeID, Detail: detail})
 		s.logger.Info().Str("reason", detail).Int("in_flight", s.node.Guard().Busy()).Msg("draining")
 		s.control.drain()
-		s.loop(func() {
+		s.spawn(func() {
 			defer close(s.handedOver)
-			ctx, cancel := s.untilStopping()
+			ctx, cancel := s.contextUntilStopping()
 			defer cancel()
-			s.own.handOverAll(ctx)
+			s.ownership.handOverAll(ctx)
 		})
 	})
 }
 
-// drainFor drains at an operator's word and waits as long as asked for the
+// drainAndWait drains at an operator's word and waits as long as asked for the
 // calls in flight.
-func (s *Server) drainFor(ctx context.Context, order drainOrder) drainState {
-	s.beginDrain(order.Operator + ": " + order.Reason)
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(order.WaitMillis)*time.Millisecond)
+func (s *Server) drainAndWait(ctx context.Context, request drainRequest) drainState {
+	s.beginDrain(request.Operator + ": " + request.Reason)
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMillis)*time.Millisecond)
 	defer cancel()
 	for s.node.Guard().Busy() > 0 && ctx.Err() == nil {
-		wait.For(ctx, idleCheck)
+		wait.For(ctx, drainPollInterval)
 	}
 	state := drainState{State: "draining", InFlight: s.node.Guard().Busy()}
 	if state.InFlight == 0 {
@@ -56,9 +56,9 @@
 // cut.
 func (s *Server) Shutdown(ctx context.Context) int {
 	s.BeginDrain()
-	s.awaitNotice(ctx)
+	s.awaitDrainNotice(ctx)
 	for s.node.Guard().Busy() > 0 && ctx.Err() == nil {
-		wait.For(ctx, idleCheck)
+		wait.For(ctx, drainPollInterval)
 	}
 	select {
 	case <-s.handedOver:
@@ -75,10 +75,10 @@
 	return cut
 }
 
-// awaitNotice leaves the listeners open long enough for everyone to learn that
+// awaitDrainNotice leaves the listeners open long enough for everyone to learn that
 // the node is leaving: a connection refused before that costs its caller a
 // retry.
-func (s *Server) awaitNotice(ctx context.Context) {
+func (s *Server) awaitDrainNotice(ctx context.Context) {
 	wait.For(ctx, s.cfg.Timing.DrainNotice.Std())
 }
 
@@ -95,7 +95,7 @@
 // many calls it cut when ctx ended first.
 func (s *Server) closeServers(ctx context.Context) int {
 	s.endStreams()
-	s.control.endHeld()
+	s.control.endHeldRequests()
 	cut := 0
 	for _, srv := range s.servers {
 		if srv == s.innerServer {
@@ -107,16 +107,16 @@
 		}
 	}
 	for s.proxy.Answering() > 0 && ctx.Err() == nil {
-		wait.For(ctx, idleCheck)
+		wait.For(ctx, drainPollInterval)
 	}
 	cut = max(cut, s.node.Guard().Busy(), s.proxy.Answering())
-	wait.For(ctx, flushTime)
+	wait.For(ctx, flushDelay)
 	_ = s.innerServer.Close()
 	s.stop()
 	s.backend.peers.close()
 	s.peers.Close()
 	s.control.clients.close()
-	s.loops.Wait()
+	s.goroutines.Wait()
 	return cut
 }
 
@@ -130,12 +130,12 @@
 	s.backend.peers.close()
 	s.peers.Close()
 	s.control.clients.close()
-	s.loops.Wait()
+	s.goroutines.Wait()
 }
 
-// untilStopping returns a context that ends when the listeners close: a stop
+// contextUntilStopping returns a context that ends when the listeners close: a stop
 // that was cut short must not wait for a hand-over to a guard that is gone.
-func (s *Server) untilStopping() (context.Context, context.CancelFunc) {
+func (s *Server) contextUntilStopping() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		defer cancel()
--- a/internal/server/tls.go
+++ b/internal/server/tls.go
@@ -16,18 +16,18 @@
 
 func (s *Server) loadCerts() error {
 	for _, l := range []struct {
-		into  **certs.Files
-		field string
-		names *settings.TLS
+		into   **certs.Files
+		field  string
+		config *settings.TLS
 	}{
 		{&s.certs.callers, "callers.tls", s.cfg.Callers.TLS},
 		{&s.certs.inner, "inner.tls", s.cfg.Inner.TLS},
 		{&s.certs.admin, "admin.tls", s.cfg.Admin.TLS},
 	} {
-		if l.names == nil {
+		if l.config == nil {
 			continue
 		}
-		files, err := certs.Load(*l.names, func(err error) {
+		files, err := certs.Load(*l.config, func(err error) {
 			s.logger.Warn().Err(err).Str("field", l.field).Msg("new certificate files can't be used, the old ones stay")
 		})
 		if err != nil {
--- a/internal/server/tls_test.go
+++ b/internal/server/tls_test.go
@@ -17,7 +17,7 @@
 
 // Guards against a listener that takes calls without a certificate.
 func TestAllListenersOverTLS(t *testing.T) {
-	w := newWorld(t)
+	w := newTestCluster(t)
 	ca := certstest.New(t, t.TempDir(), "ca")
 	secure := func(name string, serial int64) func(*settings.Node) {
 		inner := ca.Issue(name, serial)
@@ -26,8 +26,8 @@
 		return func(c *settings.Node) { c.Callers.TLS, c.Inner.TLS, c.Admin.TLS = &outer, &inner, &outer }
 	}
 	a, b := w.start("letters-1", secure("a", 2)), w.start("archive-1", secure("b", 3))
-	w.announce(b, "archive", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
-	w.knows("archive", 1, a, b)
+	w.announceUpstream(b, "archive", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
+	w.awaitTargets("archive", 1, a, b)
 
 	pool, err := certs.Pool(ca.File)
 	must.NoError(t, err)
@@ -36,7 +36,7 @@
 	w.http = &http.Client{Transport: tr}
 	callers, _, innerAddr, adminAddr := a.Addresses()
 	w.scheme = "https"
-	w.publish(a, "archive")
+	w.publishInstance(a, "archive")
 	st, err := admin.NewClient(w.http, "https://"+adminAddr, "view").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
 	must.NoError(t, err)
 	must.Eq(t, 1, int(st.Msg.NodesInForce))
