--- a/internal/server/adminport.go
+++ b/internal/server/adminport.go
@@ -11,7 +11,7 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// adminHandler serves operators: the administration API and the metrics.
+// adminHandler returns the handler of the admin port: the administration API and the metrics.
 func (s *Server) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(admin.NewHandler(s.backend, s.tokens, s.recordRefusedAccess))
@@ -19,23 +19,25 @@
 	return mux
 }
 
-// recordRefusedAccess puts a refused operator's call on the time line and counts it.
+// recordRefusedAccess adds a refused admin request to the timeline and counts it.
 func (s *Server) recordRefusedAccess(r admin.RefusedAccess) {
 	s.recordRefusal(r.Name, r.Workspace, r.Procedure+" from "+r.Peer+": "+r.Reason)
 }
 
+// recordRefusal counts, logs and adds to the timeline a request that was refused because of
+// its token. name is the name of the token, empty when the token is unknown.
 func (s *Server) recordRefusal(name, workspace, detail string) {
 	s.metrics.Inc(metrics.AuthRefused, 1)
 	if name != "" {
 		detail = name + ": " + detail
 	}
 	s.node.Event(s.node.Now(), timeline.Event{Kind: timeline.AuthRefused, Workspace: workspace, Detail: detail})
-	s.logger.Warn().Str("workspace", workspace).Str("detail", detail).Msg("access refused")
+	s.logger.Warn().Str("workspace", workspace).Str("detail", detail).Msg("request refused: its token is missing, unknown or grants too few rights")
 }
 
-// requireToken refuses callers without a token of role caller for their
-// workspace, where the settings ask for one. The token is not passed on: it is
-// this node's, not the upstream's.
+// requireToken refuses callers without a token that has role caller and covers their
+// workspace, when the settings require one. It removes the token from the request: the token
+// is valid at this node only and must not reach the upstream.
 func (s *Server) requireToken(next http.Handler) http.Handler {
 	if !s.cfg.Callers.RequireToken {
 		return next
@@ -46,9 +48,9 @@
 		reason := ""
 		switch {
 		case !known:
-			reason = "no token that this node knows"
+			reason = "the token is missing or unknown to this node"
 		case id.Role != settings.RoleCaller:
-			reason = "the token's role is " + string(id.Role) + ", needs caller"
+			reason = "the token has role " + string(id.Role) + ", role caller is required"
 		case !id.Covers(workspace):
 			reason = "the token does not cover the workspace"
 		}
--- a/internal/server/announce.go
+++ b/internal/server/announce.go
@@ -18,14 +18,15 @@
 const (
 	// maxAnnouncementBytes bounds the body of an announcement, in bytes.
 	maxAnnouncementBytes = 4 << 10
-	// maxSlots bounds what an upstream may announce, a guard against a unit
-	// mistaken for another.
+	// maxSlots bounds the slots and connections of an announcement. It catches values that were
+	// given in a wrong unit.
 	maxSlots = 100_000
 )
 
-// announcementHandler is what the local upstream tells its node:
-// PUT /v1/upstream announces it, once a second; DELETE says that it is
-// leaving; GET shows whether it may go.
+// announcementHandler serves the announcements of the local upstream. PUT /v1/upstream
+// announces the upstream and is repeated once a second. DELETE starts the drain before the
+// upstream stops. GET returns the state of the drain, which shows whether the upstream can
+// stop.
 type announcementHandler struct {
 	server *Server
 
@@ -35,7 +36,7 @@
 	down          bool
 }
 
-// upstreamState is the answer to the upstream.
+// upstreamState is the response to the upstream.
 type upstreamState struct {
 	Draining bool `json:"draining"`
 	InFlight int  `json:"in_flight"`
@@ -67,8 +68,8 @@
 	a.writeState(w)
 }
 
-// decodeAnnouncement reads one announcement and checks its bounds. What follows
-// it is an error: two documents in one body are no announcement.
+// decodeAnnouncement reads one announcement and checks its bounds. Data after the JSON
+// document is an error, so that a body with two documents is rejected.
 func decodeAnnouncement(r io.Reader) (node.Announcement, error) {
 	dec := json.NewDecoder(r)
 	dec.DisallowUnknownFields()
@@ -77,7 +78,7 @@
 		return node.Announcement{}, err
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return node.Announcement{}, errors.New("something follows the document")
+		return node.Announcement{}, errors.New("unexpected data after the JSON document")
 	}
 	if fault := checkAnnouncement(announced); fault != "" {
 		return node.Announcement{}, errors.New(fault)
@@ -85,6 +86,7 @@
 	return announced, nil
 }
 
+// checkAnnouncement returns a description of the first invalid field, or an empty string.
 func checkAnnouncement(a node.Announcement) string {
 	if !callctx.ValidName(a.Service) {
 		return "service must have 1 to 64 letters, digits, '-', '_' or '.'"
@@ -101,6 +103,9 @@
 	return ""
 }
 
+// accept stores an announcement. When it is the first one, differs from the one before or
+// follows a failure of the upstream, accept also puts the upstream into service and joins the
+// node to the members.
 func (a *announcementHandler) accept(announced node.Announcement) {
 	now := a.server.node.Now()
 	a.mu.Lock()
@@ -117,15 +122,17 @@
 	a.server.control.join(announced)
 }
 
-// markDown notes that the upstream's process died, so that its next
-// announcement takes it into service again.
+// markDown records that the process of the upstream crashed, so that its next announcement
+// puts it into service again.
 func (a *announcementHandler) markDown() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.down = true
 }
 
-// checkExpiry holds an upstream that stopped announcing itself for gone.
+// checkExpiry treats an upstream as stopped once its announcements are missing for longer than
+// the setting timing.upstream_silence: as a planned stop while the guard drains, otherwise as
+// a crash.
 func (a *announcementHandler) checkExpiry(now time.Time) {
 	a.mu.Lock()
 	expired := a.current != nil && !a.down && now.Sub(a.lastAnnounced) > a.server.cfg.Timing.UpstreamSilence.Std()
@@ -134,11 +141,11 @@
 	}
 	a.mu.Unlock()
 	if expired && a.server.node.Guard().Draining() {
-		a.server.node.Event(now, timeline.Event{Kind: timeline.UpstreamLeft, Upstream: a.server.cfg.NodeID, Detail: "as planned"})
+		a.server.node.Event(now, timeline.Event{Kind: timeline.UpstreamLeft, Upstream: a.server.cfg.NodeID, Detail: "planned stop"})
 		return
 	}
 	if expired {
-		a.server.node.Event(now, timeline.Event{Kind: timeline.UpstreamLeft, Upstream: a.server.cfg.NodeID, Detail: "no announcement"})
+		a.server.node.Event(now, timeline.Event{Kind: timeline.UpstreamLeft, Upstream: a.server.cfg.NodeID, Detail: "no announcement within timing.upstream_silence"})
 		a.server.node.UpstreamCrashed(now)
 	}
 }
--- a/internal/server/authority.go
+++ b/internal/server/authority.go
@@ -7,8 +7,8 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// authority chooses, by the template in force, between a claim in the log for
-// each key and the ownership of its slot. It implements node.Authority.
+// authority implements node.Authority. Depending on the template in force, a key needs either
+// a claim in the log or the ownership of its slot.
 type authority struct {
 	server *Server
 }
@@ -16,9 +16,9 @@
 // NeedsClaim implements node.Authority.
 func (a authority) NeedsClaim(call *node.Call) bool { return a.server.node.NeedsClaim(call) }
 
-// MayStart implements node.Authority. A claimed key was settled just before.
-// Under ownership a claim of another guard still counts: the service may have
-// changed from claims to ownership while callers resend.
+// MayStart implements node.Authority. With claims, the claim of the key was decided right
+// before, so nothing is left to check. With ownership, a claim of another guard still counts:
+// the service may have changed from claims to ownership while callers resend.
 func (a authority) MayStart(now time.Time, call *node.Call) (time.Time, *result.Refusal) {
 	if a.NeedsClaim(call) {
 		return time.Time{}, nil
--- a/internal/server/authority_watch.go
+++ b/internal/server/authority_watch.go
@@ -9,8 +9,8 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// checkAuthority puts the loss and the return of authority on the time line: while it
-// is lost, calls under keys of the slots concerned are refused.
+// checkAuthority records the loss and the return of authority on the timeline. While authority
+// is lost, calls with keys of the affected slots are refused.
 func (o *ownership) checkAuthority(now time.Time) {
 	st := o.state.Status(now)
 	lapsed := lapsedSlots(&st)
@@ -27,27 +27,28 @@
 	}
 }
 
-// lapsedSlots counts the slots that the log gives to this guard, are in effect,
-// and may start no call.
+// lapsedSlots counts the slots that this guard owns according to the log, whose takeover is in
+// effect, and for which it may not start calls.
 func lapsedSlots(st *lease.Status) int {
 	return max(0, st.Owned-st.Released-st.Waiting-st.Ready)
 }
 
 func (o *ownership) recordAuthorityChange(now time.Time, kind timeline.Kind, st *lease.Status, lapsed int) {
-	detail := fmt.Sprintf("%d of %d slots without authority, proof %s old, promises %d of %d",
+	detail := fmt.Sprintf("%d of %d slots without authority, head observation %s old, promises %d of %d",
 		lapsed, st.Owned, st.HeadAge.Round(time.Millisecond), st.Promises, st.Contenders)
 	o.server.node.Event(now, timeline.Event{Kind: kind, Service: o.state.Local(), Upstream: o.server.cfg.NodeID, Detail: detail})
-	o.server.logger.Warn().Str("event", string(kind)).Str("why", detail).Msg("authority over keys")
+	o.server.logger.Warn().Str("event", string(kind)).Str("why", detail).Msg("authority over slots changed; calls with keys of slots without authority are refused")
 }
 
-// refreshOwnership sets the gauges of ownership.
+// refreshOwnership updates the gauges of slot ownership.
 func (s *Server) refreshOwnership() {
 	st := s.ownership.state.Status(s.node.Now())
 	s.metrics.SetGauge(metrics.SlotsOwned, int64(st.Owned))
 	s.metrics.SetGauge(metrics.AuthorityAgeMillis, st.HeadAge.Milliseconds())
 }
 
-// countPromise counts the answer to a question for a promise.
+// countPromise counts the response to a promise request. requested is false when the request
+// names no slots.
 func (o *ownership) countPromise(requested, granted bool) {
 	switch {
 	case granted:
--- a/internal/server/backend.go
+++ b/internal/server/backend.go
@@ -12,9 +12,8 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// backend answers the administration API for a running node. What it says of
-// configuration and members is its own fold of the log; what it says of other
-// nodes it has asked them for.
+// backend implements admin.Backend for a running node. Configuration and members come from the
+// records of the log that this node applied; the state of other nodes is requested from them.
 type backend struct {
 	server *Server
 	peers  *peerClient
@@ -24,22 +23,22 @@
 
 func newBackend(s *Server) *backend { return &backend{server: s, peers: newPeerClient(s)} }
 
-// memberView returns the members folded so far.
+// memberView returns the members according to the records applied so far.
 func (c *controlLoop) memberView() *membership.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.plane.Members()
 }
 
-// knownMembers returns the members that calls can be routed to: those folded so far
-// and those whose join has not been read yet, this node among them.
+// knownMembers returns the members that calls can be routed to: those in the applied records
+// and those whose join record was not read yet, including this node.
 func (c *controlLoop) knownMembers() []membership.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.plane.Known()
 }
 
-// knownNode returns the known member of that node ID.
+// knownNode returns the known member with this node ID.
 func (c *controlLoop) knownNode(nodeID string) (membership.Member, bool) {
 	for _, m := range c.knownMembers() {
 		if m.Node == nodeID {
@@ -49,8 +48,8 @@
 	return membership.Member{}, false
 }
 
-// workspacesOf returns the workspaces that a member serves: its own, or, for
-// one that serves all, those with an instance for its service.
+// workspacesOf returns the workspaces that a member serves: its own workspace, or, for a
+// member that serves all workspaces, those with an instance for its service.
 func workspacesOf(s *policy.State, m membership.Member) []string {
 	if m.Workspace != "" {
 		return []string{m.Workspace}
@@ -76,8 +75,8 @@
 	return workspacesOf(b.server.node.Policy(), m), nil
 }
 
-// Status implements admin.Backend. The newest version is the newest that any
-// node which answered has: this node may lag itself.
+// Status implements admin.Backend. NewestVersion is the newest version reported by any node
+// that responded, because this node may lag itself.
 func (b *backend) Status(ctx context.Context, r *adminpb.StatusRequest) (*adminpb.StatusResponse, error) {
 	state := b.server.node.Policy()
 	members := b.server.control.knownMembers()
@@ -132,13 +131,13 @@
 	n.ConfigVersion = result.report.Change
 	n.Lagging = result.report.Folded < newest
 	if n.Lagging {
-		n.Detail = "has folded the log up to " + formatCount(result.report.Folded)
+		n.Detail = "has applied the log up to offset " + formatCount(result.report.Folded)
 	}
 	return n
 }
 
-// Members implements admin.Backend. A member that serves several workspaces
-// is listed once for each.
+// Members implements admin.Backend. A member that serves several workspaces is listed once for
+// each of them.
 func (b *backend) Members(ctx context.Context, r *adminpb.MembersRequest) ([]*adminpb.Member, error) {
 	state := b.server.node.Policy()
 	var selected []membership.Member
@@ -213,15 +212,15 @@
 	return &adminpb.DrainResponse{State: s.State, InFlight: uint32(s.InFlight)}
 }
 
-// awaitInForce asks the members until the share of them that has a version in
-// force is reached or the time is over, and returns the last count.
+// awaitInForce requests reports from all members until the required percentage of them has the
+// version in force or the timeout expires. It returns the last count.
 func (b *backend) awaitInForce(ctx context.Context, version policy.Version, percent uint32, timeout time.Duration) (inForce, known int) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		members := b.server.control.knownMembers()
-		// The count itself may outlast the wait: an answer without it would
-		// say that nobody has the version.
+		// A count may take longer than the remaining timeout. It runs to its end nevertheless: an
+		// interrupted count would report that no node has the version.
 		countCtx, cancelCount := context.WithTimeout(context.WithoutCancel(ctx), peerTimeout)
 		inForce = countInForce(b.peers.reports(countCtx, members), version)
 		cancelCount()
--- a/internal/server/catalogue.go
+++ b/internal/server/catalogue.go
@@ -25,9 +25,9 @@
 	return list, nil
 }
 
-// ShowTemplate implements admin.Backend. Of older versions the node keeps the
-// revisions that instances use, without their versions; only the one in force
-// can be shown.
+// ShowTemplate implements admin.Backend. Only the version in force can be shown: of older
+// versions the node stores just the revisions that instances use, without their version
+// numbers.
 func (b *backend) ShowTemplate(_ context.Context, name string, version uint64) (*adminpb.ShowTemplateResponse, error) {
 	state := b.server.node.Policy()
 	t, ok := state.Template(name, 0)
@@ -90,8 +90,8 @@
 	}, nil
 }
 
-// effectiveJSON writes the behaviour in force as the fields are written in
-// templates.
+// effectiveJSON returns the behaviour in force of an instance as JSON, with the field names
+// that templates use.
 func effectiveJSON(state *policy.State, inst policy.Instance) (string, error) {
 	eff, ok := state.Lookup(inst.Workspace, inst.Service)
 	if !ok {
--- a/internal/server/clients.go
+++ b/internal/server/clients.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	// idleClientTimeout bounds the age of an idle connection for control: a node
-	// probes six peers in turn, one a second, and keeps theirs open.
+	// idleClientTimeout is how long a client may be unused before its connection is closed. A node
+	// probes six peers in turn, one a second, so it keeps the connections to these peers.
 	idleClientTimeout = 15 * time.Second
 )
 
-// controlClients keeps a client for each address. Control messages go over
-// cleartext HTTP/2, or HTTP/1.1 where nodes speak TLS. HTTP/2 keeps the headers
-// that repeat in a table, and a held question and a probe share a connection.
+// controlClients keeps one client for each peer address. Control messages use cleartext
+// HTTP/2, or HTTP/1.1 where nodes use TLS. HTTP/2 compresses repeated headers and lets a held
+// request and a probe share one connection.
 type controlClients struct {
 	peers *proxy.Peers
 
 	mu     sync.Mutex
 	byAddr map[string]*controlClient
-	// retired still had messages under way when they were dropped. They are
-	// closed once these have ended; nothing else would ever do so.
+	// retired are the dropped clients, which may still have messages in flight. sweepLocked closes
+	// their connections after these have ended; nothing else does.
 	retired []*controlClient
 }
 
+// controlClient is the client for one peer address.
 type controlClient struct {
 	innerpbconnect.ControlClient
 	transport *http.Transport
 	lastUsed  time.Time
-	// lastResponse is when an exchange over it last brought an answer.
+	// lastResponse is when an exchange over this client last got a response.
 	lastResponse time.Time
 }
 
@@ -41,6 +42,7 @@
 	return &controlClients{peers: peers, byAddr: make(map[string]*controlClient)}
 }
 
+// client returns the client for an address and creates it when there is none.
 func (c *controlClients) client(addr string) *controlClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,8 +52,9 @@
 		client.lastUsed = now
 		return client
 	}
-	// The transport's own IdleConnTimeout counts from the making of an HTTP/2
-	// connection: past it every message would dial one that it then closes.
+	// The idle timeout of http.Transport counts from the creation of an HTTP/2 connection. After
+	// that time, every message would dial a connection and close it again. It is off here, and
+	// sweepLocked closes idle connections.
 	t := c.peers.ControlTransport()
 	t.IdleConnTimeout = 0
 	if c.peers.Scheme() == "http" {
@@ -64,8 +67,8 @@
 	return created
 }
 
-// sweepLocked closes connections that were not used for a while; a question
-// that is held ends long before.
+// sweepLocked closes connections that were unused for longer than idleClientTimeout. A held
+// request ends long before that.
 func (c *controlClients) sweepLocked(now time.Time) {
 	for addr, got := range c.byAddr {
 		if now.Sub(got.lastUsed) > idleClientTimeout {
@@ -89,8 +92,8 @@
 	c.retired = append(c.retired, client)
 }
 
-// drop forgets the connection to an address on which an answer failed to come:
-// it may have gone silent for good while a new one works.
+// drop drops the client for an address after a request failed. Its connection may stay
+// unresponsive although a new one works.
 func (c *controlClients) drop(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,8 +102,8 @@
 	}
 }
 
-// dropUnresponsive forgets every connection that brought no answer since a moment. One
-// that goes silent is rarely alone: what lost track of it, lost track of others.
+// dropUnresponsive drops every client that got no response since the given time. A device on
+// the path that loses the state of one connection usually loses that of other connections too.
 func (c *controlClients) dropUnresponsive(since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +114,7 @@
 	}
 }
 
-// recordResponse notes that a connection works.
+// recordResponse records that the connection to an address works.
 func (c *controlClients) recordResponse(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -19,45 +19,44 @@
 )
 
 const (
-	// maxReadEntries bounds the entries of one read.
+	// maxReadEntries bounds the entries of one read of the log.
 	maxReadEntries = 1000
-	// readRetryDelay is the pause after a read that failed.
+	// readRetryDelay is the delay after a failed read.
 	readRetryDelay = 200 * time.Millisecond
-	// maxLeaderWait bounds the wait of a zone's reader at the log's head. A proof
-	// counts from the sending of its read, so the wait is the age that it has
-	// when it sets out for the other nodes; theirs then stays below half of
-	// the validity of ownership, past which promises are asked for. Whoever
-	// reads beside it waits as long as settings say.
+	// maxLeaderWait bounds how long the reader of a zone waits at the head of the log. The age of
+	// a head observation counts from when its read was sent, so it includes this wait when it is
+	// sent to the other nodes. With this bound, the age at the other nodes stays below half of the
+	// validity of ownership, above which guards request promises. Other nodes that read the log
+	// wait for as long as the settings allow.
 	maxLeaderWait = 250 * time.Millisecond
-	// idleInterval is how often a loop without work looks again.
+	// idleInterval is how often a loop without work checks for work.
 	idleInterval = 250 * time.Millisecond
-	// planeTickInterval is how often the plane's times are looked at.
+	// planeTickInterval is how often the timeouts of the plane are checked.
 	planeTickInterval = 200 * time.Millisecond
-	// appendTimeout bounds one try to get a record into the log.
+	// appendTimeout bounds one attempt to append a record to the log.
 	appendTimeout = 5 * time.Second
-	// leaveTimeout bounds the wait for the leave record at a planned stop. The
-	// peers know of the drain already, and will find the node gone.
+	// leaveTimeout bounds the wait for the leave record at a planned stop. Without the record, the
+	// peers still know of the drain and detect later that the node is gone.
 	leaveTimeout = time.Second
 )
 
-// controlLoop drives the node's share of the control plane: it moves what the
-// plane decides over the network and the log. The lock is never held across
-// I/O.
+// controlLoop connects the control plane of the node to the network and the log: it carries
+// out the actions of the plane and passes on what it receives. mu is never held during I/O.
 type controlLoop struct {
 	server   *Server
 	log      logState
 	clients  *controlClients
 	counters controlCounters
-	tickNow  chan struct{} // looks at the plane at once
-	closing  chan struct{} // answers what is held
+	tickNow  chan struct{} // triggers a tick at once
+	closing  chan struct{} // closed to respond to all held requests
 
-	// applyMu is held while a step of the plane and what it changed for the
-	// node go through, so that they come in order. It is taken before mu.
+	// applyMu is held during a step of the plane and while its result is applied to the node, so
+	// that results are applied in the order of the steps. It is acquired before mu.
 	applyMu sync.Mutex
 
 	mu        sync.Mutex
 	plane     *control.Plane
-	updated   chan struct{} // closed and replaced when there is something new
+	updated   chan struct{} // closed and replaced at each update
 	updates   uint64
 	claimSeq  uint64
 	evicted   chan struct{}
@@ -76,7 +75,7 @@
 	}
 }
 
-// createPlane makes the plane of the node, whose identity is known by now.
+// createPlane creates the plane. It is called once the identity of the node is known.
 func (c *controlLoop) createPlane() {
 	s := c.server
 	seed := newSeed()
@@ -92,7 +91,8 @@
 	return cfg
 }
 
-// follower hands what the plane read to those who decide from single records.
+// follower passes the records that the plane applied to the components that evaluate single
+// records.
 type follower struct{ server *Server }
 
 // Applied implements control.Follower.
@@ -112,9 +112,9 @@
 	f.server.ownership.state.ObserveHead(t0, head)
 }
 
-// withPlane runs f on the plane, puts what came of it in force and wakes whoever
-// waits for updates. What came of it is put in force without the plane's lock:
-// the guard asks the plane for claims withPlane its own lock held.
+// withPlane runs f on the plane, applies the result to the node and wakes the goroutines that
+// wait for updates. The result is applied without holding mu, because the guard looks up
+// claims in the plane while it holds its own lock.
 func (c *controlLoop) withPlane(f func(now time.Time, p *control.Plane)) {
 	c.applyMu.Lock()
 	defer c.applyMu.Unlock()
@@ -165,10 +165,12 @@
 	}
 }
 
-// awaitApplied returns once what was folded so far is in force at this node.
-// A record counts as read back within the step that folds it, a moment before.
+// awaitApplied returns once all records read so far are in force on this node. A record counts
+// as read back during the step that applies it to the plane, shortly before the result is
+// applied to the node.
 func (c *controlLoop) awaitApplied() { c.withPlane(func(time.Time, *control.Plane) {}) }
 
+// requestTick triggers a tick at once.
 func (c *controlLoop) requestTick() {
 	select {
 	case c.tickNow <- struct{}{}:
@@ -183,7 +185,7 @@
 	return c.updated
 }
 
-// read reads the log whenever the plane says that this node should.
+// read reads the log while the plane requires this node to do so.
 func (c *controlLoop) read(ctx context.Context) {
 	for ctx.Err() == nil {
 		updated := c.updateSignal()
@@ -227,7 +229,7 @@
 	}
 }
 
-// tick looks at the plane's times, and at once when kicked.
+// tick runs the timeouts of the plane at each interval, and at once after requestTick.
 func (c *controlLoop) tick(ctx context.Context) {
 	t := time.NewTicker(planeTickInterval)
 	defer t.Stop()
@@ -252,8 +254,8 @@
 	}
 }
 
-// join announces the node with its upstream: to the log, and to the peers
-// until it is there. A node that nobody knows serves nobody.
+// join announces the node with its upstream to the log and, until the join record was read, to
+// the peers. Nodes route calls to known members only.
 func (c *controlLoop) join(a node.Announcement) {
 	m := c.server.member()
 	m.Service = a.Service
@@ -265,18 +267,18 @@
 	c.requestTick()
 }
 
-// drain tells the peers that this node is leaving.
+// drain announces to the peers that this node is leaving.
 func (c *controlLoop) drain() {
 	c.withPlane(func(now time.Time, p *control.Plane) { p.StartDrain(now) })
 	c.requestTick()
 }
 
-// endHeldRequests answers the questions that are held here, so that a stop need not
-// wait for them.
+// endHeldRequests responds to the requests that are held here, so that a stop does not wait
+// for them.
 func (c *controlLoop) endHeldRequests() { c.closeOnce.Do(func() { close(c.closing) }) }
 
-// leave returns once the leave record was read back: what is under way when the
-// appender ends may be lost.
+// leave appends the leave record and returns once it was read back: records in flight may be
+// lost when the appender ends.
 func (c *controlLoop) leave() {
 	var rec logstore.Record
 	c.withPlane(func(now time.Time, p *control.Plane) { rec = p.LeaveRecord(now) })
@@ -285,16 +287,17 @@
 	c.append(ctx, rec)
 }
 
-// append writes a record; the plane hands it out again if it doesn't show up.
+// append appends a record. The plane returns the record as an action again while it is missing
+// from the log.
 func (c *controlLoop) append(ctx context.Context, rec logstore.Record) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	if _, err := c.server.appender.Append(ctx, rec); err != nil {
-		c.server.logger.Warn().Err(err).Str("kind", string(rec.Kind)).Msg("record was not appended")
+		c.server.logger.Warn().Err(err).Str("kind", string(rec.Kind)).Msg("append of a record to the log failed; retried while the record is missing from the log")
 	}
 }
 
-// isMember reports whether exactly this life of a node is a member.
+// isMember reports whether this incarnation of a node is a member.
 func (c *controlLoop) isMember(id membership.Identity) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/events_rpc.go
+++ b/internal/server/events_rpc.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// maxFetched bounds the events of one FetchEvents answer.
+	// maxFetched bounds the events of one FetchEvents response.
 	maxFetched = 8192
-	// maxFetchedBytes bounds their text, with room for the rest of the message.
+	// maxFetchedBytes bounds the bytes of these events and leaves room for the rest of the
+	// message.
 	maxFetchedBytes = inner.MaxControlBytes - 64<<10
 )
 
-// eventsRPC is the part of the Control service that reads the time line. It
-// is made to be embedded.
+// eventsRPC is the part of the Control service that reads the timeline. It can be embedded
+// into a service.
 type eventsRPC struct{ server *Server }
 
-// FetchEvents implements the service.
+// FetchEvents returns the newest events that match the request.
 func (e eventsRPC) FetchEvents(_ context.Context, req *connect.Request[innerpb.FetchEventsRequest]) (*connect.Response[innerpb.FetchEventsResponse], error) {
 	r := req.Msg
 	ring := e.server.node.Ring()
@@ -63,7 +64,7 @@
 	return eventsRPC{s.control.server}.FetchEvents(ctx, req)
 }
 
-// encodeFitting writes the newest events that an answer can hold.
+// encodeFitting encodes the newest events that fit into one response.
 func encodeFitting(events []timeline.Event) ([]timeline.Event, []byte, error) {
 	for {
 		var lines bytes.Buffer
@@ -77,6 +78,7 @@
 	}
 }
 
+// newest returns the last limit events, or all of them without a limit.
 func newest(events []timeline.Event, limit int) []timeline.Event {
 	if limit > 0 && len(events) > limit {
 		return events[len(events)-limit:]
@@ -97,8 +99,8 @@
 	return tf
 }
 
-// Timeline implements admin.Backend. Members that don't answer are named; what
-// the others have stands.
+// Timeline implements admin.Backend. Members that do not respond are listed as unreachable;
+// the response contains the events of the others.
 func (b *backend) Timeline(ctx context.Context, r *adminpb.TimelineRequest) (*adminpb.TimelineResponse, error) {
 	filter := timelineFilter(r.GetFilter())
 	if since := r.GetSinceUnixMs(); since > 0 {
@@ -131,6 +133,7 @@
 	return resp, nil
 }
 
+// fetchResult is the response of one member to FetchEvents.
 type fetchResult struct {
 	node      string
 	events    []timeline.Event
@@ -169,10 +172,10 @@
 	return string(bytes.TrimRight(line.Bytes(), "\n")), nil
 }
 
-// followers counts the open event streams, for the metrics.
+// followers counts the open event streams for the metrics.
 type followers struct{ n atomic.Int64 }
 
-// Events implements admin.Backend: the events of this node.
+// Events implements admin.Backend. It sends the events of this node.
 func (b *backend) Events(ctx context.Context, r *adminpb.EventsRequest, send func(*adminpb.EventsResponse) error) error {
 	b.server.followers.n.Add(1)
 	defer b.server.followers.n.Add(-1)
@@ -199,6 +202,8 @@
 	return nil
 }
 
+// sendEvents sends events. The first one reports the number of events that the stream missed
+// before it.
 func sendEvents(events []timeline.Event, missed uint64, send func(*adminpb.EventsResponse) error) error {
 	for _, e := range events {
 		doc, err := eventJSON(e)
--- a/internal/server/exchange.go
+++ b/internal/server/exchange.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// rpcTimeout bounds a control message beyond the time it may be held.
+	// rpcTimeout bounds a control request, in addition to the time for which the receiver may hold
+	// it.
 	rpcTimeout = 500 * time.Millisecond
-	// stateTimeout bounds the fetching of a whole state.
+	// stateTimeout bounds the fetch of the whole control state of a peer.
 	stateTimeout = 5 * time.Second
-	// exchangePause lies between two exchanges that brought nothing, and between a
-	// question and its repetition for updates.
+	// exchangePause is the delay between two exchanges without new records, and the delay before a
+	// held request may be canceled and sent again for updates.
 	exchangePause = 50 * time.Millisecond
 )
 
-// exchange asks the peer that the plane names, again and again: each question
-// is held there until there are updates or a fresh proof.
+// exchange continuously sends exchange requests to the peer that the plane selects. The peer
+// holds each request until it has updates or a newer head observation.
 func (c *controlLoop) exchange(ctx context.Context) {
 	for ctx.Err() == nil {
 		updated := c.updateSignal()
@@ -43,18 +44,18 @@
 	}
 }
 
-// holdTime is how long a question may be held. Fresh proofs answer most of them
-// after about an exchange; it is longer, or a question would be answered just
-// before the proof that it waits for.
+// holdTime is how long a peer may hold a request. Most requests are answered by a newer head
+// observation after about one exchange interval. The hold time is longer than the interval;
+// otherwise the response would be sent just before that head observation arrives.
 func (c *controlLoop) holdTime() time.Duration { return c.server.cfg.Timing.Exchange.Std() * 3 / 2 }
 
-// exchangeWith makes one exchange and reports whether it brought records. A question
-// that is held is given up for another one when this node has updates itself.
+// exchangeWith makes one exchange and reports whether it returned records. A held request is
+// canceled when this node gets updates, so that the next request carries them.
 func (c *controlLoop) exchangeWith(ctx context.Context, peer control.Peer, hold time.Duration) bool {
 	resp, sent, err := c.sendRequest(ctx, peer, hold)
 	if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil && hold > 0 {
-		// The connection may have gone silent for good while new ones work:
-		// before the peer is given up it is asked over a fresh one.
+		// The connection may be unresponsive although new ones work. Before the peer counts as
+		// failed, the request is sent again over a new connection.
 		c.clients.dropUnresponsive(c.server.node.Now().Add(-hold - rpcTimeout))
 		resp, sent, err = c.sendRequest(ctx, peer, 0)
 	}
@@ -76,8 +77,8 @@
 	return len(resp.GetRecords()) > 0
 }
 
-// sendRequest sends one sendRequest and returns its answer and when it was sent. The
-// error is context.Canceled when the sendRequest was given up for updates.
+// sendRequest sends one exchange request. It returns the response and the time at which the
+// request was sent. The error is context.Canceled when the request was canceled for updates.
 func (c *controlLoop) sendRequest(ctx context.Context, peer control.Peer, hold time.Duration) (*innerpb.ExchangeResponse, time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+rpcTimeout)
 	defer cancel()
@@ -100,7 +101,7 @@
 	return resp.Msg, sent, nil
 }
 
-// cancelForUpdates ends a held question once this node has updates for its peer.
+// cancelForUpdates cancels a held request once this node has updates for the peer.
 func (c *controlLoop) cancelForUpdates(ctx context.Context, cancel context.CancelFunc, done <-chan struct{}) {
 	wait.For(ctx, exchangePause)
 	for ctx.Err() == nil {
@@ -120,7 +121,7 @@
 	}
 }
 
-// fetch takes over a peer's whole state.
+// fetch fetches and applies the whole control state of a peer.
 func (c *controlLoop) fetch(peer control.Peer) {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
@@ -128,12 +129,12 @@
 	c.counters.fetches.Add(1)
 	resp, err := c.clients.client(peer.Addr).FetchState(ctx, connect.NewRequest(req))
 	if err != nil {
-		c.server.logger.Warn().Err(err).Str("peer", peer.Addr).Msg("state was not fetched")
+		c.server.logger.Warn().Err(err).Str("peer", peer.Addr).Msg("fetch of the control state of a peer failed; retried after a later exchange")
 		return
 	}
 	c.withPlane(func(now time.Time, p *control.Plane) {
 		if err := p.OnState(now, resp.Msg); err != nil {
-			c.server.logger.Warn().Err(err).Str("peer", peer.Addr).Msg("state was refused")
+			c.server.logger.Warn().Err(err).Str("peer", peer.Addr).Msg("control state fetched from a peer is invalid; its configuration and members are not applied")
 		}
 	})
 }
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -18,9 +18,9 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// handOverAll moves every owned slot to the guards that take over after a
-// planned stop, so that no key is unknown to them. A guard that does not take
-// its share is left out, and the rest goes to the others.
+// handOverAll moves every owned slot to the guards that take over after a planned stop, so
+// that these guards know all keys. When a guard does not accept its slots, they are
+// distributed among the others.
 func (o *ownership) handOverAll(ctx context.Context) {
 	service := o.state.Local()
 	if service == "" {
@@ -41,9 +41,8 @@
 	o.awaitTakeovers(ctx)
 }
 
-// moveInSteps moves the slots without running calls at once, and the others a
-// few at a time: calls for a slot that moves wait for the slowest call that
-// still runs in its step.
+// moveInSteps moves all slots without running calls at once, and then the others a few at a
+// time: calls for a moving slot wait until the slowest running call of the same step ends.
 func (o *ownership) moveInSteps(ctx context.Context, m lease.MoveSlots) bool {
 	var idle, busy []int
 	for _, slot := range m.Slots {
@@ -65,8 +64,8 @@
 	return true
 }
 
-// awaitTakeovers waits until the log shows the new owners. Were this guard's leave
-// record there first, any guard could take the slots, without their memory.
+// awaitTakeovers waits until the log contains the takeovers by the new owners. If the leave
+// record of this guard came first, any guard could take the slots without their keys.
 func (o *ownership) awaitTakeovers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
@@ -75,9 +74,9 @@
 	}
 }
 
-// move hands slots with their memory to another guard and reports whether it
-// took them. One move is out at a time: two to the same guard could overtake
-// each other.
+// move hands slots with their keys over to another guard and reports whether the guard
+// accepted them. Only one move runs at a time, because two moves to the same guard could
+// arrive out of order.
 func (o *ownership) move(ctx context.Context, m lease.MoveSlots) bool {
 	o.moveMu.Lock()
 	defer o.moveMu.Unlock()
@@ -91,7 +90,7 @@
 		return true
 	}
 	if err := o.send(ctx, m, h); err != nil {
-		o.server.logger.Warn().Err(err).Str("to", m.To.Node).Msg("hand-over failed")
+		o.server.logger.Warn().Err(err).Str("to", m.To.Node).Msg("hand-over of slots to another guard failed; this guard claims the slots back")
 		if t, ok := o.state.Reclaim(o.server.node.Now()); ok {
 			o.appendTakeover(ctx, t.Record)
 		}
@@ -101,14 +100,14 @@
 	return true
 }
 
-// send waits for the calls that run under the slots' keys, then sends the keys
-// in parts and the slots with the last.
+// send waits for the running calls with keys of the slots. It then sends the keys in parts,
+// and the slots with the last part.
 func (o *ownership) send(ctx context.Context, m lease.MoveSlots, h lease.HandOver) error {
 	match := o.state.InSlots(m.Slots)
 	guard := o.server.node.Guard()
 	for guard.KeysBusy(match) > 0 {
 		if ctx.Err() != nil {
-			return errors.Wrap(ctx.Err(), "calls still run")
+			return errors.Wrap(ctx.Err(), "calls with keys of the slots are still running")
 		}
 		wait.For(ctx, drainPollInterval)
 	}
@@ -127,10 +126,10 @@
 		}
 		resp, err := o.client(m.Addr).HandOver(ctx, connect.NewRequest(req))
 		if err != nil {
-			return errors.Wrapf(err, "part %d", part)
+			return errors.Wrapf(err, "send part %d of the hand-over", part)
 		}
 		if !resp.Msg.GetAccepted() {
-			return errors.Errorf("part %d was refused: %s", part, resp.Msg.GetDetail())
+			return errors.Errorf("part %d of the hand-over was refused: %s", part, resp.Msg.GetDetail())
 		}
 		if req.Last {
 			return nil
@@ -139,8 +138,9 @@
 	}
 }
 
-// HandOver takes another guard's memory. A part that found no room spoils the
-// whole: its keys would be new here and could run again.
+// HandOver receives the keys and slots of another guard. When one part does not fit, the whole
+// hand-over is refused: the missing keys would count as new here, and their calls could run
+// again.
 func (o *ownership) HandOver(_ context.Context, req *connect.Request[innerpb.HandOverRequest]) (*connect.Response[innerpb.HandOverResponse], error) {
 	detail := o.acceptPart(control.IdentityOf(req.Msg.GetFrom()), req.Msg)
 	return connect.NewResponse(&innerpb.HandOverResponse{
@@ -150,6 +150,8 @@
 	}), nil
 }
 
+// acceptPart imports one part of a hand-over. It returns the reason for a refusal, or an empty
+// string.
 func (o *ownership) acceptPart(from membership.Identity, req *innerpb.HandOverRequest) (refusal string) {
 	now := o.server.node.Now()
 	service := o.state.Local()
@@ -167,7 +169,7 @@
 	isIncomplete := o.incomplete[from]
 	o.mu.Unlock()
 	if isIncomplete {
-		return "no room for all keys"
+		return "the key table has no room for all keys"
 	}
 	if !req.GetLast() {
 		return ""
@@ -256,6 +258,7 @@
 	return out
 }
 
+// decodeResponse returns the stored response of a key.
 func decodeResponse(k *innerpb.KeyEntry) *idempotency.Response {
 	header := make(map[string][]string, len(k.GetHeader()))
 	for _, f := range k.GetHeader() {
--- a/internal/server/logstate.go
+++ b/internal/server/logstate.go
@@ -12,7 +12,7 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// meteredLog times what the node asks of the log.
+// meteredLog measures the duration of requests to the log.
 type meteredLog struct {
 	logstore.Log
 	metrics *metrics.Set
@@ -26,7 +26,8 @@
 	return first, err
 }
 
-// Read implements logstore.Log. The time includes the wait at the log's head.
+// Read implements logstore.Log. The measured duration includes the wait at the head of the
+// log.
 func (l *meteredLog) Read(ctx context.Context, from int64, maxEntries int, wait time.Duration) (logstore.Page, error) {
 	began := time.Now()
 	page, err := l.Log.Read(ctx, from, maxEntries, wait)
@@ -34,11 +35,12 @@
 	return page, err
 }
 
-// logState is what this node's own reads of the log tell; most nodes read none
-// and learn the log's head from others.
+// logState is the result of this node's own reads of the log. Most nodes do not read the log
+// and receive its head from other nodes.
 type logState struct{ failing atomic.Bool }
 
-// recordRead takes the end of one read of the log.
+// recordRead records the result of one read of the log. It adds an event to the timeline when
+// the log becomes unavailable or available again.
 func (c *controlLoop) recordRead(err error) {
 	now := c.server.node.Now()
 	c.server.metrics.Inc(metrics.LogReads, 1)
@@ -52,16 +54,17 @@
 	c.server.metrics.Inc(metrics.LogReadFailures, 1)
 	if !c.log.failing.Swap(true) {
 		c.server.node.Event(now, timeline.Event{Kind: timeline.LogUnavailable, Detail: err.Error()})
-		c.server.logger.Warn().Err(err).Msg("the log can't be read")
+		c.server.logger.Warn().Err(err).Msg("read of the log failed; retried until the log is available again")
 	}
 }
 
-// maxHeadAge is when the log counts as unavailable to a node that does not read
-// it: its zone's reader reads twice a second, and an update needs an exchange.
+// maxHeadAge is the age of the newest known head at which the log counts as unavailable for a
+// node that does not read it. The reader of the zone reads twice a second, and an update
+// reaches the node within one exchange.
 const maxHeadAge = 5 * time.Second
 
-// logHealth returns the next offset to fold, the age of the newest known head
-// of the log (negative when none is known), and whether the log is there.
+// logHealth returns the next offset to apply, the age of the newest known head of the log
+// (negative when none is known), and whether the log is available.
 func (c *controlLoop) logHealth() (next int64, age time.Duration, available bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/members.go
+++ b/internal/server/members.go
@@ -4,17 +4,17 @@
 	"github.com/galenagrade/galenagrade/internal/membership"
 )
 
-// LiveMembers returns the members that are neither dead nor leaving, in order.
-// Other zones' members count as live for as long as the log says so.
+// LiveMembers returns the members that are neither dead nor leaving, in order. Members of
+// other zones count as live while they are members according to the log.
 func (s *Server) LiveMembers() []membership.Identity {
 	s.control.mu.Lock()
 	defer s.control.mu.Unlock()
 	return s.control.plane.Live()
 }
 
-// liveMembersOf returns the members that serve a service and are not dead. Those that
-// are leaving count: were they left out, the others would take their keys over
-// while they hand them on, and the memory of what ran would be lost.
+// liveMembersOf returns the members that serve a service and are not dead. Members that are
+// leaving are included: without them, other guards would take over slots whose keys are still
+// being handed over, and the records of the calls that ran would be lost.
 func (c *controlLoop) liveMembersOf(service string) []membership.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -17,8 +17,8 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// metricsHandler brings the gauges up to date when the metrics are read:
-// nothing is measured that nobody asks for.
+// metricsHandler returns the handler of the metrics. It updates the gauges at each request, so
+// that nothing is measured without a reader.
 func (s *Server) metricsHandler() http.Handler {
 	next := s.metrics.Handler()
 	var exported exportedCounters
@@ -31,12 +31,13 @@
 	})
 }
 
-// exportedCounters is what the metrics have taken over of others' counters so far.
+// exportedCounters are the values of other components' counters that are already included in
+// the metrics.
 type exportedCounters struct {
 	appender      logstore.AppenderStats
 	control       ControlStats
 	rejectedCalls int64
-	// droppedEvents are the events that the ring pushed out.
+	// droppedEvents counts the events that newer ones displaced from the ring.
 	droppedEvents int64
 }
 
@@ -85,7 +86,7 @@
 	exported.droppedEvents = dropped
 }
 
-// refreshControl takes over what the control plane counted.
+// refreshControl adds the counters of the control plane to the metrics.
 func (s *Server) refreshControl(exported *exportedCounters) {
 	stats := s.ControlStats()
 	s.metrics.Inc(metrics.ControlExchanges, int64(stats.Exchanges-exported.control.Exchanges))
@@ -96,9 +97,9 @@
 	s.metrics.SetGauge(metrics.IsRelay, boolToInt(isLeader))
 }
 
-// watchBounds shows everything that is held and has a limit. A limit of 0 in
-// the document means that the size is bounded elsewhere: members by the log's
-// records, and connections to peers by the calls that use them.
+// watchBounds registers the size and the limit of everything that is kept in memory. A limit
+// of 0 in the metrics document means that the size is bounded elsewhere: members by the
+// records of the log, and connections to peers by the calls that use them.
 func (s *Server) watchBounds() {
 	l, guard := &s.cfg.Limits, s.node.Guard()
 	watch := s.metrics.WatchBound
@@ -125,33 +126,34 @@
 	return 0
 }
 
-// logRefusal explains a refusal that leaves the node. The logger samples: a
-// surge does not fill the pipe.
+// logRefusal logs a refusal that this node returns to a caller. The logger samples these
+// lines, so that a surge of refusals does not fill the output pipe.
 func (s *Server) logRefusal(call *node.Call, r *result.Refusal) {
 	s.logger.Info().Int("code", int(r.Code)).Str("name", r.Code.String()).Str("ran", string(r.Code.Ran())).
 		Str("request", call.Ctx.RequestID).Str("workspace", call.Ctx.Workspace).Str("service", call.Ctx.Service).
-		Str("why", r.Detail).Msg("refused")
+		Str("why", r.Detail).Msg("call refused")
 }
 
-// errorLogWriter makes net/http's own lines, such as failed handshakes, lines of
-// the node's log.
+// errorLogWriter writes the errors that net/http reports, such as failed handshakes, to the
+// node's log.
 type errorLogWriter struct{ logger zerolog.Logger }
 
 // Write implements io.Writer.
 func (l errorLogWriter) Write(p []byte) (int, error) {
-	l.logger.Warn().Str("why", strings.TrimSpace(string(p))).Msg("connection")
+	l.logger.Warn().Str("why", strings.TrimSpace(string(p))).Msg("HTTP server reported an error on a connection or request")
 	return len(p), nil
 }
 
-// connectionCounter counts the callers' open connectionCounter.
+// connectionCounter counts the open connections of callers.
 type connectionCounter struct{ open atomic.Int64 }
 
-// limitCallerConnections closes connections beyond the bound at once: one that waits in
-// the backlog would be a silent connection to its caller.
+// limitCallerConnections closes connections above the limit right after they are accepted. A
+// connection left in the backlog would get no response, and its caller would wait.
 func (s *Server) limitCallerConnections(l net.Listener) net.Listener {
 	return &limitedListener{Listener: l, server: s, limit: int64(s.cfg.Limits.CallerConnections)}
 }
 
+// limitedListener is the listener of the caller port with a limit on open connections.
 type limitedListener struct {
 	net.Listener
 	server *Server
--- a/internal/server/ownership.go
+++ b/internal/server/ownership.go
@@ -21,38 +21,38 @@
 )
 
 const (
-	// planPeriod is how often ownership is planned: promises last seconds.
+	// planPeriod is how often ownership is planned. Promises are valid for seconds.
 	planPeriod = 250 * time.Millisecond
-	// headExchangePeriod is how often a guard that may not take slots yet asks
-	// the others how far they have read.
+	// headExchangePeriod is how often a guard that may not take slots yet exchanges heads of the
+	// log with the other guards.
 	headExchangePeriod = time.Second
-	// promiseTimeout bounds a question: an answer later is worth little.
+	// promiseTimeout bounds a promise request: a promise that arrives later is valid only briefly.
 	promiseTimeout = time.Second
-	// moveTimeout bounds one move of slots, the calls that run included.
+	// moveTimeout bounds one move of slots, including the wait for running calls.
 	moveTimeout = 15 * time.Second
-	// maxPartEntries bounds the keys of one part of a hand-over, so that a part
-	// stays far below the bound of a control message.
+	// maxPartEntries bounds the keys in one part of a hand-over, so that a part stays far below
+	// the size limit of a control message.
 	maxPartEntries = 200
-	// slotsPerStep is how many slots move at a time in a planned stop.
+	// slotsPerStep is how many slots with running calls move at a time in a planned stop.
 	slotsPerStep = 4
-	// takeoverTimeout bounds the wait for the new owners' records.
+	// takeoverTimeout bounds the wait for the takeover records of the new owners.
 	takeoverTimeout = 3 * time.Second
 )
 
-// ownership drives control.Ownership: it appends takeovers, asks for promises and
-// moves slots.
+// ownership carries out the actions of control.Ownership: it appends takeovers, requests
+// promises and moves slots.
 type ownership struct {
 	server  *Server
 	state   *control.Ownership
 	planNow chan struct{}
 
-	moveMu sync.Mutex // held for one move of slots
+	moveMu sync.Mutex // held during a move of slots
 
 	mu               sync.Mutex
 	lastHeadExchange time.Time
-	// lapsed is how many slots had no authority when last looked at.
+	// lapsed is the number of slots without authority at the last check.
 	lapsed int
-	// importing holds the parts of hand-overs that are not complete.
+	// incomplete contains the guards whose current hand-over has a part that did not fit.
 	incomplete map[membership.Identity]bool
 }
 
@@ -83,8 +83,8 @@
 	}
 }
 
-// requestPlan plans at once: slots were handed to this guard and have no owner
-// that starts calls.
+// requestPlan triggers planning at once. It is called after slots were handed over to this
+// guard, because no guard starts calls for them until this guard has taken them.
 func (o *ownership) requestPlan() {
 	select {
 	case o.planNow <- struct{}{}:
@@ -117,9 +117,9 @@
 	}
 }
 
-// appendTakeover appends the same record until it was read back or provably
-// never comes: a takeover in doubt may be in the log, and forgetting it would
-// let this guard promise what it has broken.
+// appendTakeover appends the same record until it was read back or is certain not to be in the
+// log. A takeover with an unknown outcome may be in the log; if it were dropped, this guard
+// could promise not to take slots that it has taken.
 func (o *ownership) appendTakeover(ctx context.Context, t lease.Takeover) {
 	body, err := json.Marshal(t)
 	if err != nil {
@@ -143,8 +143,8 @@
 	}
 }
 
-// OwnersSettled reports whether every slot of the local service has an owner
-// and this node is none of those that wait for theirs.
+// OwnersSettled reports whether every slot of the local service has an owner and this node may
+// start calls for the slots that it owns.
 func (s *Server) OwnersSettled() bool {
 	return s.ownership.state.Settled(s.node.Now())
 }
@@ -153,7 +153,8 @@
 	return o.server.control.clients.client(addr)
 }
 
-// sendPromiseRequest sends a question about slots; none of them only exchanges heads.
+// sendPromiseRequest sends a promise request for the slots. Without slots, it only exchanges
+// heads of the log.
 func (o *ownership) sendPromiseRequest(ctx context.Context, addr string, slots []int) (*innerpb.PromiseResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
@@ -192,8 +193,8 @@
 	return true
 }
 
-// exchangeHeads tells the other guards how far this one has read and learns how
-// far they have: only then may it take slots that have had an owner.
+// exchangeHeads exchanges heads of the log with the other guards. This guard may take slots
+// that had an owner only once it knows how far the others have read.
 func (o *ownership) exchangeHeads(ctx context.Context, live []membership.Member) {
 	for _, m := range live {
 		if m.Node != o.server.cfg.NodeID {
@@ -202,7 +203,7 @@
 	}
 }
 
-// Promise answers another guard; see lease.Lessor.OnPromiseRequest.
+// Promise handles the promise request of another guard; see lease.Lessor.OnPromiseRequest.
 func (o *ownership) Promise(_ context.Context, req *connect.Request[innerpb.PromiseRequest]) (*connect.Response[innerpb.PromiseResponse], error) {
 	from := control.IdentityOf(req.Msg.GetOwner())
 	now := o.server.node.Now()
--- a/internal/server/peerops.go
+++ b/internal/server/peerops.go
@@ -21,26 +21,26 @@
 )
 
 const (
-	// reportPath and drainPath are on the inner port, which only nodes reach.
+	// reportPath and drainPath are paths on the inner port, which only nodes can reach.
 	reportPath = "/v1/report"
 	drainPath  = "/v1/drain"
-	// peerTimeout bounds one question to one node. A healthy one answers
-	// within milliseconds, also over zones.
+	// peerTimeout bounds one request to one node. A healthy node responds within milliseconds,
+	// also across zones.
 	peerTimeout = time.Second
-	// allPeersTimeout bounds the questions to all nodes together: with many that
-	// are gone, the rest must not wait for each of their timeouts.
+	// allPeersTimeout bounds the requests to all nodes together, so that many unreachable nodes do
+	// not delay the response by the sum of their timeouts.
 	allPeersTimeout = 5 * time.Second
-	// maxParallelRequests bounds the questions that are out at a time.
+	// maxParallelRequests bounds the requests in flight at a time.
 	maxParallelRequests = 32
-	// maxMessageBytes bounds an answer to one of the paths above, in bytes.
+	// maxMessageBytes bounds a request or response of the paths above, in bytes.
 	maxMessageBytes = 16 << 10
 )
 
-// report is what a node says of itself to the node that an operator asked.
+// report is the state of a node, sent to the node that handles an operator's request.
 type report struct {
 	Node        string `json:"node"`
 	Incarnation string `json:"incarnation"`
-	// Folded is the offset up to which the log is folded.
+	// Folded is the offset up to which the node has applied the log.
 	Folded uint64 `json:"folded"`
 	// Change is the version of the last accepted change in force.
 	Change       uint64 `json:"change"`
@@ -50,34 +50,34 @@
 	Draining     bool   `json:"draining"`
 }
 
-// drainRequest asks a node to take no new calls.
+// drainRequest requests that a node accepts no new calls.
 type drainRequest struct {
 	Operator   string `json:"operator"`
 	Reason     string `json:"reason"`
 	WaitMillis int64  `json:"wait_ms"`
 }
 
-// drainState is how far a drain has come.
+// drainState is the progress of a drain.
 type drainState struct {
 	State    string `json:"state"`
 	InFlight int    `json:"in_flight"`
 }
 
-// reportResult is one member's answer; err is set when there was none. age is the
-// time since the node was last heard, negative when it never was.
+// reportResult is the response of one member. err is set when the request failed. age is the
+// time since the last response of the member, negative when there was none.
 type reportResult struct {
 	report report
 	age    time.Duration
 	err    error
 }
 
-// peerClient asks other nodes on behalf of operators. Safe for concurrent use.
+// peerClient sends requests of operators to other nodes. Safe for concurrent use.
 type peerClient struct {
 	server *Server
 	client *http.Client
 
 	mu sync.Mutex
-	// lastResponse holds when each present member last answered.
+	// lastResponse is the time of the last response of each present member.
 	lastResponse map[membership.Identity]time.Time
 }
 
@@ -91,8 +91,8 @@
 
 func (p *peerClient) close() { p.client.CloseIdleConnections() }
 
-// reports asks each member, this node included, and returns the answers in
-// the members' order.
+// reports requests a report from each member, including this node, and returns the results in
+// the order of the members.
 func (p *peerClient) reports(ctx context.Context, members []membership.Member) []reportResult {
 	out := make([]reportResult, len(members))
 	p.forEach(ctx, members, func(ctx context.Context, i int) {
@@ -114,7 +114,7 @@
 	return out
 }
 
-// pruneLocked keeps the memory to present members.
+// pruneLocked removes the entries of nodes that are no longer members.
 func (p *peerClient) pruneLocked() {
 	present := map[membership.Identity]bool{}
 	for _, m := range p.server.control.knownMembers() {
@@ -123,7 +123,7 @@
 	maps.DeleteFunc(p.lastResponse, func(id membership.Identity, _ time.Time) bool { return !present[id] })
 }
 
-// forEach runs f for every member with bounds on number and time.
+// forEach runs f for every member, with bounds on parallel requests and on time.
 func (p *peerClient) forEach(ctx context.Context, members []membership.Member, f func(ctx context.Context, i int)) {
 	ctx, cancel := context.WithTimeout(ctx, allPeersTimeout)
 	defer cancel()
@@ -153,7 +153,7 @@
 		return r, err
 	}
 	if r.Incarnation != formatIncarnation(m.Incarnation) {
-		return r, errors.Errorf("incarnation %s answered", r.Incarnation)
+		return r, errors.Errorf("the response came from incarnation %s", r.Incarnation)
 	}
 	return r, nil
 }
@@ -177,11 +177,11 @@
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "no answer")
+		return errors.Wrap(err, "no response")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("answered %s", resp.Status)
+		return errors.Errorf("response has status %s", resp.Status)
 	}
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxMessageBytes)).Decode(out)
 	return errors.Wrap(err, "answer")
@@ -195,7 +195,7 @@
 	return inner.NewControlClient(p.client, p.url(m))
 }
 
-// report is what this node says of itself.
+// report returns the state of this node.
 func (s *Server) report() report {
 	state := s.node.Policy()
 	load := s.node.Guard().Load()
@@ -211,7 +211,7 @@
 	}
 }
 
-// registerPeerHandlers serves other nodes' questions.
+// registerPeerHandlers registers the handlers for requests of other nodes.
 func (s *Server) registerPeerHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+reportPath, func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, s.report())
--- a/internal/server/probe.go
+++ b/internal/server/probe.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// probeTimeout is the wait for an answer, direct or by way of a helper,
-	// and helperTimeout that of the helper itself.
+	// probeTimeout bounds a direct probe and a probe by way of a helper; helperTimeout bounds the
+	// probe that the helper makes.
 	probeTimeout  = 400 * time.Millisecond
 	helperTimeout = 300 * time.Millisecond
 )
@@ -26,7 +26,7 @@
 	return membership.Identity{Node: id.Node, Incarnation: id.Incarnation}
 }
 
-// perform carries out what the plane wants, each on its own.
+// perform runs each action of the plane in its own goroutine.
 func (c *controlLoop) perform(ctx context.Context, actions []control.Action) {
 	for _, a := range actions {
 		c.server.spawn(func() { c.performOne(ctx, a) })
@@ -56,7 +56,7 @@
 	}
 }
 
-// probe asks whoever is at an address for its identity.
+// probe requests the identity of the node at an address.
 func (c *controlLoop) probe(ctx context.Context, addr string, timeout time.Duration) (membership.Identity, bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -70,8 +70,8 @@
 	return control.IdentityOf(resp.Msg.GetFrom()), true
 }
 
-// probeVia asks a helper to probe a target; it counts as reached only if the
-// same life of it answered.
+// probeVia requests that a helper probes a target. The target counts as reached only if the
+// same incarnation responded.
 func (c *controlLoop) probeVia(ctx context.Context, helper, target control.Peer) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -87,8 +87,8 @@
 	return resp.Msg.GetReached()
 }
 
-// gossipCrashRecords tells the guards of the same service in the zone what is new
-// about crashing requests; the exchange tells all others.
+// gossipCrashRecords sends new crash records to the guards of the same service in the zone.
+// All other nodes receive them through the exchange.
 func (c *controlLoop) gossipCrashRecords(ctx context.Context) {
 	now := c.server.node.Now()
 	known := c.server.node.Guard().CrashRecords(now)
@@ -110,7 +110,7 @@
 			ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 			defer cancel()
 			c.counters.gossips.Add(1)
-			// What is lost here comes with the next exchanges.
+			// A message that is lost here is replaced by the next exchanges.
 			_, _ = c.clients.client(peer.Addr).SpreadSuspects(ctx, connect.NewRequest(req))
 		})
 	}
--- a/internal/server/publish.go
+++ b/internal/server/publish.go
@@ -20,17 +20,18 @@
 )
 
 const (
-	// publishTimeout bounds the wait for a publication to be read back; the
-	// log answers within milliseconds on a good day.
+	// publishTimeout bounds the wait until a publication is read back from the log. The log
+	// normally responds within milliseconds.
 	publishTimeout = 10 * time.Second
-	// responseMargin is kept of the operator's time for the answer's way back.
+	// responseMargin is reserved from the operator's deadline for returning the response.
 	responseMargin = 250 * time.Millisecond
-	// inForcePollInterval is between two counts of the nodes that have a version.
+	// inForcePollInterval is the delay between two counts of the nodes that have a version in
+	// force.
 	inForcePollInterval = 100 * time.Millisecond
 )
 
-// PublishTemplate implements admin.Backend. A document without a revision
-// gets the next one.
+// PublishTemplate implements admin.Backend. A document without a revision gets the next
+// revision.
 func (b *backend) PublishTemplate(ctx context.Context, operator string, r *adminpb.PublishTemplateRequest) (*adminpb.Publication, error) {
 	state := b.server.node.Policy()
 	if earlier, ok := b.findDecision(state, r.GetChangeId(), "template "+r.GetName()); ok {
@@ -55,6 +56,7 @@
 	return b.publicationMessage(ctx, d, r.GetWaitPercent(), r.GetWaitMs())
 }
 
+// completeTemplate adds the name and the revision to a document where they are missing.
 func completeTemplate(state *policy.State, name, text string) ([]byte, error) {
 	var doc map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(text), &doc); err != nil {
@@ -97,8 +99,8 @@
 	return b.publicationMessage(ctx, d, r.GetWaitPercent(), r.GetWaitMs())
 }
 
-// buildInstance makes the instance that a request asks for. Naming a template takes
-// its current revision; naming none keeps template and revision.
+// buildInstance returns the instance that a request describes. A request that names a template
+// gets its current revision; one that names none keeps template and revision.
 func buildInstance(state *policy.State, workspace, service, template, valuesJSON string, merge bool) (*policy.Instance, error) {
 	inst := &policy.Instance{Workspace: workspace, Service: service, Values: map[string]string{}}
 	old, exists := findInstance(state, workspace, service)
@@ -130,7 +132,7 @@
 	return policy.Instance{}, false
 }
 
-// setValues writes JSON scalars as values are kept, as text; null drops one.
+// setValues copies JSON scalars into values, which are stored as text. null removes a value.
 func setValues(values map[string]string, doc string) error {
 	dec := json.NewDecoder(bytes.NewReader([]byte(doc)))
 	dec.UseNumber()
@@ -155,17 +157,17 @@
 	return nil
 }
 
-// findDecision returns the decision on a change that was sent before. A change ID
-// that named another object is no repeat and is refused by publish.
+// findDecision returns the decision on a change that was already sent. A change ID that was
+// used for another object is not a resend and is refused by publish.
 func (b *backend) findDecision(state *policy.State, changeID, object string) (policy.Decision, bool) {
 	d, ok := state.Decision(changeID)
 	return d, ok && d.Object == object
 }
 
-// publish gets p into the log and returns what the fold made of it.
+// publish appends p to the log, waits until it is read back and returns the decision on it.
 func (b *backend) publish(ctx context.Context, state *policy.State, p *policy.Publication) (policy.Decision, error) {
 	if d, ok := state.Decision(p.ID); ok {
-		return d, admin.Invalid("change_id is %q, which named a change of %s, must be new for %s", p.ID, d.Object, p.Object())
+		return d, admin.Invalid("change_id is %q, which is the ID of a change of %s, must be a new ID for a change of %s", p.ID, d.Object, p.Object())
 	}
 	if have := versionOf(state, p); p.BaseVersion > have {
 		return policy.Decision{}, admin.Unavailable("this node lags: it has %s at version %d, the change is based on %d", p.Object(), have, p.BaseVersion)
@@ -186,15 +188,15 @@
 	b.server.metrics.Observe(metrics.PublishTime, b.server.node.Now().Sub(rec.At))
 	d, ok := b.server.node.Policy().Decision(p.ID)
 	if !ok {
-		return d, admin.Undecided("change %s was read back and its decision is no longer kept here", p.ID)
+		return d, admin.Undecided("change %s was read back, but its decision is no longer stored on this node", p.ID)
 	}
 	b.recordDecision(p, &d)
 	return d, nil
 }
 
-// versionOf returns the version of what p changes, as this node has it. A
-// change that is based on a newer one is not published here: the values that
-// it keeps would be taken from the older version, and undo what came between.
+// versionOf returns the version that this node has of the object that p changes. A change
+// based on a newer version is not published here: the values that it keeps would be taken from
+// the older version and would revert the changes between the two.
 func versionOf(state *policy.State, p *policy.Publication) policy.Version {
 	if p.Template != nil {
 		return state.TemplateVersion(p.Template.Name)
@@ -202,7 +204,7 @@
 	return state.InstanceVersion(p.Instance.Workspace, p.Instance.Service)
 }
 
-// recordDecision puts what the log decided on the time line.
+// recordDecision logs the decision on a publication and adds it to the timeline.
 func (b *backend) recordDecision(p *policy.Publication, d *policy.Decision) {
 	e := timeline.Event{Kind: timeline.PublicationDecided, Detail: fmt.Sprintf("%s by %s: %s", d.Object, d.Author, d.Outcome)}
 	if p.Instance != nil {
@@ -216,9 +218,9 @@
 		Str("outcome", string(d.Outcome)).Int64("version", int64(d.Version)).Msg("publication decided")
 }
 
-// decideLocally decides what no later record could change: a loss to a newer
-// version of the object, or a document that is wrong by itself. What may look
-// wrong only because this node lags goes to the log.
+// decideLocally decides publications whose outcome no later record can change: a version
+// conflict with a newer version of the object, or a document that is invalid by itself. Errors
+// that may exist only because this node lags are left to the log.
 func decideLocally(state *policy.State, p *policy.Publication) (policy.Decision, bool) {
 	d, _ := state.Check(p)
 	switch d.Outcome {
@@ -235,6 +237,8 @@
 	return d, false
 }
 
+// appendContext returns a context that ends after publishTimeout, or responseMargin before the
+// deadline of ctx.
 func appendContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	limit := publishTimeout
 	if end, ok := ctx.Deadline(); ok {
@@ -243,6 +247,7 @@
 	return context.WithTimeout(ctx, limit)
 }
 
+// appendFailure turns the error of an append into the error for the operator.
 func appendFailure(p *policy.Publication, err error) error {
 	switch {
 	case errors.Is(err, logstore.ErrUncertain):
@@ -253,8 +258,8 @@
 	return admin.Unavailable("change %s was not published: %v", p.ID, err)
 }
 
-// publicationMessage turns a decision into the operator's answer and, for an accepted
-// change, waits as asked and counts the nodes.
+// publicationMessage turns a decision into the response to the operator. For an accepted
+// change, it waits as requested and counts the nodes that have it in force.
 func (b *backend) publicationMessage(ctx context.Context, d policy.Decision, percent uint32, waitMillis int64) (*adminpb.Publication, error) {
 	if d.Outcome == policy.Rejected {
 		return nil, admin.Invalid("%s: %v", d.Object, d.Errors)
@@ -274,8 +279,8 @@
 	return pub, nil
 }
 
-// DiffInstance implements admin.Backend. It compares the behaviour in force
-// with that of the proposal, under defaults.
+// DiffInstance implements admin.Backend. It compares the behaviour in force with that of the
+// proposed instance, including default values.
 func (b *backend) DiffInstance(_ context.Context, r *adminpb.DiffInstanceRequest) (*adminpb.DiffInstanceResponse, error) {
 	state := b.server.node.Policy()
 	inst, err := buildInstance(state, r.GetWorkspace(), r.GetService(), r.GetTemplate(), r.GetValuesJson(), r.GetMerge())
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,5 @@
-// Package server runs one node as a process does: listeners, timers, the
-// reader of the log and the planned stop. Decisions are in package node.
+// Package server runs one node in a process: it owns the listeners, timers and the reader of
+// the log, and implements the planned stop. The decisions on calls are made in package node.
 package server
 
 import (
@@ -31,22 +31,23 @@
 )
 
 const (
-	// guardTick is how often waits are checked for expiry: a tenth of the
+	// guardTick is how often the guard checks its waiting calls for expiry: a tenth of the
 	// shortest useful wait.
 	guardTick = 10 * time.Millisecond
-	// headerTimeout bounds the time in which a request's header must arrive.
+	// headerTimeout bounds the time in which the header of a request must arrive.
 	headerTimeout = 10 * time.Second
-	// timerSample takes one duration in so many of those on a call's path.
+	// timerSample is the sampling of durations on the path of a call: one in timerSample is
+	// measured.
 	timerSample = 8
 )
 
-// Options are what a test or demo puts in place of the platform.
+// Options replace parts of the environment in tests and demos.
 type Options struct {
-	// Log stands in for the log service; nil means the client of settings.
+	// Log replaces the log service; nil means a client of the log in the settings.
 	Log logstore.Log
-	// Dial makes connections to other nodes; nil means TCP.
+	// Dial opens connections to other nodes; nil means TCP.
 	Dial proxy.DialFunc
-	// Logger receives JSON lines.
+	// Logger receives the log lines of the node.
 	Logger zerolog.Logger
 	// Observer may be nil.
 	Observer node.Observer
@@ -54,7 +55,7 @@
 	BeforeRun func(context.Context) error
 }
 
-// Server is a running node. Make it with Start.
+// Server is a running node. Create it with Start.
 type Server struct {
 	cfg       *settings.Node
 	log       logstore.Log
@@ -76,14 +77,14 @@
 	followers   followers
 	connections connectionCounter
 	certs       certificates
-	// innerServer is the one of servers that other nodes call.
+	// innerServer is the server for other nodes; it is one of servers.
 	innerServer *http.Server
-	// stopping is closed when the listeners close, so that streams end.
+	// stopping is closed when the listeners close, and ends open streams.
 	stopping   chan struct{}
 	stopOnce   sync.Once
 	stop       context.CancelFunc
 	goroutines sync.WaitGroup
-	// handedOver is closed once owned keys have gone to other guards.
+	// handedOver is closed once the hand-over of the owned slots has ended.
 	handedOver chan struct{}
 	drainOnce  sync.Once
 }
@@ -97,9 +98,8 @@
 // Now implements node.Clock.
 func (systemClock) Now() time.Time { return time.Now() }
 
-// Start opens the listeners of a node and begins to serve. The settings must
-// be valid; port 0 lets the system choose, and the addresses are then those
-// that Addresses returns.
+// Start opens the listeners of a node and starts to serve. The settings must be valid. With
+// port 0 the system selects the port; Addresses returns the addresses in use.
 func Start(cfg *settings.Node, opts Options) (*Server, error) {
 	s := &Server{
 		cfg:        cfg,
@@ -132,8 +132,8 @@
 	return s, nil
 }
 
-// appendsPerSecond is a node's share of what the log takes, several hundred appends a
-// second, in a deployment of some twenty nodes.
+// appendsPerSecond is this node's share of the several hundred appends a second that the log
+// accepts, in a deployment of some twenty nodes.
 const appendsPerSecond = 15
 
 func (s *Server) appenderConfig() logstore.AppenderConfig {
@@ -226,15 +226,16 @@
 	s.watchBounds()
 }
 
-// onUpstreamCrash notes that the upstream's process died: its announcement counts
-// anew, and what it ran is suspect.
+// onUpstreamCrash handles a crash of the upstream's process. The next announcement puts the
+// upstream into service again, and the crash records of the calls that were running are sent
+// to the peers.
 func (s *Server) onUpstreamCrash() {
 	s.announce.markDown()
 	s.control.requestTick()
 }
 
-// Evicted is closed when the log says that this node is gone though it runs:
-// it has to stop and start again.
+// Evicted returns a channel that is closed when the log shows that this running node is no
+// longer a member. The process must then stop and start again.
 func (s *Server) Evicted() <-chan struct{} { return s.control.evicted }
 
 func (s *Server) identity() node.Identity {
@@ -248,7 +249,8 @@
 	}
 }
 
-// innerAddr is the advertised address, unless the system chose the port.
+// innerAddr returns the advertised address, or the address of the listener when the system
+// selected the port.
 func (s *Server) innerAddr() string {
 	if _, port, _ := net.SplitHostPort(s.cfg.Inner.Advertised); port == "0" || port == "" {
 		return s.listeners.inner.Addr().String()
@@ -304,6 +306,7 @@
 	s.spawn(func() { _ = serveOn(srv, l, files) })
 }
 
+// spawn runs f in a goroutine that Shutdown and Kill wait for.
 func (s *Server) spawn(f func()) {
 	s.goroutines.Add(1)
 	go func() {
@@ -332,7 +335,7 @@
 	return l.callers.Addr().String(), l.exit.Addr().String(), l.inner.Addr().String(), l.admin.Addr().String()
 }
 
-// Node returns the node's decisions.
+// Node returns the part of the node that makes the decisions on calls.
 func (s *Server) Node() *node.Node { return s.node }
 
 func (s *Server) member() membership.Member {
--- a/internal/server/service.go
+++ b/internal/server/service.go
@@ -11,10 +11,10 @@
 	"github.com/galenagrade/galenagrade/internal/inner/innerpb/innerpbconnect"
 )
 
-// maxHold bounds how long a question is held, whatever its sender asks for.
+// maxHold bounds how long an exchange request is held, whatever hold time the sender requests.
 const maxHold = 5 * time.Second
 
-// service answers the control messages of other nodes.
+// service implements the control service for other nodes.
 type service struct {
 	innerpbconnect.UnimplementedControlHandler
 	control *controlLoop
@@ -45,7 +45,8 @@
 	}
 }
 
-// responseOrSignal answers a question, or returns what to wait on while it is held.
+// responseOrSignal returns the response to a request or, while the request is held, the
+// channel to wait on.
 func (c *controlLoop) responseOrSignal(received time.Time, msg *innerpb.ExchangeRequest, expired bool) (*innerpb.ExchangeResponse, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/stats.go
+++ b/internal/server/stats.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// ControlStats counts since the start what a node's control plane sent.
+// ControlStats counts the messages and log requests that the control plane of a node sent
+// since the start.
 type ControlStats struct {
 	Exchanges, Probes, Gossips, Fetches uint64
-	// Reads and Appends count requests to the log, failed ones included.
+	// Reads and Appends count requests to the log, including failed ones.
 	Reads, Appends uint64
-	// HeadAge is the present age of the newest proof of the log's head; 0
-	// before the first.
+	// HeadAge is the present age of the newest head observation; 0 before the first.
 	HeadAge time.Duration
 }
 
@@ -19,7 +19,7 @@
 	exchanges, probes, gossips, fetches, reads atomic.Uint64
 }
 
-// ControlStats returns the counters.
+// ControlStats returns the counters of the control plane.
 func (s *Server) ControlStats() ControlStats {
 	n := &s.control.counters
 	s.control.mu.Lock()
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -9,22 +9,23 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// drainPollInterval is how often a stopping node looks whether calls are in flight.
+// drainPollInterval is how often a stopping node checks whether calls are in flight.
 const drainPollInterval = 10 * time.Millisecond
 
-// flushDelay is left for answers that are written to leave the machine.
+// flushDelay is the time for written responses to leave the machine before the connections are
+// closed.
 const flushDelay = 20 * time.Millisecond
 
-// BeginDrain refuses new calls, truthfully, and hands the owned keys over: the
-// sooner they have a new owner, the fewer calls meet none.
+// BeginDrain refuses new calls as not run and starts the hand-over of the owned slots. The
+// hand-over starts at once because calls are refused while their slot has no owner.
 func (s *Server) BeginDrain() { s.beginDrain("") }
 
-// beginDrain says in detail who asked for it.
+// beginDrain starts the drain. detail names who requested it and why.
 func (s *Server) beginDrain(detail string) {
 	s.drainOnce.Do(func() {
 		s.node.Guard().Drain(s.node.Now())
 		s.node.Event(s.node.Now(), timeline.Event{Kind: timeline.DrainStarted, Upstream: s.cfg.NodeID, Detail: detail})
-		s.logger.Info().Str("reason", detail).Int("in_flight", s.node.Guard().Busy()).Msg("draining")
+		s.logger.Info().Str("reason", detail).Int("in_flight", s.node.Guard().Busy()).Msg("drain started; the node refuses new calls and hands over its slots")
 		s.control.drain()
 		s.spawn(func() {
 			defer close(s.handedOver)
@@ -35,8 +36,8 @@
 	})
 }
 
-// drainAndWait drains at an operator's word and waits as long as asked for the
-// calls in flight.
+// drainAndWait starts a drain that an operator requested, and waits for the calls in flight
+// for at most the requested time.
 func (s *Server) drainAndWait(ctx context.Context, request drainRequest) drainState {
 	s.beginDrain(request.Operator + ": " + request.Reason)
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMillis)*time.Millisecond)
@@ -51,9 +52,9 @@
 	return state
 }
 
-// Shutdown stops the node without cutting a call: it refuses new ones, waits
-// for those in flight until ctx ends, and closes. It returns how many calls it
-// cut.
+// Shutdown stops the node without interrupting calls: it refuses new calls, waits for those in
+// flight until ctx ends, and closes the listeners. It returns the number of calls that it
+// interrupted.
 func (s *Server) Shutdown(ctx context.Context) int {
 	s.BeginDrain()
 	s.awaitDrainNotice(ctx)
@@ -75,24 +76,23 @@
 	return cut
 }
 
-// awaitDrainNotice leaves the listeners open long enough for everyone to learn that
-// the node is leaving: a connection refused before that costs its caller a
-// retry.
+// awaitDrainNotice keeps the listeners open until the other nodes know that the node is
+// leaving. A connection refused before that costs its caller a retry.
 func (s *Server) awaitDrainNotice(ctx context.Context) {
 	wait.For(ctx, s.cfg.Timing.DrainNotice.Std())
 }
 
-// InFlight returns how many calls the node holds in any role: those that its
-// guard runs or that wait there, and those that it took for other guards.
+// InFlight returns the number of calls that the node holds in any role: calls that its guard
+// runs or that wait there, and calls that it forwards to other guards.
 func (s *Server) InFlight() int {
 	return max(s.node.Guard().Busy(), int(s.proxy.Held().Calls))
 }
 
-// closeServers lets handlers end: a call that this node took from a caller for
-// another guard is also in flight. The listener for other nodes is closed
-// once all their calls are answered, without the second that a graceful end of
-// HTTP/2 takes: callers that come meanwhile would find nobody. It returns how
-// many calls it cut when ctx ended first.
+// closeServers waits until the handlers have ended, including those of calls that this node
+// forwards to other guards. The listener for other nodes is closed once all their calls have a
+// response, without a graceful shutdown of HTTP/2: that takes a second, in which new calls
+// would get no response. It returns the number of calls that it interrupted because ctx ended
+// first.
 func (s *Server) closeServers(ctx context.Context) int {
 	s.endStreams()
 	s.control.endHeldRequests()
@@ -120,7 +120,7 @@
 	return cut
 }
 
-// Kill stops the node at once, as a crash of its VM would.
+// Kill stops the node at once, like a crash of its VM.
 func (s *Server) Kill() {
 	s.endStreams()
 	for _, srv := range s.servers {
@@ -133,8 +133,8 @@
 	s.goroutines.Wait()
 }
 
-// contextUntilStopping returns a context that ends when the listeners close: a stop
-// that was cut short must not wait for a hand-over to a guard that is gone.
+// contextUntilStopping returns a context that ends when the listeners close. An interrupted
+// stop then does not wait for a hand-over to a guard that is gone.
 func (s *Server) contextUntilStopping() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -147,5 +147,5 @@
 	return ctx, cancel
 }
 
-// endStreams ends what would otherwise go on until its reader leaves.
+// endStreams ends the event streams, which would otherwise run until their client disconnects.
 func (s *Server) endStreams() { s.stopOnce.Do(func() { close(s.stopping) }) }
--- a/internal/server/tls.go
+++ b/internal/server/tls.go
@@ -11,7 +11,7 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// certificates are those of the listeners; nil where one speaks clear text.
+// certificates are the certificates of the listeners; nil means cleartext.
 type certificates struct{ callers, inner, admin *certs.Files }
 
 func (s *Server) loadCerts() error {
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// securePeers makes connections to other nodes speak TLS as the own inner
-// listener does.
+// securePeers makes connections to other nodes use TLS when the inner listener of this node
+// does.
 func (s *Server) securePeers() {
 	if s.certs.inner == nil {
 		return
@@ -47,8 +47,8 @@
 	s.peers.Secure(func(d proxy.DialFunc) proxy.DialFunc { return proxy.DialFunc(s.certs.inner.Client(certs.Dial(d))) })
 }
 
-// serveOn serves clear text or TLS. Nodes offer each other no protocol and so
-// speak HTTP/1.1: one silent connection never holds up more than one call.
+// serveOn serves cleartext or TLS. Between nodes, TLS connections use HTTP/1.1 because the
+// client offers no protocol, so that an unresponsive connection affects one call at most.
 func serveOn(srv *http.Server, l net.Listener, files *certs.Files) error {
 	if files == nil {
 		return srv.Serve(l)
