--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -16,6 +16,7 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
+// startPair starts two nodes with one upstream of the service letters each.
 func startPair(t *testing.T) (*testCluster, *Server, *Server) {
 	w := newTestCluster(t)
 	a, b := w.start("letters-1", nil), w.start("letters-2", nil)
@@ -26,7 +27,9 @@
 	return w, a, b
 }
 
-// Guards against racing operators who both win, or a repeat that counts as a second change.
+// Guards against two concurrent changes that are both accepted, and against a resent change
+// that counts as a second one. Both operators base their change on the same version; the log
+// order decides, and the other operator is told which change it conflicts with.
 func TestRacingPublicationsAcceptOneAndReportTheConflict(t *testing.T) {
 	w, a, b := startPair(t)
 	base := w.publishInstance(a, "letters")
@@ -71,7 +74,8 @@
 	must.Eq(t, connect.CodeInvalidArgument, connect.CodeOf(err))
 }
 
-// Guards against a change called accepted that no log has taken.
+// Guards against a change that is reported as accepted although the log has not stored it. The
+// log is unavailable until the operator's deadline passes.
 func TestChangeIsNotAcceptedWhileLogIsUnavailable(t *testing.T) {
 	w, a, _ := startPair(t)
 	base := w.publishInstance(a, "letters")
@@ -84,7 +88,7 @@
 	defer cancel()
 	_, err := w.admin(a, "abe").SetInstance(ctx, short)
 	must.SliceContains(t, []connect.Code{connect.CodeUnavailable, connect.CodeAborted}, connect.CodeOf(err))
-	w.waitFor("the outage to show", func() bool {
+	w.waitFor("status reports the log as unavailable", func() bool {
 		st, err := w.admin(a, "view").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
 		return err == nil && !st.Msg.LogAvailable
 	})
@@ -97,8 +101,9 @@
 	must.StrContains(t, show.Msg.EffectiveJson, `"retry_allowance":"3"`)
 }
 
-// The log takes a change and its acknowledgement is lost. The node reads the
-// change back: the operator is told "accepted", and it was decided once.
+// Guards against a stored change that is reported as failed or decided twice. The log stores
+// the change and its acknowledgement is lost; the node reads the change back and reports it as
+// accepted.
 func TestLostAcknowledgementIsResolvedByReadBack(t *testing.T) {
 	w, a, _ := startPair(t)
 	base := w.publishInstance(a, "letters")
@@ -112,6 +117,8 @@
 	must.True(t, next.Accepted)
 }
 
+// Guards against a diff that shows unchanged fields, and against a value out of bounds that
+// reaches the log.
 func TestDiffAndFaultyValues(t *testing.T) {
 	w, a, _ := startPair(t)
 	w.publishInstance(a, "letters")
@@ -129,7 +136,7 @@
 	must.Eq(t, changes, w.countChanges())
 }
 
-// Guards against a silent node counted as if it had answered.
+// Guards against an unreachable node that counts as if it had responded.
 func TestUnreachableNodeIsListedAsUnknown(t *testing.T) {
 	w, a, b := startPair(t)
 	w.publishInstance(a, "letters")
@@ -149,7 +156,8 @@
 	must.Eq(t, []string{"letters-2"}, tl.Msg.UnreachableNodes)
 }
 
-// Guards against a change counted as in force on a node that lags, or published over what it lacks.
+// Guards against a change that counts as in force on a lagging node, and against a lagging
+// node that publishes a change based on a version that it does not have.
 func TestLaggingNodeIsListed(t *testing.T) {
 	w := newTestCluster(t)
 	a := w.start("letters-1", nil)
@@ -158,7 +166,8 @@
 		w.announceUpstream(s, "letters", http.NotFoundHandler())
 	}
 	w.awaitTargets("letters", 2, a)
-	// To cut it off from the log alone would not do: it gets the records of a.
+	// Blocking the node's access to the log is not enough: it receives the records from a. The
+	// lock stops it from applying them.
 	b.control.applyMu.Lock()
 	release := sync.OnceFunc(b.control.applyMu.Unlock)
 	t.Cleanup(release)
@@ -184,10 +193,11 @@
 	must.Eq(t, connect.CodeUnavailable, connect.CodeOf(err))
 	must.ErrorContains(t, err, "this node lags")
 	release()
-	w.waitFor("the slow node to follow", func() bool { return len(lagging()) == 0 })
+	w.waitFor("lagging node catches up", func() bool { return len(lagging()) == 0 })
 }
 
-// Guards against a change said to be in force nowhere because no join was read yet.
+// Guards against a change that counts as in force on no node. This happens when the join
+// record of the only node was not read yet.
 func TestNodeCountsItselfBeforeItsJoinIsRead(t *testing.T) {
 	w := newTestCluster(t)
 	a := w.startWith("letters-1", joinRejectingLog{w.log}, nil)
@@ -202,8 +212,8 @@
 	must.Eq(t, "letters-1", st.Msg.Nodes[0].NodeId)
 }
 
-// A viewer, an operator of one workspace and a caller each try what their
-// token doesn't cover. All are refused, and the attempt is on the time line.
+// Guards against access beyond what a token covers. A viewer, a caller and an unknown token
+// each send a request that is not allowed; all are refused and recorded on the timeline.
 func TestTokensLimitAccess(t *testing.T) {
 	w, a, _ := startPair(t)
 	w.publishInstance(a, "letters")
@@ -220,6 +230,8 @@
 	must.Eq(t, "alive", list.Msg.Members[0].State)
 }
 
+// Guards against calls without a valid caller token, and against a token that is forwarded to
+// the upstream.
 func TestCallerTokens(t *testing.T) {
 	w := newTestCluster(t)
 	s := w.start("letters-1", func(c *settings.Node) { c.Callers.RequireToken = true })
@@ -240,8 +252,8 @@
 	must.Eq(t, []string{""}, seen)
 }
 
-// An operator drains the other node through this one. That node says so, takes
-// no new call, and calls go on at the rest.
+// Guards against a drained node that accepts new calls. An operator drains a node through
+// another one; the node reports that it is draining, and calls continue on the remaining node.
 func TestDrainOfAnotherNode(t *testing.T) {
 	w, a, b := startPair(t)
 	w.publishInstance(a, "letters")
@@ -264,12 +276,13 @@
 	must.Eq(t, connect.CodeNotFound, connect.CodeOf(err))
 }
 
-// An operator follows one node's events and the node stops: the stream ends
-// instead of holding the stop up.
+// Guards against an event stream that delays the stop of its node. An operator follows the
+// events while the node stops; the stream must end.
 func TestEventStreamEndsWhenTheNodeStops(t *testing.T) {
 	w := newTestCluster(t)
 	s := w.start("letters-1", nil)
-	// The guard's first tick records its limit whenever it comes; these two are awaited.
+	// The first tick of the guard adds an event about its limit at any time; the filter leaves
+	// only the two expected events.
 	kinds := []string{string(timeline.NodeStarted), string(timeline.Cleared)}
 	stream, err := w.admin(s, "mori").Events(t.Context(), connect.NewRequest(&adminpb.EventsRequest{Follow: true, Filter: &adminpb.EventFilter{Kinds: kinds}}))
 	must.NoError(t, err)
--- a/internal/server/announce_fuzz_test.go
+++ b/internal/server/announce_fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// FuzzAnnouncement gives what a broken or hostile process on the VM might PUT:
-// nothing that is accepted lies outside its bounds.
+// FuzzAnnouncement decodes bodies that a faulty or hostile process on the VM could PUT. Every
+// accepted announcement must be within its bounds.
 func FuzzAnnouncement(f *testing.F) {
 	for _, seed := range []string{
 		`{"service":"letters","address":"127.0.0.1:80","slots":4,"connections":9}`,
@@ -34,7 +34,7 @@
 	})
 }
 
-// validName is the set of names that callers can send at all.
+// validName reports whether callers can send the name in a request.
 func validName(s string) bool {
 	return !strings.ContainsFunc(s, func(r rune) bool {
 		return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("-_.", r))
--- a/internal/server/authority_watch_test.go
+++ b/internal/server/authority_watch_test.go
@@ -11,7 +11,8 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// Guards against a guard that starts calls beyond the authority that settings give it.
+// Guards against a guard that starts calls after the validity that timing.authority sets,
+// because it uses the default validity instead.
 func TestAuthorityValidityFollowsSettings(t *testing.T) {
 	const authority = time.Second
 	w := newTestCluster(t)
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -14,9 +14,9 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// BenchmarkHop compares a call over an entry and a guard node with the same
-// call made directly, in one run: the metric "added" is the difference of the
-// means in microseconds. Allocations are those of caller, nodes and upstream.
+// BenchmarkHop compares a call through an entry node and a guard node with the same call made
+// directly, in one run. The metric added-us/op is the difference of the mean durations in
+// microseconds. Allocations include those of caller, nodes and upstream.
 func BenchmarkHop(b *testing.B) {
 	w := newTestCluster(b)
 	quiet := func(cfg *settings.Node) {
@@ -50,7 +50,7 @@
 	b.ReportMetric(float64(viaNodes)/float64(direct), "through/direct")
 }
 
-// processorTime is what the process has used, in user and system mode.
+// processorTime returns the CPU time that the process used in user and system mode.
 func processorTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	must.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -29,12 +29,12 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// testCluster is a log stand-in and the nodes that follow it.
+// testCluster is a stand-in for the log service and the nodes that use it.
 type testCluster struct {
 	t    testing.TB
 	log  *logd.Server
 	http *http.Client
-	// scheme is that of the admin addresses.
+	// scheme is the URL scheme of the admin addresses.
 	scheme string
 }
 
@@ -70,12 +70,12 @@
 	return cfg
 }
 
-// start runs a node until the test ends.
+// start starts a node and stops it when the test ends. configure may be nil.
 func (w *testCluster) start(id string, configure func(*settings.Node)) *Server {
 	return w.startWith(id, w.log, configure)
 }
 
-// startWith runs a node that has that log for itself.
+// startWith starts a node that uses the given log.
 func (w *testCluster) startWith(id string, log logstore.Log, configure func(*settings.Node)) *Server {
 	cfg := testSettings(id)
 	if configure != nil {
@@ -88,13 +88,14 @@
 	return s
 }
 
-// announceUpstream puts an upstream with that handler behind the node.
+// announceUpstream starts an upstream with the handler and announces it to the node.
 func (w *testCluster) announceUpstream(s *Server, service string, h http.Handler) {
 	up := httptest.NewServer(h)
 	w.t.Cleanup(up.Close)
 	w.announceAddress(s, service, up.Listener.Addr().String())
 }
 
+// announceAddress announces an upstream at an address to the node.
 func (w *testCluster) announceAddress(s *Server, service, addr string) {
 	body, err := json.Marshal(node.Announcement{Service: service, Address: addr, Slots: 8})
 	must.NoError(w.t, err)
@@ -114,7 +115,7 @@
 	return resp.StatusCode, resp.Header, body
 }
 
-// call makes a caller's GET for the service.
+// call sends a caller's GET request to the service.
 func (w *testCluster) call(s *Server, service, token string) (int, http.Header, []byte) {
 	callers, _, _, _ := s.Addresses()
 	req, err := http.NewRequest(http.MethodGet, "http://"+callers+"/x", nil)
@@ -132,7 +133,7 @@
 	return admin.NewClient(w.http, w.scheme+"://"+addr, token)
 }
 
-// waitFor waits for what other goroutines bring about.
+// waitFor waits until the condition holds, and fails the test when it does not in time.
 func (w *testCluster) waitFor(what string, condition func() bool) {
 	w.t.Helper()
 	must.Wait(w.t, wait.InitialSuccess(
@@ -140,7 +141,7 @@
 	), must.Sprint(what))
 }
 
-// awaitTargets waits until each node routes to so many upstreams of the service.
+// awaitTargets waits until each node has n targets for the service in its routing table.
 func (w *testCluster) awaitTargets(service string, n int, nodes ...*Server) {
 	w.t.Helper()
 	w.waitFor("members of "+service, func() bool {
@@ -153,7 +154,8 @@
 	})
 }
 
-// publishInstance puts the template balanced and an instance for the service in force.
+// publishInstance publishes the template balanced, if missing, and an instance of it for the
+// service.
 func (w *testCluster) publishInstance(s *Server, service string) *adminpb.Publication {
 	w.t.Helper()
 	if _, ok := s.node.Policy().Template("balanced", 0); !ok {
@@ -182,8 +184,9 @@
 	return resp.Msg.Publication, nil
 }
 
-// countChanges counts the operators' countChanges in the log, each copy of one. Nodes append records
-// of their own at any time, such as that they take over slots.
+// countChanges counts the template and instance records in the log, including duplicates.
+// Other records are ignored because nodes append their own at any time, such as takeovers of
+// slots.
 func (w *testCluster) countChanges() (count int) {
 	w.t.Helper()
 	from := int64(0)
@@ -213,7 +216,8 @@
 	return policy.Template{}
 }
 
-// joinRejectingLog takes everything but joins, as if they were lost on the way.
+// joinRejectingLog accepts all records except joins, so that a node never becomes a member in
+// the log.
 type joinRejectingLog struct{ *logd.Server }
 
 // Append implements logstore.Log.
@@ -225,7 +229,8 @@
 	return l.Server.Append(ctx, kept)
 }
 
-// publishTemplate publishes a template without waiting for the other nodes.
+// publishTemplate publishes a template and does not wait until the other nodes have it in
+// force.
 func (w *testCluster) publishTemplate(s *Server) {
 	w.t.Helper()
 	doc, err := json.Marshal(libraryTemplate(w.t, "balanced"))
@@ -238,9 +243,11 @@
 	must.Eq(w.t, 2, int(resp.Msg.Publication.NodesKnown))
 }
 
-// shortDeadline is an operator's patience; nothing is measured by it.
+// shortDeadline returns a context with the deadline of an operator who does not wait for the
+// end of an outage.
 func shortDeadline(t *testing.T) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(t.Context(), 600*time.Millisecond)
 }
 
+// callLimit returns limits that bound only the number of calls.
 func callLimit(calls int64) proxy.Limits { return proxy.Limits{Calls: calls} }
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -11,7 +11,8 @@
 	"github.com/galenagrade/galenagrade/internal/lease"
 )
 
-// Guards against a hand-over refused as a whole because of a moment taken for a span.
+// Guards against a hand-over that the receiver rejects. Its message check takes
+// unknown_before_unix_micros, a point in time, for a duration out of bounds.
 func TestHandOverOfSlotsWithUnknownKeysPassesTheCheck(t *testing.T) {
 	slots := []lease.HandedSlot{{Slot: 3, Offset: 12, EffectiveIn: time.Second, UnknownBefore: time.Now().Round(time.Microsecond), CleanIn: time.Hour}}
 	req := &innerpb.HandOverRequest{Slots: encodeSlots(slots)}
--- a/internal/server/main_test.go
+++ b/internal/server/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails when a stopped server leaves a goroutine behind.
+// TestMain fails when goroutines of a stopped server are still running.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/server/observe_test.go
+++ b/internal/server/observe_test.go
@@ -25,7 +25,8 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// startChain runs letters on one node, which calls archive on the other.
+// startChain starts two nodes. The service letters runs on one node and calls the service
+// archive on the other.
 func startChain(t *testing.T, archive http.Handler) (*testCluster, *Server, *Server) {
 	w := newTestCluster(t)
 	a, b := w.start("letters-1", nil), w.start("archive-1", nil)
@@ -54,6 +55,7 @@
 	return w, a, b
 }
 
+// timeline returns the events of all nodes for a call or request ID.
 func (w *testCluster) timeline(s *Server, id string) []timeline.Event {
 	resp, err := w.admin(s, "view").Timeline(w.t.Context(), connect.NewRequest(&adminpb.TimelineRequest{
 		Filter: &adminpb.EventFilter{CallId: id}, AllNodes: true,
@@ -64,7 +66,7 @@
 	return events
 }
 
-// Guards against a time line that lacks a hop, or shows an effect before its cause.
+// Guards against a timeline that omits a hop or lists an effect before its cause.
 func TestTimelineShowsOneRequestOverTwoHops(t *testing.T) {
 	w, a, b := startChain(t, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
 	status, h, body := w.call(a, "letters", "")
@@ -90,7 +92,8 @@
 	must.Eq(t, "archive-1", hop[0].Upstream)
 }
 
-// Guards against a refusal that can't be traced to who refused, and why.
+// Guards against a refusal that cannot be traced to the node that refused the call and to the
+// reason.
 func TestRefusalIsExplained(t *testing.T) {
 	w, a, _ := startChain(t, http.NotFoundHandler())
 	status, h, _ := w.call(a, "nothing", "")
@@ -103,6 +106,8 @@
 	must.Eq(t, 1, a.metrics.ResultCount(result.UnknownService))
 }
 
+// Guards against a refusal that is missing from the log or is logged without its code and
+// reason.
 func TestRefusalIsLogged(t *testing.T) {
 	w := newTestCluster(t)
 	lines := &testlog.Buffer{}
@@ -114,6 +119,7 @@
 	must.StrContains(t, lines.String(), `"why":"no configuration has reached this node yet"`)
 }
 
+// metrics returns the metrics document of a node.
 func (w *testCluster) metrics(s *Server) map[string]map[string]float64 {
 	_, _, _, addr := s.Addresses()
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+metrics.Path, nil)
@@ -124,6 +130,8 @@
 	return got
 }
 
+// Guards against calls that are missing from the metrics or counted twice when they cross two
+// nodes, and against a limit without a metric.
 func TestMetricsOfTwoHops(t *testing.T) {
 	w, a, b := startChain(t, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
 	must.SliceEmpty(t, a.metrics.UnwatchedBounds())
@@ -151,8 +159,8 @@
 	must.Eq(t, 0, lettersMetrics["bodies.held_bytes.size"]["value"])
 }
 
-// A node is given more calls than it may hold while an upstream hangs. Those
-// beyond the bound are refused at once as not run, and counted.
+// Guards against a node that holds more calls than its limit while an upstream does not
+// respond. Calls above the limit are refused at once as not run, and counted.
 func TestCallsBeyondTheBoundAreRefusedAndCounted(t *testing.T) {
 	hold := make(chan struct{})
 	w, a, _ := startChain(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-hold }))
@@ -179,7 +187,7 @@
 	must.Eq(t, 2, w.metrics(a)["calls.in_flight.turned_away"]["count"])
 }
 
-// Guards against authority over keys that lapses without a trace.
+// Guards against a loss of authority over keys that neither the timeline nor the metrics show.
 func TestLapsedAuthorityIsOnTheTimeline(t *testing.T) {
 	w, s, other := startPair(t)
 	w.waitFor("ownership", func() bool { return s.OwnersSettled() && other.OwnersSettled() && s.ownership.state.Holds() > 0 })
@@ -194,7 +202,8 @@
 	must.Positive(t, w.metrics(s)["lease.authority_lapses"]["count"])
 }
 
-// Guards against a re-attachment refused as not run by a full node, while its call runs.
+// Guards against a re-attachment that a node at its call limit refuses as not run although the
+// call is running there.
 func TestFullNodeAcceptsReattachments(t *testing.T) {
 	hold := make(chan struct{})
 	w, _, b := startChain(t, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
@@ -202,7 +211,7 @@
 		_, _ = rw.Write([]byte("hull"))
 	}))
 	release := sync.OnceFunc(func() { close(hold) })
-	t.Cleanup(release) // or a failed test would wait for its upstream for ever
+	t.Cleanup(release) // without it, a failed test never ends because its upstream does not respond
 	b.proxy.SetLimits(callLimit(1))
 	send := func(callID string, reattach bool) result.Code {
 		_, _, addr, _ := b.Addresses()
@@ -230,8 +239,8 @@
 	must.Eq(t, result.OK, <-codes)
 }
 
-// A template allows a larger body than the node has memory for. The node's own
-// bound holds, and the request is refused as not run.
+// Guards against a template that allows larger bodies than the node has memory for. The limit
+// of the node applies, and the request is refused as not run.
 func TestBodyBeyondTheNodesBoundIsRefused(t *testing.T) {
 	var ran atomic.Int32
 	w, a, _ := startChain(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran.Add(1) }))
--- a/internal/server/plane_test.go
+++ b/internal/server/plane_test.go
@@ -21,12 +21,13 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// gatedLog is a node's way to the log, which can be shut for that node alone.
+// gatedLog is the log as one node sees it. It can be made unavailable for that node alone.
 type gatedLog struct {
 	logstore.Log
 	unavailable atomic.Bool
 }
 
+// Read implements logstore.Log.
 func (g *gatedLog) Read(ctx context.Context, from int64, max int, hold time.Duration) (logstore.Page, error) {
 	if g.unavailable.Load() {
 		return logstore.Page{}, logstore.ErrUnavailable
@@ -38,6 +39,7 @@
 	return page, err
 }
 
+// Append implements logstore.Log.
 func (g *gatedLog) Append(ctx context.Context, records []logstore.Record) (int64, error) {
 	if g.unavailable.Load() {
 		return 0, logstore.ErrUnavailable
@@ -45,6 +47,7 @@
 	return g.Log.Append(ctx, records)
 }
 
+// planeCluster is a set of nodes in several zones that use one log.
 type planeCluster struct {
 	t     *testing.T
 	log   *logd.Server
@@ -52,6 +55,7 @@
 	nodes []*server.Server
 }
 
+// newPlaneCluster starts one node for each entry of zones and waits until all are members.
 func newPlaneCluster(t *testing.T, zones ...string) *planeCluster {
 	p := &planeCluster{t: t, log: logd.New(logd.Options{})}
 	p.publish("first")
@@ -87,6 +91,7 @@
 	return s
 }
 
+// publish appends a template publication to the log and returns its version.
 func (p *planeCluster) publish(id string) policy.Version {
 	t := policy.Library()[0]
 	t.Name = "t-" + id
@@ -98,7 +103,7 @@
 	return policy.Version(at + 1)
 }
 
-// await waits until ok holds for all nodes; the bound only ends a failed test.
+// await waits until the condition holds for all nodes. The timeout only ends a failed test.
 func (p *planeCluster) await(what string, condition func(*server.Server) bool) {
 	p.t.Helper()
 	all := func() bool {
@@ -112,7 +117,8 @@
 	must.Wait(p.t, wait.InitialSuccess(wait.BoolFunc(all), wait.Timeout(time.Minute), wait.Gap(5*time.Millisecond)), must.Sprint(what))
 }
 
-// Guards against a zone without the log that misses a change its peers have.
+// Guards against a zone that misses a change while none of its nodes can reach the log. The
+// nodes must receive the change from peers of another zone.
 func TestZoneWithoutLogReceivesChangesFromPeers(t *testing.T) {
 	checkLeaks(t)
 	p := newPlaneCluster(t, "a", "a", "b", "b")
@@ -122,7 +128,7 @@
 	p.await("configuration", func(s *server.Server) bool { return s.Node().Policy().Version() >= version })
 }
 
-// Guards against a replaced VM that can't join its peers while the log is out.
+// Guards against a replacement VM that cannot join its peers while the log is unavailable.
 func TestServerStartsFromSeedPeerDuringLogOutage(t *testing.T) {
 	checkLeaks(t)
 	p := newPlaneCluster(t, "a", "a", "b")
@@ -138,7 +144,7 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return p.log.Appends() > before }), wait.Timeout(time.Minute)))
 }
 
-// Guards against work sent to a stopping node during an outage of the log.
+// Guards against calls routed to a stopping node during an outage of the log.
 func TestDrainReachesPeersDuringLogOutage(t *testing.T) {
 	checkLeaks(t)
 	p := newPlaneCluster(t, "a", "a", "a")
@@ -148,8 +154,8 @@
 	must.Zero(t, p.nodes[1].Shutdown(t.Context()))
 }
 
-// A VM dies without a word. The others leave it out and its record goes.
-// Cause: nobody announces a crash.
+// Guards against a crashed node that remains a member. It announces nothing; the other nodes
+// detect the crash and remove its member record.
 func TestKilledServerIsEvicted(t *testing.T) {
 	checkLeaks(t)
 	p := newPlaneCluster(t, "a", "a", "a", "b")
@@ -158,8 +164,8 @@
 	p.await("evicted", func(s *server.Server) bool { return len(s.LiveMembers()) == 3 })
 }
 
-// checkLeaks fails the test when goroutines outlive its nodes. Cleanups run in
-// reverse, so it comes before the first node.
+// checkLeaks fails the test when goroutines are left after its nodes have stopped. Call it
+// before the first node starts, because cleanups run in reverse order.
 func checkLeaks(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() {
--- a/internal/server/tls_test.go
+++ b/internal/server/tls_test.go
@@ -15,7 +15,8 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// Guards against a listener that takes calls without a certificate.
+// Guards against an inner listener that accepts connections without a client certificate, and
+// against calls that fail when all listeners use TLS.
 func TestAllListenersOverTLS(t *testing.T) {
 	w := newTestCluster(t)
 	ca := certstest.New(t, t.TempDir(), "ca")
@@ -56,6 +57,7 @@
 	must.Error(t, err)
 }
 
+// Guards against a start error that does not name the setting with the faulty certificate.
 func TestStartNamesTheFaultyCertificate(t *testing.T) {
 	cfg := testSettings("a")
 	cfg.Admin.TLS = &settings.TLS{CertFile: "/nonexistent.pem", KeyFile: "/nonexistent.pem"}
