--- a/internal/server/catalogue.go
+++ b/internal/server/catalogue.go
@@ -32,11 +32,11 @@
 	state := b.server.node.Policy()
 	t, ok := state.Template(name, 0)
 	if !ok {
-		return nil, admin.NotFound("template %s", name)
+		return nil, admin.NotFound("template %s does not exist", name)
 	}
 	inForce := uint64(state.TemplateVersion(name))
 	if version != 0 && version != inForce {
-		return nil, admin.NotFound("version %d of template %s; version %d is in force", version, name, inForce)
+		return nil, admin.NotFound("version %d of template %s is not available; version %d is in force", version, name, inForce)
 	}
 	doc, err := json.Marshal(t)
 	if err != nil {
@@ -69,11 +69,11 @@
 	state := b.server.node.Policy()
 	inst, ok := findInstance(state, r.GetWorkspace(), r.GetService())
 	if !ok {
-		return nil, admin.NotFound("instance %s/%s", r.GetWorkspace(), r.GetService())
+		return nil, admin.NotFound("instance %s/%s does not exist", r.GetWorkspace(), r.GetService())
 	}
 	inForce := uint64(state.InstanceVersion(inst.Workspace, inst.Service))
 	if r.GetVersion() != 0 && r.GetVersion() != inForce {
-		return nil, admin.NotFound("version %d of instance %s/%s; version %d is in force",
+		return nil, admin.NotFound("version %d of instance %s/%s is not available; version %d is in force",
 			r.GetVersion(), inst.Workspace, inst.Service, inForce)
 	}
 	doc, err := json.Marshal(inst)
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -222,11 +222,11 @@
 
 // Append implements logstore.Log.
 func (l joinRejectingLog) Append(ctx context.Context, records []logstore.Record) (int64, error) {
-	kept := slices.DeleteFunc(slices.Clone(records), func(r logstore.Record) bool { return r.Kind == logstore.KindJoin })
-	if len(kept) == 0 {
+	accepted := slices.DeleteFunc(slices.Clone(records), func(r logstore.Record) bool { return r.Kind == logstore.KindJoin })
+	if len(accepted) == 0 {
 		return 0, logstore.ErrUnavailable
 	}
-	return l.Server.Append(ctx, kept)
+	return l.Server.Append(ctx, accepted)
 }
 
 // publishTemplate publishes a template and does not wait until the other nodes have it in
--- a/internal/server/publish.go
+++ b/internal/server/publish.go
@@ -110,7 +110,7 @@
 	if template != "" {
 		t, ok := state.Template(template, 0)
 		if !ok {
-			return nil, admin.NotFound("template %s", template)
+			return nil, admin.NotFound("template %s does not exist", template)
 		}
 		inst.Template, inst.Revision = t.Name, t.Revision
 	}
