--- a/internal/server/announce.go
+++ b/internal/server/announce.go
@@ -16,75 +16,77 @@
 )
 
 const (
-	// maxAnnouncement bounds the body of an announcement, in bytes.
-	maxAnnouncement = 4 << 10
-	// maxSlots bounds what an upstream may announce, a guard against a unit
-	// mistaken for another.
+	// maxAnnouncementBytes bounds the body of an announcement, in bytes.
+	maxAnnouncementBytes = 4 << 10
+	// maxSlots bounds the slots and connections of an announcement. It catches values that were
+	// given in a wrong unit.
 	maxSlots = 100_000
 )
 
-// announcements is what the local upstream tells its node:
-// PUT /v1/upstream announces it, once a second; DELETE says that it is
-// leaving; GET shows whether it may go.
-type announcements struct {
+// announcementHandler serves the announcements of the local upstream. PUT /v1/upstream
+// announces the upstream and is repeated once a second. DELETE starts the drain before the
+// upstream stops. GET returns the state of the drain, which shows whether the upstream can
+// stop.
+type announcementHandler struct {
 	server *Server
 
-	mu      sync.Mutex
-	current *node.Announcement
-	last    time.Time
-	down    bool
+	mu            sync.Mutex
+	current       *node.Announcement
+	lastAnnounced time.Time
+	down          bool
 }
 
-// upstreamState is the answer to the upstream.
+// upstreamState is the response to the upstream.
 type upstreamState struct {
 	Draining bool `json:"draining"`
 	InFlight int  `json:"in_flight"`
 }
 
 // ServeHTTP implements http.Handler.
-func (a *announcements) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *announcementHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodPut:
 		a.put(w, r)
 	case http.MethodDelete:
 		a.server.BeginDrain()
-		a.answer(w)
+		a.writeState(w)
 	case http.MethodGet:
-		a.answer(w)
+		a.writeState(w)
 	default:
 		w.Header().Set("Allow", "GET, PUT, DELETE")
 		http.Error(w, "method not allowed", http.StatusMethodNotAllowed)
 	}
 }
 
-func (a *announcements) put(w http.ResponseWriter, r *http.Request) {
-	got, err := decodeAnnouncement(http.MaxBytesReader(w, r.Body, maxAnnouncement))
+func (a *announcementHandler) put(w http.ResponseWriter, r *http.Request) {
+	announced, err := decodeAnnouncement(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	if err != nil {
 		http.Error(w, "announcement: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	a.accept(got)
-	a.answer(w)
+	a.accept(announced)
+	a.writeState(w)
 }
 
-// decodeAnnouncement reads one announcement and checks its bounds. What follows
-// it is an error: two documents in one body are no announcement.
+// decodeAnnouncement reads one announcement and checks its bounds. Data after the JSON
+// document is an error, so that a body with two documents is rejected.
 func decodeAnnouncement(r io.Reader) (node.Announcement, error) {
 	dec := json.NewDecoder(r)
 	dec.DisallowUnknownFields()
-	var got node.Announcement
-	if err := dec.Decode(&got); err != nil {
+	var announced node.Announcement
+	if err := dec.Decode(&announced); err != nil {
 		return node.Announcement{}, err
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return node.Announcement{}, errors.New("something follows the document")
+		return node.Announcement{}, errors.New("unexpected data after the JSON document")
 	}
-	if fault := checkAnnouncement(got); fault != "" {
+	if fault := checkAnnouncement(announced); fault != "" {
 		return node.Announcement{}, errors.New(fault)
 	}
-	return got, nil
+	return announced, nil
 }
 
+// checkAnnouncement returns a description of the first invalid field, or an empty string.
 func checkAnnouncement(a node.Announcement) string {
 	if !callctx.ValidName(a.Service) {
 		return "service must have 1 to 64 letters, digits, '-', '_' or '.'"
@@ -101,49 +103,54 @@
 	return ""
 }
 
-func (a *announcements) accept(got node.Announcement) {
+// accept stores an announcement. When it is the first one, differs from the one before or
+// follows a failure of the upstream, accept also puts the upstream into service and joins the
+// node to the members.
+func (a *announcementHandler) accept(announced node.Announcement) {
 	now := a.server.node.Now()
 	a.mu.Lock()
-	first := a.current == nil || a.down || *a.current != got
-	a.current = &got
-	a.last = now
+	changed := a.current == nil || a.down || *a.current != announced
+	a.current = &announced
+	a.lastAnnounced = now
 	a.down = false
 	a.mu.Unlock()
-	if !first {
+	if !changed {
 		return
 	}
-	a.server.upstream.SetAddr(got.Address)
-	a.server.node.UpstreamAnnounced(now, got)
-	a.server.control.join(got)
+	a.server.upstream.SetAddr(announced.Address)
+	a.server.node.UpstreamAnnounced(now, announced)
+	a.server.control.join(announced)
 }
 
-// crashed notes that the upstream's process died, so that its next
-// announcement takes it into service again.
-func (a *announcements) crashed() {
+// markDown records that the process of the upstream crashed, so that its next announcement
+// puts it into service again.
+func (a *announcementHandler) markDown() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.down = true
 }
 
-// check holds an upstream that stopped announcing itself for gone.
-func (a *announcements) check(now time.Time) {
+// checkExpiry treats an upstream as stopped once its announcements are missing for longer than
+// the setting timing.upstream_silence: as a planned stop while the guard drains, otherwise as
+// a crash.
+func (a *announcementHandler) checkExpiry(now time.Time) {
 	a.mu.Lock()
-	silent := a.current != nil && !a.down && now.Sub(a.last) > a.server.cfg.Timing.UpstreamSilence.Std()
-	if silent {
+	expired := a.current != nil && !a.down && now.Sub(a.lastAnnounced) > a.server.cfg.Timing.UpstreamSilence.Std()
+	if expired {
 		a.down = true
 	}
 	a.mu.Unlock()
-	if silent && a.server.node.Guard().Draining() {
-		a.server.node.Event(now, timeline.Event{Kind: timeline.UpstreamLeft, Upstream: a.server.cfg.NodeID, Detail: "as planned"})
+	if expired && a.server.node.Guard().Draining() {
+		a.server.node.Event(now, timeline.Event{Kind: timeline.UpstreamLeft, Upstream: a.server.cfg.NodeID, Detail: "planned stop"})
 		return
 	}
-	if silent {
-		a.server.node.Event(now, timeline.Event{Kind: timeline.UpstreamLeft, Upstream: a.server.cfg.NodeID, Detail: "no announcement"})
+	if expired {
+		a.server.node.Event(now, timeline.Event{Kind: timeline.UpstreamLeft, Upstream: a.server.cfg.NodeID, Detail: "no announcement within timing.upstream_silence"})
 		a.server.node.UpstreamCrashed(now)
 	}
 }
 
-func (a *announcements) answer(w http.ResponseWriter) {
+func (a *announcementHandler) writeState(w http.ResponseWriter) {
 	g := a.server.node.Guard()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(upstreamState{Draining: g.Draining(), InFlight: g.Busy()})
--- a/internal/server/catalogue.go
+++ b/internal/server/catalogue.go
@@ -25,18 +25,18 @@
 	return list, nil
 }
 
-// ShowTemplate implements admin.Backend. Of older versions the node keeps the
-// revisions that instances use, without their versions; only the one in force
-// can be shown.
+// ShowTemplate implements admin.Backend. Only the version in force can be shown: of older
+// versions the node stores just the revisions that instances use, without their version
+// numbers.
 func (b *backend) ShowTemplate(_ context.Context, name string, version uint64) (*adminpb.ShowTemplateResponse, error) {
 	state := b.server.node.Policy()
 	t, ok := state.Template(name, 0)
 	if !ok {
-		return nil, admin.NotFound("template %s", name)
+		return nil, admin.NotFound("template %s does not exist", name)
 	}
 	inForce := uint64(state.TemplateVersion(name))
 	if version != 0 && version != inForce {
-		return nil, admin.NotFound("version %d of template %s; version %d is in force", version, name, inForce)
+		return nil, admin.NotFound("version %d of template %s is not available; version %d is in force", version, name, inForce)
 	}
 	doc, err := json.Marshal(t)
 	if err != nil {
@@ -50,7 +50,7 @@
 	state := b.server.node.Policy()
 	var list []*adminpb.InstanceSummary
 	for _, i := range state.Instances() {
-		if !accepts(workspace, i.Workspace) {
+		if !matches(workspace, i.Workspace) {
 			continue
 		}
 		list = append(list, &adminpb.InstanceSummary{
@@ -69,11 +69,11 @@
 	state := b.server.node.Policy()
 	inst, ok := findInstance(state, r.GetWorkspace(), r.GetService())
 	if !ok {
-		return nil, admin.NotFound("instance %s/%s", r.GetWorkspace(), r.GetService())
+		return nil, admin.NotFound("instance %s/%s does not exist", r.GetWorkspace(), r.GetService())
 	}
 	inForce := uint64(state.InstanceVersion(inst.Workspace, inst.Service))
 	if r.GetVersion() != 0 && r.GetVersion() != inForce {
-		return nil, admin.NotFound("version %d of instance %s/%s; version %d is in force",
+		return nil, admin.NotFound("version %d of instance %s/%s is not available; version %d is in force",
 			r.GetVersion(), inst.Workspace, inst.Service, inForce)
 	}
 	doc, err := json.Marshal(inst)
@@ -90,8 +90,8 @@
 	}, nil
 }
 
-// effectiveJSON writes the behaviour in force as the fields are written in
-// templates.
+// effectiveJSON returns the behaviour in force of an instance as JSON, with the field names
+// that templates use.
 func effectiveJSON(state *policy.State, inst policy.Instance) (string, error) {
 	eff, ok := state.Lookup(inst.Workspace, inst.Service)
 	if !ok {
--- a/internal/server/clients.go
+++ b/internal/server/clients.go
@@ -11,47 +11,50 @@
 )
 
 const (
-	// controlIdle bounds the age of an idle connection for control: a node
-	// probes six peers in turn, one a second, and keeps theirs open.
-	controlIdle = 15 * time.Second
+	// idleClientTimeout is how long a client may be unused before its connection is closed. A node
+	// probes six peers in turn, one a second, so it keeps the connections to these peers.
+	idleClientTimeout = 15 * time.Second
 )
 
-// controlClients keeps a client for each address. Control messages go over
-// cleartext HTTP/2, or HTTP/1.1 where nodes speak TLS. HTTP/2 keeps the headers
-// that repeat in a table, and a held question and a probe share a connection.
+// controlClients keeps one client for each peer address. Control messages use cleartext
+// HTTP/2, or HTTP/1.1 where nodes use TLS. HTTP/2 compresses repeated headers and lets a held
+// request and a probe share one connection.
 type controlClients struct {
 	peers *proxy.Peers
 
-	mu   sync.Mutex
-	byID map[string]*controlClient
-	// retired still had messages under way when they were dropped. They are
-	// closed once these have ended; nothing else would ever do so.
+	mu     sync.Mutex
+	byAddr map[string]*controlClient
+	// retired are the dropped clients, which may still have messages in flight. sweepLocked closes
+	// their connections after these have ended; nothing else does.
 	retired []*controlClient
 }
 
+// controlClient is the client for one peer address.
 type controlClient struct {
 	innerpbconnect.ControlClient
 	transport *http.Transport
-	used      time.Time
-	// answered is when an exchange over it last brought an answer.
-	answered time.Time
+	lastUsed  time.Time
+	// lastResponse is when an exchange over this client last got a response.
+	lastResponse time.Time
 }
 
 func newControlClients(peers *proxy.Peers) *controlClients {
-	return &controlClients{peers: peers, byID: make(map[string]*controlClient)}
+	return &controlClients{peers: peers, byAddr: make(map[string]*controlClient)}
 }
 
+// client returns the client for an address and creates it when there is none.
 func (c *controlClients) client(addr string) *controlClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	c.sweepLocked(now)
-	if got, ok := c.byID[addr]; ok {
-		got.used = now
-		return got
+	if client, ok := c.byAddr[addr]; ok {
+		client.lastUsed = now
+		return client
 	}
-	// The transport's own IdleConnTimeout counts from the making of an HTTP/2
-	// connection: past it every message would dial one that it then closes.
+	// The idle timeout of http.Transport counts from the creation of an HTTP/2 connection. After
+	// that time, every message would dial a connection and close it again. It is off here, and
+	// sweepLocked closes idle connections.
 	t := c.peers.ControlTransport()
 	t.IdleConnTimeout = 0
 	if c.peers.Scheme() == "http" {
@@ -59,64 +62,64 @@
 		t.Protocols.SetUnencryptedHTTP2(true)
 	}
 	base := c.peers.Scheme() + "://" + addr
-	got := &controlClient{ControlClient: inner.NewControlClient(&http.Client{Transport: t}, base), transport: t, used: now}
-	c.byID[addr] = got
-	return got
+	created := &controlClient{ControlClient: inner.NewControlClient(&http.Client{Transport: t}, base), transport: t, lastUsed: now}
+	c.byAddr[addr] = created
+	return created
 }
 
-// sweepLocked closes connections that were not used for a while; a question
-// that is held ends long before.
+// sweepLocked closes connections that were unused for longer than idleClientTimeout. A held
+// request ends long before that.
 func (c *controlClients) sweepLocked(now time.Time) {
-	for addr, got := range c.byID {
-		if now.Sub(got.used) > controlIdle {
+	for addr, got := range c.byAddr {
+		if now.Sub(got.lastUsed) > idleClientTimeout {
 			c.retireLocked(addr, got)
 		}
 	}
-	kept := c.retired[:0]
+	remaining := c.retired[:0]
 	for _, got := range c.retired {
 		got.transport.CloseIdleConnections()
-		if now.Sub(got.used) <= 2*controlIdle {
-			kept = append(kept, got)
+		if now.Sub(got.lastUsed) <= 2*idleClientTimeout {
+			remaining = append(remaining, got)
 		}
 	}
-	clear(c.retired[len(kept):])
-	c.retired = kept
+	clear(c.retired[len(remaining):])
+	c.retired = remaining
 }
 
-func (c *controlClients) retireLocked(addr string, got *controlClient) {
-	got.transport.CloseIdleConnections()
-	delete(c.byID, addr)
-	c.retired = append(c.retired, got)
+func (c *controlClients) retireLocked(addr string, client *controlClient) {
+	client.transport.CloseIdleConnections()
+	delete(c.byAddr, addr)
+	c.retired = append(c.retired, client)
 }
 
-// drop forgets the connection to an address on which an answer failed to come:
-// it may have gone silent for good while a new one works.
+// drop drops the client for an address after a request failed. Its connection may stay
+// unresponsive although a new one works.
 func (c *controlClients) drop(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if got, ok := c.byID[addr]; ok {
-		c.retireLocked(addr, got)
+	if client, ok := c.byAddr[addr]; ok {
+		c.retireLocked(addr, client)
 	}
 }
 
-// dropBefore forgets every connection that brought no answer since a moment. One
-// that goes silent is rarely alone: what lost track of it, lost track of others.
-func (c *controlClients) dropBefore(at time.Time) {
+// dropUnresponsive drops every client that got no response since the given time. A device on
+// the path that loses the state of one connection usually loses that of other connections too.
+func (c *controlClients) dropUnresponsive(since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for addr, got := range c.byID {
-		if got.answered.Before(at) {
+	for addr, got := range c.byAddr {
+		if got.lastResponse.Before(since) {
 			c.retireLocked(addr, got)
 		}
 	}
 }
 
-// answer notes that a connection works.
-func (c *controlClients) answer(addr string) {
+// recordResponse records that the connection to an address works.
+func (c *controlClients) recordResponse(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if got, ok := c.byID[addr]; ok {
-		got.answered = time.Now()
+	if client, ok := c.byAddr[addr]; ok {
+		client.lastResponse = time.Now()
 	}
 }
 
@@ -128,12 +131,12 @@
 }
 
 func (c *controlClients) closeLocked() {
-	for _, got := range c.byID {
+	for _, got := range c.byAddr {
 		got.transport.CloseIdleConnections()
 	}
 	for _, got := range c.retired {
 		got.transport.CloseIdleConnections()
 	}
-	clear(c.byID)
+	clear(c.byAddr)
 	c.retired = nil
 }
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -18,15 +18,15 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// handOverAll moves every owned slot to the guards that take over after a
-// planned stop, so that no key is unknown to them. A guard that does not take
-// its share is left out, and the rest goes to the others.
+// handOverAll moves every owned slot to the guards that take over after a planned stop, so
+// that these guards know all keys. When a guard does not accept its slots, they are
+// distributed among the others.
 func (o *ownership) handOverAll(ctx context.Context) {
 	service := o.state.Local()
 	if service == "" {
 		return
 	}
-	live := identities(o.server.control.liveOf(service))
+	live := identities(o.server.control.liveMembersOf(service))
 	for ctx.Err() == nil {
 		moves := o.state.StopPlan(live)
 		if len(moves) == 0 {
@@ -38,12 +38,11 @@
 			}
 		}
 	}
-	o.awaitTaken(ctx)
+	o.awaitTakeovers(ctx)
 }
 
-// moveInSteps moves the slots without running calls at once, and the others a
-// few at a time: calls for a slot that moves wait for the slowest call that
-// still runs in its step.
+// moveInSteps moves all slots without running calls at once, and then the others a few at a
+// time: calls for a moving slot wait until the slowest running call of the same step ends.
 func (o *ownership) moveInSteps(ctx context.Context, m lease.MoveSlots) bool {
 	var idle, busy []int
 	for _, slot := range m.Slots {
@@ -53,7 +52,7 @@
 			idle = append(idle, slot)
 		}
 	}
-	steps := slices.Collect(slices.Chunk(busy, moveStep))
+	steps := slices.Collect(slices.Chunk(busy, slotsPerStep))
 	if len(idle) > 0 {
 		steps = append([][]int{idle}, steps...)
 	}
@@ -65,25 +64,25 @@
 	return true
 }
 
-// awaitTaken waits until the log shows the new owners. Were this guard's leave
-// record there first, any guard could take the slots, without their memory.
-func (o *ownership) awaitTaken(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, takenTimeout)
+// awaitTakeovers waits until the log contains the takeovers by the new owners. If the leave
+// record of this guard came first, any guard could take the slots without their keys.
+func (o *ownership) awaitTakeovers(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
 	for o.state.Holds() > 0 && ctx.Err() == nil {
-		wait.For(ctx, idleCheck)
+		wait.For(ctx, drainPollInterval)
 	}
 }
 
-// move hands slots with their memory to another guard and reports whether it
-// took them. One move is out at a time: two to the same guard could overtake
-// each other.
+// move hands slots with their keys over to another guard and reports whether the guard
+// accepted them. Only one move runs at a time, because two moves to the same guard could
+// arrive out of order.
 func (o *ownership) move(ctx context.Context, m lease.MoveSlots) bool {
-	o.moving.Lock()
-	defer o.moving.Unlock()
+	o.moveMu.Lock()
+	defer o.moveMu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
-	if resp, err := o.ask(ctx, m.Addr, nil); err != nil || !resp.GetEligible() {
+	if resp, err := o.sendPromiseRequest(ctx, m.Addr, nil); err != nil || !resp.GetEligible() {
 		return false
 	}
 	h := o.state.Release(o.server.node.Now(), m.Addr, m.Slots)
@@ -91,7 +90,7 @@
 		return true
 	}
 	if err := o.send(ctx, m, h); err != nil {
-		o.server.logger.Warn().Err(err).Str("to", m.To.Node).Msg("hand-over failed")
+		o.server.logger.Warn().Err(err).Str("to", m.To.Node).Msg("hand-over of slots to another guard failed; this guard claims the slots back")
 		if t, ok := o.state.Reclaim(o.server.node.Now()); ok {
 			o.appendTakeover(ctx, t.Record)
 		}
@@ -101,20 +100,20 @@
 	return true
 }
 
-// send waits for the calls that run under the slots' keys, then sends the keys
-// in parts and the slots with the last.
+// send waits for the running calls with keys of the slots. It then sends the keys in parts,
+// and the slots with the last part.
 func (o *ownership) send(ctx context.Context, m lease.MoveSlots, h lease.HandOver) error {
 	match := o.state.InSlots(m.Slots)
 	guard := o.server.node.Guard()
 	for guard.KeysBusy(match) > 0 {
 		if ctx.Err() != nil {
-			return errors.Wrap(ctx.Err(), "calls still run")
+			return errors.Wrap(ctx.Err(), "calls with keys of the slots are still running")
 		}
-		wait.For(ctx, idleCheck)
+		wait.For(ctx, drainPollInterval)
 	}
 	entries := guard.ExportKeys(o.server.node.Now(), match)
 	for part := uint32(0); ; part++ {
-		n := min(len(entries), partEntries)
+		n := min(len(entries), maxPartEntries)
 		req := &innerpb.HandOverRequest{
 			From:    control.Ref(o.server.control.self()),
 			Service: &innerpb.ServiceRef{Service: o.state.Local()},
@@ -125,12 +124,12 @@
 		if req.Last {
 			req.Slots = encodeSlots(h.Slots)
 		}
-		resp, err := o.control(m.Addr).HandOver(ctx, connect.NewRequest(req))
+		resp, err := o.client(m.Addr).HandOver(ctx, connect.NewRequest(req))
 		if err != nil {
-			return errors.Wrapf(err, "part %d", part)
+			return errors.Wrapf(err, "send part %d of the hand-over", part)
 		}
 		if !resp.Msg.GetAccepted() {
-			return errors.Errorf("part %d was refused: %s", part, resp.Msg.GetDetail())
+			return errors.Errorf("part %d of the hand-over was refused: %s", part, resp.Msg.GetDetail())
 		}
 		if req.Last {
 			return nil
@@ -139,10 +138,11 @@
 	}
 }
 
-// HandOver takes another guard's memory. A part that found no room spoils the
-// whole: its keys would be new here and could run again.
+// HandOver receives the keys and slots of another guard. When one part does not fit, the whole
+// hand-over is refused: the missing keys would count as new here, and their calls could run
+// again.
 func (o *ownership) HandOver(_ context.Context, req *connect.Request[innerpb.HandOverRequest]) (*connect.Response[innerpb.HandOverResponse], error) {
-	detail := o.take(control.IdentityOf(req.Msg.GetFrom()), req.Msg)
+	detail := o.acceptPart(control.IdentityOf(req.Msg.GetFrom()), req.Msg)
 	return connect.NewResponse(&innerpb.HandOverResponse{
 		From:     control.Ref(o.server.control.self()),
 		Accepted: detail == "",
@@ -150,7 +150,9 @@
 	}), nil
 }
 
-func (o *ownership) take(from membership.Identity, req *innerpb.HandOverRequest) (refused string) {
+// acceptPart imports one part of a hand-over. It returns the reason for a refusal, or an empty
+// string.
+func (o *ownership) acceptPart(from membership.Identity, req *innerpb.HandOverRequest) (refusal string) {
 	now := o.server.node.Now()
 	service := o.state.Local()
 	if service == "" || req.GetService().GetService() != service {
@@ -164,10 +166,10 @@
 	if !complete {
 		o.incomplete[from] = true
 	}
-	spoilt := o.incomplete[from]
+	isIncomplete := o.incomplete[from]
 	o.mu.Unlock()
-	if spoilt {
-		return "no room for all keys"
+	if isIncomplete {
+		return "the key table has no room for all keys"
 	}
 	if !req.GetLast() {
 		return ""
@@ -175,7 +177,7 @@
 	if !o.state.Imported(now, lease.HandOver{From: from, Slots: decodeSlots(req.GetSlots())}) {
 		return "this guard may not take slots yet"
 	}
-	o.planSoon()
+	o.requestPlan()
 	return ""
 }
 
@@ -250,13 +252,14 @@
 			AnswerAge: time.Duration(k.GetAnswerAgeUs()) * time.Microsecond,
 		}
 		if k.GetHasAnswer() {
-			out[i].Answer = decodeKept(k)
+			out[i].Answer = decodeResponse(k)
 		}
 	}
 	return out
 }
 
-func decodeKept(k *innerpb.KeyEntry) *idempotency.Response {
+// decodeResponse returns the stored response of a key.
+func decodeResponse(k *innerpb.KeyEntry) *idempotency.Response {
 	header := make(map[string][]string, len(k.GetHeader()))
 	for _, f := range k.GetHeader() {
 		header[f.GetName()] = append(header[f.GetName()], f.GetValue())
--- a/internal/server/ownership.go
+++ b/internal/server/ownership.go
@@ -21,38 +21,38 @@
 )
 
 const (
-	// planPeriod is how often ownership is planned: promises last seconds.
+	// planPeriod is how often ownership is planned. Promises are valid for seconds.
 	planPeriod = 250 * time.Millisecond
-	// introducePeriod is how often a guard that may not take slots yet asks
-	// the others how far they have read.
-	introducePeriod = time.Second
-	// promiseTimeout bounds a question: an answer later is worth little.
+	// headExchangePeriod is how often a guard that may not take slots yet exchanges heads of the
+	// log with the other guards.
+	headExchangePeriod = time.Second
+	// promiseTimeout bounds a promise request: a promise that arrives later is valid only briefly.
 	promiseTimeout = time.Second
-	// moveTimeout bounds one move of slots, the calls that run included.
+	// moveTimeout bounds one move of slots, including the wait for running calls.
 	moveTimeout = 15 * time.Second
-	// partEntries bounds the keys of one part of a hand-over, so that a part
-	// stays far below the bound of a control message.
-	partEntries = 200
-	// moveStep is how many slots move at a time in a planned stop.
-	moveStep = 4
-	// takenTimeout bounds the wait for the new owners' records.
-	takenTimeout = 3 * time.Second
+	// maxPartEntries bounds the keys in one part of a hand-over, so that a part stays far below
+	// the size limit of a control message.
+	maxPartEntries = 200
+	// slotsPerStep is how many slots with running calls move at a time in a planned stop.
+	slotsPerStep = 4
+	// takeoverTimeout bounds the wait for the takeover records of the new owners.
+	takeoverTimeout = 3 * time.Second
 )
 
-// ownership drives control.Ownership: it appends takeovers, asks for promises and
-// moves slots.
+// ownership carries out the actions of control.Ownership: it appends takeovers, requests
+// promises and moves slots.
 type ownership struct {
-	server *Server
-	state  *control.Ownership
-	kick   chan struct{}
+	server  *Server
+	state   *control.Ownership
+	planNow chan struct{}
 
-	moving sync.Mutex // held for one move of slots
+	moveMu sync.Mutex // held during a move of slots
 
-	mu         sync.Mutex
-	introduced time.Time
-	// lapsed is how many slots had no authority when last looked at.
+	mu               sync.Mutex
+	lastHeadExchange time.Time
+	// lapsed is the number of slots without authority at the last check.
 	lapsed int
-	// importing holds the parts of hand-overs that are not complete.
+	// incomplete contains the guards whose current hand-over has a part that did not fit.
 	incomplete map[membership.Identity]bool
 }
 
@@ -62,7 +62,7 @@
 	return &ownership{
 		server:     s,
 		state:      control.NewOwnership(cfg, id),
-		kick:       make(chan struct{}, 1),
+		planNow:    make(chan struct{}, 1),
 		incomplete: make(map[membership.Identity]bool),
 	}
 }
@@ -76,18 +76,18 @@
 			return
 		case now := <-t.C:
 			o.plan(ctx, now)
-			o.watch(now)
-		case <-o.kick:
+			o.checkAuthority(now)
+		case <-o.planNow:
 			o.plan(ctx, o.server.node.Now())
 		}
 	}
 }
 
-// planSoon plans at once: slots were handed to this guard and have no owner
-// that starts calls.
-func (o *ownership) planSoon() {
+// requestPlan triggers planning at once. It is called after slots were handed over to this
+// guard, because no guard starts calls for them until this guard has taken them.
+func (o *ownership) requestPlan() {
 	select {
-	case o.kick <- struct{}{}:
+	case o.planNow <- struct{}{}:
 	default:
 	}
 }
@@ -97,19 +97,19 @@
 	if service == "" || o.server.node.Guard().Draining() {
 		return
 	}
-	live := o.server.control.liveOf(service)
+	live := o.server.control.liveMembersOf(service)
 	for _, action := range o.state.Plan(now, identities(live)) {
-		o.server.loop(func() { o.perform(ctx, action) })
+		o.server.spawn(func() { o.perform(ctx, action) })
 	}
-	if o.introductionDue(now) {
-		o.server.loop(func() { o.introduce(ctx, live) })
+	if o.headExchangeDue(now) {
+		o.server.spawn(func() { o.exchangeHeads(ctx, live) })
 	}
 }
 
 func (o *ownership) perform(ctx context.Context, action lease.Action) {
 	switch a := action.(type) {
 	case lease.AskPromise:
-		o.askPromise(ctx, a)
+		o.requestPromise(ctx, a)
 	case lease.AppendTakeover:
 		o.appendTakeover(ctx, a.Record)
 	case lease.MoveSlots:
@@ -117,9 +117,9 @@
 	}
 }
 
-// appendTakeover appends the same record until it was read back or provably
-// never comes: a takeover in doubt may be in the log, and forgetting it would
-// let this guard promise what it has broken.
+// appendTakeover appends the same record until it was read back or is certain not to be in the
+// log. A takeover with an unknown outcome may be in the log; if it were dropped, this guard
+// could promise not to take slots that it has taken.
 func (o *ownership) appendTakeover(ctx context.Context, t lease.Takeover) {
 	body, err := json.Marshal(t)
 	if err != nil {
@@ -143,25 +143,26 @@
 	}
 }
 
-// OwnersSettled reports whether every slot of the local service has an owner
-// and this node is none of those that wait for theirs.
+// OwnersSettled reports whether every slot of the local service has an owner and this node may
+// start calls for the slots that it owns.
 func (s *Server) OwnersSettled() bool {
-	return s.own.state.Settled(s.node.Now())
+	return s.ownership.state.Settled(s.node.Now())
 }
 
-func (o *ownership) control(addr string) *controlClient {
+func (o *ownership) client(addr string) *controlClient {
 	return o.server.control.clients.client(addr)
 }
 
-// ask sends a question about slots; none of them only exchanges heads.
-func (o *ownership) ask(ctx context.Context, addr string, slots []int) (*innerpb.PromiseResponse, error) {
+// sendPromiseRequest sends a promise request for the slots. Without slots, it only exchanges
+// heads of the log.
+func (o *ownership) sendPromiseRequest(ctx context.Context, addr string, slots []int) (*innerpb.PromiseResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
 	head, proven := o.state.Head()
-	resp, err := o.control(addr).Promise(ctx, connect.NewRequest(&innerpb.PromiseRequest{
+	resp, err := o.client(addr).Promise(ctx, connect.NewRequest(&innerpb.PromiseRequest{
 		Owner:     control.Ref(o.server.control.self()),
 		Service:   &innerpb.ServiceRef{Service: o.state.Local()},
-		Slots:     slotNumbers(slots),
+		Slots:     encodeSlotNumbers(slots),
 		ProofHead: head,
 		Proven:    proven,
 	}))
@@ -174,42 +175,42 @@
 	return resp.Msg, nil
 }
 
-func (o *ownership) askPromise(ctx context.Context, a lease.AskPromise) {
-	resp, err := o.ask(ctx, a.Addr, a.Slots)
+func (o *ownership) requestPromise(ctx context.Context, a lease.AskPromise) {
+	resp, err := o.sendPromiseRequest(ctx, a.Addr, a.Slots)
 	if err != nil || !resp.GetGranted() {
 		return
 	}
 	o.state.Promised(a.At, control.IdentityOf(resp.GetFrom()), a.Addr)
 }
 
-func (o *ownership) introductionDue(now time.Time) bool {
+func (o *ownership) headExchangeDue(now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if now.Sub(o.introduced) < introducePeriod || o.state.Eligible(now) {
+	if now.Sub(o.lastHeadExchange) < headExchangePeriod || o.state.Eligible(now) {
 		return false
 	}
-	o.introduced = now
+	o.lastHeadExchange = now
 	return true
 }
 
-// introduce tells the other guards how far this one has read and learns how
-// far they have: only then may it take slots that have had an owner.
-func (o *ownership) introduce(ctx context.Context, live []membership.Member) {
+// exchangeHeads exchanges heads of the log with the other guards. This guard may take slots
+// that had an owner only once it knows how far the others have read.
+func (o *ownership) exchangeHeads(ctx context.Context, live []membership.Member) {
 	for _, m := range live {
 		if m.Node != o.server.cfg.NodeID {
-			_, _ = o.ask(ctx, m.InnerAddr, nil)
+			_, _ = o.sendPromiseRequest(ctx, m.InnerAddr, nil)
 		}
 	}
 }
 
-// Promise answers another guard; see lease.Lessor.OnPromiseRequest.
+// Promise handles the promise request of another guard; see lease.Lessor.OnPromiseRequest.
 func (o *ownership) Promise(_ context.Context, req *connect.Request[innerpb.PromiseRequest]) (*connect.Response[innerpb.PromiseResponse], error) {
 	from := control.IdentityOf(req.Msg.GetOwner())
 	now := o.server.node.Now()
 	if req.Msg.GetProven() {
 		o.state.ObservePeerHead(from, req.Msg.GetProofHead())
 	}
-	slots := slotInts(req.Msg.GetSlots())
+	slots := decodeSlotNumbers(req.Msg.GetSlots())
 	granted := len(slots) > 0 && o.state.Promise(now, req.Msg.GetService().GetService(), from, slots)
 	o.countPromise(len(slots) > 0, granted)
 	head, proven := o.state.Head()
--- a/internal/server/plane_test.go
+++ b/internal/server/plane_test.go
@@ -21,39 +21,43 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// gate is a node's way to the log, which can be shut for that node alone.
-type gate struct {
+// gatedLog is the log as one node sees it. It can be made unavailable for that node alone.
+type gatedLog struct {
 	logstore.Log
-	shut atomic.Bool
+	unavailable atomic.Bool
 }
 
-func (g *gate) Read(ctx context.Context, from int64, max int, hold time.Duration) (logstore.Page, error) {
-	if g.shut.Load() {
+// Read implements logstore.Log.
+func (g *gatedLog) Read(ctx context.Context, from int64, max int, hold time.Duration) (logstore.Page, error) {
+	if g.unavailable.Load() {
 		return logstore.Page{}, logstore.ErrUnavailable
 	}
 	page, err := g.Log.Read(ctx, from, max, hold)
-	if g.shut.Load() {
+	if g.unavailable.Load() {
 		return logstore.Page{}, logstore.ErrUnavailable
 	}
 	return page, err
 }
 
-func (g *gate) Append(ctx context.Context, records []logstore.Record) (int64, error) {
-	if g.shut.Load() {
+// Append implements logstore.Log.
+func (g *gatedLog) Append(ctx context.Context, records []logstore.Record) (int64, error) {
+	if g.unavailable.Load() {
 		return 0, logstore.ErrUnavailable
 	}
 	return g.Log.Append(ctx, records)
 }
 
-type planeCase struct {
+// planeCluster is a set of nodes in several zones that use one log.
+type planeCluster struct {
 	t     *testing.T
 	log   *logd.Server
-	gates []*gate
+	logs  []*gatedLog
 	nodes []*server.Server
 }
 
-func newPlaneCase(t *testing.T, zones ...string) *planeCase {
-	p := &planeCase{t: t, log: logd.New(logd.Options{})}
+// newPlaneCluster starts one node for each entry of zones and waits until all are members.
+func newPlaneCluster(t *testing.T, zones ...string) *planeCluster {
+	p := &planeCluster{t: t, log: logd.New(logd.Options{})}
 	p.publish("first")
 	for _, zone := range zones {
 		p.start(zone, p.log)
@@ -62,7 +66,7 @@
 	return p
 }
 
-func (p *planeCase) start(zone string, log logstore.Log, seeds ...string) *server.Server {
+func (p *planeCluster) start(zone string, log logstore.Log, seeds ...string) *server.Server {
 	cfg := settings.Defaults()
 	cfg.NodeID = fmt.Sprintf("n%d", len(p.nodes))
 	cfg.Region, cfg.Zone, cfg.SeedPeers = "r", zone, seeds
@@ -71,11 +75,11 @@
 	cfg.Admin.Address = "127.0.0.1:0"
 	cfg.Timing.UpstreamSilence = settings.Duration(time.Hour)
 	cfg.Timing.DrainNotice = settings.Duration(time.Millisecond)
-	g := &gate{Log: log}
-	s, err := server.Start(cfg, server.Options{Log: g, Logger: zerolog.Nop()})
+	gated := &gatedLog{Log: log}
+	s, err := server.Start(cfg, server.Options{Log: gated, Logger: zerolog.Nop()})
 	must.NoError(p.t, err)
 	p.t.Cleanup(s.Kill)
-	p.gates, p.nodes = append(p.gates, g), append(p.nodes, s)
+	p.logs, p.nodes = append(p.logs, gated), append(p.nodes, s)
 	_, exit, _, _ := s.Addresses()
 	body := strings.NewReader(`{"service":"letters","address":"127.0.0.1:9","slots":4}`)
 	req, err := http.NewRequest(http.MethodPut, "http://"+exit+"/v1/upstream", body)
@@ -87,7 +91,8 @@
 	return s
 }
 
-func (p *planeCase) publish(id string) policy.Version {
+// publish appends a template publication to the log and returns its version.
+func (p *planeCluster) publish(id string) policy.Version {
 	t := policy.Library()[0]
 	t.Name = "t-" + id
 	pub := policy.Publication{ID: id, Author: "op", Template: &t}
@@ -98,12 +103,12 @@
 	return policy.Version(at + 1)
 }
 
-// await waits until ok holds for all nodes; the bound only ends a failed test.
-func (p *planeCase) await(what string, ok func(*server.Server) bool) {
+// await waits until the condition holds for all nodes. The timeout only ends a failed test.
+func (p *planeCluster) await(what string, condition func(*server.Server) bool) {
 	p.t.Helper()
 	all := func() bool {
 		for _, s := range p.nodes {
-			if !ok(s) {
+			if !condition(s) {
 				return false
 			}
 		}
@@ -112,20 +117,21 @@
 	must.Wait(p.t, wait.InitialSuccess(wait.BoolFunc(all), wait.Timeout(time.Minute), wait.Gap(5*time.Millisecond)), must.Sprint(what))
 }
 
-// Guards against a zone without the log that misses a change its peers have.
-func TestZoneCutFromLogFollowsPeers(t *testing.T) {
+// Guards against a zone that misses a change while none of its nodes can reach the log. The
+// nodes must receive the change from peers of another zone.
+func TestZoneWithoutLogReceivesChangesFromPeers(t *testing.T) {
 	checkLeaks(t)
-	p := newPlaneCase(t, "a", "a", "b", "b")
-	p.gates[2].shut.Store(true)
-	p.gates[3].shut.Store(true)
+	p := newPlaneCluster(t, "a", "a", "b", "b")
+	p.logs[2].unavailable.Store(true)
+	p.logs[3].unavailable.Store(true)
 	version := p.publish("second")
 	p.await("configuration", func(s *server.Server) bool { return s.Node().Policy().Version() >= version })
 }
 
-// Guards against a replaced VM that can't join its peers while the log is out.
-func TestServerStartsFromSeedPeerWithLogOut(t *testing.T) {
+// Guards against a replacement VM that cannot join its peers while the log is unavailable.
+func TestServerStartsFromSeedPeerDuringLogOutage(t *testing.T) {
 	checkLeaks(t)
-	p := newPlaneCase(t, "a", "a", "b")
+	p := newPlaneCluster(t, "a", "a", "b")
 	p.log.Update(func(k *logd.Knobs) { k.Outage = true })
 	before := p.log.Appends()
 	_, _, seed, _ := p.nodes[0].Addresses()
@@ -138,28 +144,28 @@
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return p.log.Appends() > before }), wait.Timeout(time.Minute)))
 }
 
-// Guards against work sent to a stopping node during an outage of the log.
-func TestDrainSpreadsWithLogOut(t *testing.T) {
+// Guards against calls routed to a stopping node during an outage of the log.
+func TestDrainReachesPeersDuringLogOutage(t *testing.T) {
 	checkLeaks(t)
-	p := newPlaneCase(t, "a", "a", "a")
+	p := newPlaneCluster(t, "a", "a", "a")
 	p.log.Update(func(k *logd.Knobs) { k.Outage = true })
 	p.nodes[1].BeginDrain()
 	p.await("drain", func(s *server.Server) bool { return len(s.LiveMembers()) == 2 })
 	must.Zero(t, p.nodes[1].Shutdown(t.Context()))
 }
 
-// A VM dies without a word. The others leave it out and its record goes.
-// Cause: nobody announces a crash.
+// Guards against a crashed node that remains a member. It announces nothing; the other nodes
+// detect the crash and remove its member record.
 func TestKilledServerIsEvicted(t *testing.T) {
 	checkLeaks(t)
-	p := newPlaneCase(t, "a", "a", "a", "b")
+	p := newPlaneCluster(t, "a", "a", "a", "b")
 	p.nodes[2].Kill()
 	p.nodes = append(p.nodes[:2], p.nodes[3])
 	p.await("evicted", func(s *server.Server) bool { return len(s.LiveMembers()) == 3 })
 }
 
-// checkLeaks fails the test when goroutines outlive its nodes. Cleanups run in
-// reverse, so it comes before the first node.
+// checkLeaks fails the test when goroutines are left after its nodes have stopped. Call it
+// before the first node starts, because cleanups run in reverse order.
 func checkLeaks(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,5 @@
-// Package server runs one node as a process does: listeners, timers, the
-// reader of the log and the planned stop. Decisions are in package node.
+// Package server runs one node in a process: it owns the listeners, timers and the reader of
+// the log, and implements the planned stop. The decisions on calls are made in package node.
 package server
 
 import (
@@ -31,22 +31,23 @@
 )
 
 const (
-	// guardTick is how often waits are checked for expiry: a tenth of the
+	// guardTick is how often the guard checks its waiting calls for expiry: a tenth of the
 	// shortest useful wait.
 	guardTick = 10 * time.Millisecond
-	// headerTimeout bounds the time in which a request's header must arrive.
+	// headerTimeout bounds the time in which the header of a request must arrive.
 	headerTimeout = 10 * time.Second
-	// timerSample takes one duration in so many of those on a call's path.
+	// timerSample is the sampling of durations on the path of a call: one in timerSample is
+	// measured.
 	timerSample = 8
 )
 
-// Options are what a test or demo puts in place of the platform.
+// Options replace parts of the environment in tests and demos.
 type Options struct {
-	// Log stands in for the log service; nil means the client of settings.
+	// Log replaces the log service; nil means a client of the log in the settings.
 	Log logstore.Log
-	// Dial makes connections to other nodes; nil means TCP.
+	// Dial opens connections to other nodes; nil means TCP.
 	Dial proxy.DialFunc
-	// Logger receives JSON lines.
+	// Logger receives the log lines of the node.
 	Logger zerolog.Logger
 	// Observer may be nil.
 	Observer node.Observer
@@ -54,36 +55,36 @@
 	BeforeRun func(context.Context) error
 }
 
-// Server is a running node. Make it with Start.
+// Server is a running node. Create it with Start.
 type Server struct {
-	cfg      *settings.Node
-	log      logstore.Log
-	appender *logstore.Appender
-	logger   zerolog.Logger
-	node     *node.Node
-	proxy    *proxy.Proxy
-	peers    *proxy.Peers
-	upstream *proxy.Upstream
-	control  *controlLoop
-	own      *ownership
-	announce *announcements
-	backend  *backend
-	metrics  *metrics.Set
-	tokens   *admin.Tokens
+	cfg       *settings.Node
+	log       logstore.Log
+	appender  *logstore.Appender
+	logger    zerolog.Logger
+	node      *node.Node
+	proxy     *proxy.Proxy
+	peers     *proxy.Peers
+	upstream  *proxy.Upstream
+	control   *controlLoop
+	ownership *ownership
+	announce  *announcementHandler
+	backend   *backend
+	metrics   *metrics.Set
+	tokens    *admin.Tokens
 
 	listeners   listeners
 	servers     []*http.Server
 	followers   followers
-	connections connections
+	connections connectionCounter
 	certs       certificates
-	// innerServer is the one of servers that other nodes call.
+	// innerServer is the server for other nodes; it is one of servers.
 	innerServer *http.Server
-	// stopping is closed when the listeners close, so that streams end.
-	stopping chan struct{}
-	stopOnce sync.Once
-	stop     context.CancelFunc
-	loops    sync.WaitGroup
-	// handedOver is closed once owned keys have gone to other guards.
+	// stopping is closed when the listeners close, and ends open streams.
+	stopping   chan struct{}
+	stopOnce   sync.Once
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
+	// handedOver is closed once the hand-over of the owned slots has ended.
 	handedOver chan struct{}
 	drainOnce  sync.Once
 }
@@ -97,9 +98,8 @@
 // Now implements node.Clock.
 func (systemClock) Now() time.Time { return time.Now() }
 
-// Start opens the listeners of a node and begins to serve. The settings must
-// be valid; port 0 lets the system choose, and the addresses are then those
-// that Addresses returns.
+// Start opens the listeners of a node and starts to serve. The settings must be valid. With
+// port 0 the system selects the port; Addresses returns the addresses in use.
 func Start(cfg *settings.Node, opts Options) (*Server, error) {
 	s := &Server{
 		cfg:        cfg,
@@ -132,8 +132,8 @@
 	return s, nil
 }
 
-// appendsPerSecond is a node's share of what the log takes, several hundred appends a
-// second, in a deployment of some twenty nodes.
+// appendsPerSecond is this node's share of the several hundred appends a second that the log
+// accepts, in a deployment of some twenty nodes.
 const appendsPerSecond = 15
 
 func (s *Server) appenderConfig() logstore.AppenderConfig {
@@ -169,7 +169,7 @@
 		}
 		*l.into = opened
 	}
-	s.listeners.callers = s.limitCallers(s.listeners.callers)
+	s.listeners.callers = s.limitCallerConnections(s.listeners.callers)
 	return nil
 }
 
@@ -194,13 +194,13 @@
 	s.upstream = proxy.NewUpstream(s.control)
 	s.upstream.BeforeRun = opts.BeforeRun
 	id := s.identity()
-	s.own = newOwnership(s, id)
+	s.ownership = newOwnership(s, id)
 	s.node = node.New(node.Config{
 		Identity:       id,
 		Clock:          systemClock{},
 		Runner:         s.upstream,
 		Authority:      authority{s},
-		Owners:         s.own.state,
+		Owners:         s.ownership.state,
 		Ring:           timeline.NewRing(s.cfg.NodeID, s.cfg.Limits.TimelineEvents, &timeline.Clock{}),
 		Routing:        routing.DefaultConfig(),
 		Retry:          retry.DefaultPolicy(),
@@ -209,8 +209,8 @@
 		Seed:           newSeed(),
 		Sample:         s.cfg.Limits.TimelineSample,
 		Observer:       opts.Observer,
-		OnCrash:        s.crashed,
-		OnCrashRecords: func([]quarantine.CrashRecord) { s.control.kickSoon() },
+		OnCrash:        s.onUpstreamCrash,
+		OnCrashRecords: func([]quarantine.CrashRecord) { s.control.requestTick() },
 		MaxQueue:       s.cfg.Limits.Queue,
 		MaxBody:        int64(s.cfg.Limits.BodyBytes),
 		Metrics:        s.metrics,
@@ -219,23 +219,24 @@
 	s.peers.Bind(s.node)
 	s.upstream.Bind(s.node)
 	s.proxy = proxy.New(s.node, s.peers, s.upstream)
-	s.announce = &announcements{server: s}
-	s.control.bind()
+	s.announce = &announcementHandler{server: s}
+	s.control.createPlane()
 	s.backend = newBackend(s)
 	s.proxy.SetLimits(proxy.Limits{Calls: int64(s.cfg.Limits.CallsInFlight), HeldBytes: int64(s.cfg.Limits.HeldBytes)})
 	s.watchBounds()
 }
 
-// crashed notes that the upstream's process died: its announcement counts
-// anew, and what it ran is suspect.
-func (s *Server) crashed() {
-	s.announce.crashed()
-	s.control.kickSoon()
+// onUpstreamCrash handles a crash of the upstream's process. The next announcement puts the
+// upstream into service again, and the crash records of the calls that were running are sent
+// to the peers.
+func (s *Server) onUpstreamCrash() {
+	s.announce.markDown()
+	s.control.requestTick()
 }
 
-// Evicted is closed when the log says that this node is gone though it runs:
-// it has to stop and start again.
-func (s *Server) Evicted() <-chan struct{} { return s.control.gone }
+// Evicted returns a channel that is closed when the log shows that this running node is no
+// longer a member. The process must then stop and start again.
+func (s *Server) Evicted() <-chan struct{} { return s.control.evicted }
 
 func (s *Server) identity() node.Identity {
 	return node.Identity{
@@ -248,7 +249,8 @@
 	}
 }
 
-// innerAddr is the advertised address, unless the system chose the port.
+// innerAddr returns the advertised address, or the address of the listener when the system
+// selected the port.
 func (s *Server) innerAddr() string {
 	if _, port, _ := net.SplitHostPort(s.cfg.Inner.Advertised); port == "0" || port == "" {
 		return s.listeners.inner.Addr().String()
@@ -270,7 +272,7 @@
 	innerMux := http.NewServeMux()
 	innerMux.Handle(proxy.CallPath, s.proxy.CallHandler())
 	innerMux.Handle(inner.NewControlHandler(service{control: s.control}))
-	s.opsHandler(innerMux)
+	s.registerPeerHandlers(innerMux)
 	exitMux := http.NewServeMux()
 	exitMux.Handle("/v1/upstream", s.announce)
 	exitMux.Handle("/", s.proxy.ExitHandler())
@@ -278,12 +280,12 @@
 	s.serve(s.listeners.exit, exitMux, nil)
 	s.serve(s.listeners.inner, innerMux, s.certs.inner)
 	s.serve(s.listeners.admin, s.adminHandler(), s.certs.admin)
-	s.loop(func() { s.appender.Run(ctx) })
-	s.loop(func() { s.control.read(ctx) })
-	s.loop(func() { s.control.exchange(ctx) })
-	s.loop(func() { s.control.tick(ctx) })
-	s.loop(func() { s.tick(ctx) })
-	s.loop(func() { s.own.run(ctx) })
+	s.spawn(func() { s.appender.Run(ctx) })
+	s.spawn(func() { s.control.read(ctx) })
+	s.spawn(func() { s.control.exchange(ctx) })
+	s.spawn(func() { s.control.tick(ctx) })
+	s.spawn(func() { s.tick(ctx) })
+	s.spawn(func() { s.ownership.run(ctx) })
 	s.node.Event(s.node.Now(), timeline.Event{Kind: timeline.NodeStarted})
 }
 
@@ -292,7 +294,7 @@
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    s.cfg.Limits.HeaderBytes,
-		ErrorLog:          log.New(errorLines{s.logger}, "", 0),
+		ErrorLog:          log.New(errorLogWriter{s.logger}, "", 0),
 	}
 	if l == s.listeners.inner {
 		srv.Protocols = new(http.Protocols)
@@ -301,13 +303,14 @@
 		s.innerServer = srv
 	}
 	s.servers = append(s.servers, srv)
-	s.loop(func() { _ = serveOn(srv, l, files) })
+	s.spawn(func() { _ = serveOn(srv, l, files) })
 }
 
-func (s *Server) loop(f func()) {
-	s.loops.Add(1)
+// spawn runs f in a goroutine that Shutdown and Kill wait for.
+func (s *Server) spawn(f func()) {
+	s.goroutines.Add(1)
 	go func() {
-		defer s.loops.Done()
+		defer s.goroutines.Done()
 		f()
 	}()
 }
@@ -321,7 +324,7 @@
 			return
 		case now := <-t.C:
 			s.node.Guard().Tick(now)
-			s.announce.check(now)
+			s.announce.checkExpiry(now)
 		}
 	}
 }
@@ -332,7 +335,7 @@
 	return l.callers.Addr().String(), l.exit.Addr().String(), l.inner.Addr().String(), l.admin.Addr().String()
 }
 
-// Node returns the node's decisions.
+// Node returns the part of the node that makes the decisions on calls.
 func (s *Server) Node() *node.Node { return s.node }
 
 func (s *Server) member() membership.Member {
--- a/internal/server/stats.go
+++ b/internal/server/stats.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// ControlStats counts since the start what a node's control plane sent.
+// ControlStats counts the messages and log requests that the control plane of a node sent
+// since the start.
 type ControlStats struct {
 	Exchanges, Probes, Gossips, Fetches uint64
-	// Reads and Appends count requests to the log, failed ones included.
+	// Reads and Appends count requests to the log, including failed ones.
 	Reads, Appends uint64
-	// HeadAge is the present age of the newest proof of the log's head; 0
-	// before the first.
+	// HeadAge is the present age of the newest head observation; 0 before the first.
 	HeadAge time.Duration
 }
 
 type controlCounters struct {
-	exchanges, probes, spreads, fetches, reads atomic.Uint64
+	exchanges, probes, gossips, fetches, reads atomic.Uint64
 }
 
-// ControlStats returns the counters.
+// ControlStats returns the counters of the control plane.
 func (s *Server) ControlStats() ControlStats {
 	n := &s.control.counters
 	s.control.mu.Lock()
@@ -31,7 +31,7 @@
 	return ControlStats{
 		Exchanges: n.exchanges.Load(),
 		Probes:    n.probes.Load(),
-		Gossips:   n.spreads.Load(),
+		Gossips:   n.gossips.Load(),
 		Fetches:   n.fetches.Load(),
 		Reads:     n.reads.Load(),
 		Appends:   uint64(s.appender.Stats().Appends),
