--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -1,4 +1,4 @@
-// Package conns has what the listeners and dialers of the other packages share.
+// Package conns provides connection wrappers and dialer options that several packages share.
 package conns
 
 import (
@@ -8,26 +8,27 @@
 	"syscall"
 )
 
-// OnClose returns c so that its first Close calls done before c is closed.
-// Close may be called from several goroutines, and more than once.
-func OnClose(c net.Conn, done func()) net.Conn {
-	return &closing{Conn: c, done: sync.OnceFunc(done)}
+// OnClose returns a connection that wraps c. Its first Close calls onClose before it closes c.
+// Close is safe for concurrent use and may be called more than once.
+func OnClose(c net.Conn, onClose func()) net.Conn {
+	return &closeHookConn{Conn: c, onClose: sync.OnceFunc(onClose)}
 }
 
-type closing struct {
+// closeHookConn is a net.Conn that calls onClose when it is closed.
+type closeHookConn struct {
 	net.Conn
-	done func()
+	onClose func()
 }
 
 // Close implements net.Conn.
-func (c *closing) Close() error {
-	c.done()
+func (c *closeHookConn) Close() error {
+	c.onClose()
 	return c.Conn.Close()
 }
 
-// SyscallConn implements syscall.Conn where the wrapped connection does, so that
-// a look at the socket still finds what its other end did.
-func (c *closing) SyscallConn() (syscall.RawConn, error) {
+// SyscallConn implements syscall.Conn if the wrapped connection does; otherwise it returns
+// errors.ErrUnsupported. Callers use it to inspect the socket, for example for a close by the peer.
+func (c *closeHookConn) SyscallConn() (syscall.RawConn, error) {
 	if sc, ok := c.Conn.(syscall.Conn); ok {
 		return sc.SyscallConn()
 	}
--- a/internal/conns/conns_test.go
+++ b/internal/conns/conns_test.go
@@ -7,16 +7,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// A transport closes a broken connection twice. Were both counted, a node would
-// take fewer connections for open than there are, and go beyond its bound.
-func TestCloseIsCountedOnce(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
+// Guards against a connection that is subtracted twice from the number of open connections, so
+// that a node exceeds its connection limit. A transport closes a broken connection twice.
+func TestRepeatedCloseIsCountedOnce(t *testing.T) {
+	conn, peer := net.Pipe()
+	defer peer.Close()
 	open := 1
-	c := OnClose(near, func() { open-- })
+	c := OnClose(conn, func() { open-- })
 	must.NoError(t, c.Close())
 	_ = c.Close()
 	must.Eq(t, 0, open)
-	_, err := near.Write([]byte("x"))
+	_, err := conn.Write([]byte("x"))
 	must.ErrorContains(t, err, "closed")
 }
--- a/internal/conns/silence_test.go
+++ b/internal/conns/keepalive_test.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A path goes silent under a request. The kernel has to end the connection after
-// the bound; without the options it would wait for many minutes.
-func TestDetectSilenceSetsBothBounds(t *testing.T) {
+// Guards against a request that waits for many minutes on a broken path. The kernel closes the
+// connection after the timeout only if both TCP_USER_TIMEOUT and keep-alive are set.
+func TestKeepAliveAndUserTimeoutAreSet(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
@@ -31,5 +31,5 @@
 	}
 	must.EqOp(t, 900, option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT))
 	must.EqOp(t, 1, option(unix.SOL_SOCKET, unix.SO_KEEPALIVE))
-	must.EqOp(t, probes, option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT))
+	must.EqOp(t, maxProbes, option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT))
 }
