--- a/internal/h1/conn.go
+++ b/internal/h1/conn.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	// bufferBytes of each direction: most heads and bodies of a few KB fit, and
-	// a thousand connections hold 8 MB.
+	// bufferBytes is the buffer size per direction. Most headers and bodies of a few KB fit, and 1000
+	// connections use 8 MB.
 	bufferBytes = 4 << 10
-	// inlineBody is the largest body that is written before the answer is read.
-	// A server may answer before it has read a longer one; who only writes then
-	// would wait for a reader that waits for nothing more. 16 KB is what Linux gives
-	// a fresh socket to send from, so writing less doesn't wait for the reader.
-	inlineBody = 16 << 10
-	// bodyGrace is how long the rest of a long body may still be written after
-	// its answer came. A connection with a body written in part is closed: the
-	// next request's bytes would be taken for the rest of it.
+	// maxInlineBody is the largest body that is written before the response is read. A server may
+	// respond before it has read a longer body and then stop reading; a client that only writes would
+	// block. 16 KB is the initial send buffer of a socket on Linux, so a smaller write does not block
+	// on the reader.
+	maxInlineBody = 16 << 10
+	// bodyGrace bounds the time for writing the rest of a long body after its response arrived.
+	// A connection with a partially written body is closed, because the server would read the next
+	// request as the rest of that body.
 	bodyGrace = 50 * time.Millisecond
-	// maxSkipped bounds the late answers of earlier requests that are skipped.
-	// A server that answers twice leaves one behind each request.
-	maxSkipped = 4
-	// statedShare of the idle time that a server states is used, so that no
-	// request crosses its close.
-	statedShare = 0.75
-	// unstated is the idle time of a server that states none: above every bound that
-	// a pool sets, which then decides.
-	unstated = time.Hour
+	// maxSkippedResponses bounds the late responses to earlier requests that are skipped. A server
+	// that responds twice leaves one response behind per request.
+	maxSkippedResponses = 4
+	// keepAliveShare is the used share of the idle time that a server states in Keep-Alive, so that
+	// no request is sent while the server closes the connection.
+	keepAliveShare = 0.75
+	// noKeepAliveTimeout is the idle time assumed if the server states none. It is longer than every
+	// Config.Idle, so that Config.Idle applies.
+	noKeepAliveTimeout = time.Hour
 )
 
-// conn is one connection; it carries one request at a time.
+// conn is one connection. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader     *bufio.Reader
 	generation uint64
 	used       bool
-	// stated is how long the server keeps the connection without use.
-	stated time.Duration
-	// expires is when an idle connection isn't used any more.
+	// keepAlive is the idle time stated by the server, multiplied by keepAliveShare.
+	keepAlive time.Duration
+	// expires is the time from which an idle connection is no longer used.
 	expires time.Time
 }
 
@@ -54,15 +54,15 @@
 var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferBytes) }}
 
 func newConn(raw net.Conn, generation uint64) *conn {
-	return &conn{Conn: raw, generation: generation, stated: unstated}
+	return &conn{Conn: raw, generation: generation, keepAlive: noKeepAliveTimeout}
 }
 
 func (c *conn) close() { _ = c.Conn.Close() }
 
-// usable reports whether an idle connection may carry a request: its time is
-// not up, and the server has neither closed it nor sent bytes that nobody asked
-// for. Without the look at the socket a request would be sent into a connection
-// that its server has closed, and a call that is not idempotent would be lost.
+// usable reports whether an idle connection can carry a request: it has not expired, and its
+// socket shows neither a close by the server nor unexpected data. Without the check of the socket,
+// a request could be sent on a connection that the server has closed, and a call that is not
+// idempotent would be lost.
 func (c *conn) usable(now time.Time) bool {
 	if !now.Before(c.expires) {
 		return false
@@ -78,31 +78,31 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		noData = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
-// exchange sends r and reads its answer. reusable says that the connection may
-// carry another request.
-func (c *conn) exchange(ctx context.Context, r *Request, maxBody int64) (answer *Response, reusable bool, err error) {
-	fresh := !c.used
+// exchange sends r and reads its response. reusable reports whether the connection can carry
+// another request. If ctx ends first, the connection is closed.
+func (c *conn) exchange(ctx context.Context, r *Request, maxBody int64) (resp *Response, reusable bool, err error) {
+	newConnection := !c.used
 	c.used = true
 	stop := context.AfterFunc(ctx, c.close)
-	answer, reusable, err = c.sendAndRead(r, maxBody)
+	resp, reusable, err = c.sendAndRead(r, maxBody)
 	if !stop() {
 		reusable = false
 	}
-	var failed *Error
-	if errors.As(err, &failed) {
-		failed.Fresh = fresh
+	var exchangeErr *Error
+	if errors.As(err, &exchangeErr) {
+		exchangeErr.NewConnection = newConnection
 	}
-	return answer, reusable, err
+	return resp, reusable, err
 }
 
 func (c *conn) sendAndRead(r *Request, maxBody int64) (*Response, bool, error) {
@@ -113,28 +113,29 @@
 		readers.Put(c.reader)
 		c.reader = nil
 	}()
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBody {
 		if err := c.send(r); err != nil {
-			return c.rejected(r, maxBody, err)
+			return c.readEarlyResponse(r, maxBody, err)
 		}
-		return c.read(r, maxBody)
+		return c.readResponse(r, maxBody)
 	}
 	sent := make(chan error, 1)
 	go func() { sent <- c.send(r) }()
-	answer, reusable, err := c.read(r, maxBody)
-	return answer, c.bodySent(sent) && reusable, err
+	resp, reusable, err := c.readResponse(r, maxBody)
+	return resp, c.bodySent(sent) && reusable, err
 }
 
-// rejected looks for the answer of a server that closed its side before it had
-// read the whole request.
-func (c *conn) rejected(r *Request, maxBody int64, sendErr error) (*Response, bool, error) {
-	if answer, _, err := c.read(r, maxBody); err == nil {
-		return answer, false, nil
+// readEarlyResponse reads the response of a server that closed its side before it read the whole
+// request. If there is none, it returns sendErr with StageSend.
+func (c *conn) readEarlyResponse(r *Request, maxBody int64, sendErr error) (*Response, bool, error) {
+	if resp, _, err := c.readResponse(r, maxBody); err == nil {
+		return resp, false, nil
 	}
 	return nil, false, &Error{Stage: StageSend, Cause: sendErr}
 }
 
-// bodySent reports whether a long body was written to its end.
+// bodySent reports whether a long body was written completely. After bodyGrace it closes the
+// connection and returns false.
 func (c *conn) bodySent(sent <-chan error) bool {
 	timer := time.NewTimer(bodyGrace)
 	defer timer.Stop()
@@ -161,25 +162,25 @@
 	return w.Flush()
 }
 
-// read takes answers until one is the request's own. An earlier request's
-// answer can arrive late, where this one's is due.
-func (c *conn) read(r *Request, maxBody int64) (*Response, bool, error) {
-	for skipped := range maxSkipped + 1 {
-		answer, reusable, err := c.readOne(r, maxBody)
+// readResponse reads responses until one belongs to the request. A late response to an earlier
+// request can arrive first.
+func (c *conn) readResponse(r *Request, maxBody int64) (*Response, bool, error) {
+	for skipped := range maxSkippedResponses + 1 {
+		resp, reusable, err := c.readOne(r, maxBody)
 		if err != nil && skipped > 0 {
 			return nil, false, &Error{Stage: StageMismatch, Cause: err}
 		}
 		if err != nil {
 			return nil, false, err
 		}
-		if r.Matches == nil || r.Matches(answer.Header) {
-			return answer, reusable && c.reader.Buffered() == 0, nil
+		if r.Matches == nil || r.Matches(resp.Header) {
+			return resp, reusable && c.reader.Buffered() == 0, nil
 		}
 		if !reusable {
 			break
 		}
 	}
-	return nil, false, &Error{Stage: StageMismatch, Cause: errors.New("no answer of this request came")}
+	return nil, false, &Error{Stage: StageMismatch, Cause: errors.New("received only responses to other requests")}
 }
 
 func (c *conn) readOne(r *Request, maxBody int64) (*Response, bool, error) {
@@ -193,15 +194,15 @@
 			return nil, false, err
 		}
 	}
-	c.noteKeepAlive(resp.Header)
+	c.updateKeepAlive(resp.Header)
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, !resp.Close, nil
 }
 
-// readHead skips informational answers.
+// readHead reads a response header. It skips informational (1xx) responses.
 func (c *conn) readHead(r *Request) (*http.Response, error) {
-	asked := &http.Request{Method: r.Method}
+	req := &http.Request{Method: r.Method}
 	for {
-		resp, err := http.ReadResponse(c.reader, asked)
+		resp, err := http.ReadResponse(c.reader, req)
 		if err != nil {
 			return nil, err
 		}
@@ -209,7 +210,7 @@
 			return resp, nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("the server switched protocols unasked")
+			return nil, errors.New("server switched protocols without a request to do so")
 		}
 	}
 }
@@ -217,7 +218,7 @@
 func readBody(resp *http.Response, maxBody int64) ([]byte, error) {
 	defer resp.Body.Close()
 	if resp.ContentLength > maxBody {
-		return nil, &Error{Stage: StageTooLarge, Cause: errors.New("announced length " + strconv.FormatInt(resp.ContentLength, 10))}
+		return nil, &Error{Stage: StageTooLarge, Cause: errors.New("Content-Length is " + strconv.FormatInt(resp.ContentLength, 10))}
 	}
 	if resp.ContentLength >= 0 {
 		body := make([]byte, resp.ContentLength)
@@ -231,20 +232,20 @@
 		return nil, &Error{Stage: StageBody, Cause: err}
 	}
 	if int64(len(body)) > maxBody {
-		return nil, &Error{Stage: StageTooLarge, Cause: errors.New("body without announced length")}
+		return nil, &Error{Stage: StageTooLarge, Cause: errors.New("body without Content-Length exceeds the limit")}
 	}
 	return body, nil
 }
 
-// noteKeepAlive takes the idle time that the server states.
-func (c *conn) noteKeepAlive(h http.Header) {
+// updateKeepAlive stores the idle time that the server states in its Keep-Alive header.
+func (c *conn) updateKeepAlive(h http.Header) {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
-			c.stated = time.Duration(float64(seconds) * statedShare * float64(time.Second))
+			c.keepAlive = time.Duration(float64(seconds) * keepAliveShare * float64(time.Second))
 		}
 	}
 }
--- a/internal/h1/doc.go
+++ b/internal/h1/doc.go
@@ -1,5 +1,4 @@
-// Package h1 sends single requests over kept HTTP/1.1 connections. It differs
-// from http.Transport in what an overload control layer has to know: whether a
-// request can have reached its server, whose answer came back, and whether the
-// connection may carry another request. It never repeats a request by itself.
+// Package h1 sends single requests over pooled HTTP/1.1 connections. Unlike http.Transport, it
+// reports whether a request can have reached its server, checks that a response belongs to the
+// request, and tracks whether the connection can be reused. It never retries a request.
 package h1
--- a/internal/h1/error.go
+++ b/internal/h1/error.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// Stage is how far an exchange came before it failed.
+// Stage is the step at which an exchange failed.
 type Stage int
 
 const (
-	// StageConnect: no connection was made, and nothing was sent.
+	// StageConnect: no connection was established, and nothing was sent.
 	StageConnect Stage = iota
-	// StageSend: part of the request was sent; it may have run.
+	// StageSend: part of the request was sent. The server may have run it.
 	StageSend
-	// StageHead: the request was sent, and no head of an answer came.
+	// StageHead: the request was sent, and no response header was received.
 	StageHead
-	// StageBody: the answer ended before its announced end.
+	// StageBody: the response body ended early.
 	StageBody
-	// StageTooLarge: the answer exceeds the bound of its body.
+	// StageTooLarge: the response body exceeds its size limit.
 	StageTooLarge
-	// StageMismatch: the answers that came belong to other requests.
+	// StageMismatch: only responses to other requests were received.
 	StageMismatch
 )
 
-var stageNames = [...]string{"connect", "send", "read head", "read body", "body too large", "answer of another request"}
+var stageNames = [...]string{"connect", "send", "read head", "read body", "body too large", "response to another request"}
 
-// String returns what was done when it failed.
+// String returns the name of the step that failed.
 func (s Stage) String() string {
 	if int(s) < len(stageNames) {
 		return stageNames[s]
@@ -30,13 +30,13 @@
 	return "unknown"
 }
 
-// Error is a failed exchange.
+// Error describes a failed exchange.
 type Error struct {
 	Stage Stage
 	Cause error
-	// Fresh says that the connection carried no request before this one. A
-	// kept one may have been closed by its server at that very moment.
-	Fresh bool
+	// NewConnection reports that the connection carried no request before this one. A reused
+	// connection may have been closed by its server while the request was sent.
+	NewConnection bool
 }
 
 // Error implements error.
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -8,69 +8,68 @@
 	"time"
 )
 
-// DialFunc makes a connection.
+// DialFunc establishes a connection.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Config says how a pool makes and keeps connections.
+// Config contains the options of a Pool.
 type Config struct {
-	// Dial makes connections; it bounds its own time.
+	// Dial establishes connections. It enforces its own timeout.
 	Dial DialFunc
-	// Idle is how long an unused connection is kept; a shorter time that the
-	// server states in Keep-Alive goes first. 0 keeps none.
+	// Idle is how long an unused connection stays open. A shorter time stated by the server in
+	// Keep-Alive takes precedence. 0 disables reuse.
 	Idle time.Duration
-	// MaxIdleConns bounds the idle connections.
+	// MaxIdleConns is the maximum number of idle connections.
 	MaxIdleConns int
-	// RoundRobin uses the connection next that was idle for longest, so that all stay in
-	// use. Otherwise the one used last goes first, and what a low load doesn't need is
-	// closed after Idle.
+	// RoundRobin selects the connection that has been idle longest, so that all connections stay in
+	// use. Otherwise the most recently used connection is selected, and connections that a low load
+	// does not need are closed after Idle.
 	RoundRobin bool
-	// MaxBody bounds an answer's body in bytes where the request sets no bound.
+	// MaxBody is the maximum size of a response body in bytes for requests that set none.
 	MaxBody int64
 }
 
-// Pool sends requests to one address. Safe for concurrent use.
+// Pool sends requests to one address over reused connections. It is safe for concurrent use.
 type Pool struct {
 	cfg  Config
 	addr string
 
 	mu     sync.Mutex
-	idle   []*conn // the one idle for longest is first
+	idle   []*conn // sorted by idle time, longest first
 	closed bool
-	// generation counts the calls of Reset: a connection made before the last
-	// one isn't kept.
+	// generation counts the calls of Reset. A connection of an earlier generation is not reused.
 	generation uint64
 }
 
-// NewPool makes a pool without connections.
+// NewPool returns a pool without connections.
 func NewPool(addr string, cfg Config) *Pool { return &Pool{cfg: cfg, addr: addr} }
 
-// Addr returns where the pool sends.
+// Addr returns the address of the server.
 func (p *Pool) Addr() string { return p.addr }
 
-// Response is a complete answer.
+// Response is a complete HTTP response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Request is what Do sends.
+// Request is an HTTP request for Pool.Do.
 type Request struct {
-	// Method, Target (path and query) and Host form the request line and Host.
+	// Method, Target (path and query) and Host are written to the request line and the Host header.
 	Method, Target, Host string
 	Header               http.Header
 	Body                 []byte
-	// MaxBody bounds the answer's body in bytes; 0 leaves it to the pool.
+	// MaxBody is the maximum size of the response body in bytes; 0 uses Config.MaxBody.
 	MaxBody int64
-	// Matches reports whether an answer belongs to this request; nil takes every
-	// one. Answers that don't belong are skipped, at most maxSkipped.
+	// Matches reports whether a response belongs to this request; nil accepts every response. At
+	// most maxSkippedResponses other responses are skipped.
 	Matches func(http.Header) bool
 }
 
-// Do sends a request and reads its whole answer. When ctx ends first the
-// connection is closed, which tells the server. Every error is an *Error.
+// Do sends a request and reads the whole response. If ctx ends first, the connection is closed,
+// which notifies the server. Every error is an *Error.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
-	c, err := p.take(ctx)
+	c, err := p.acquire(ctx)
 	if err != nil {
 		return nil, &Error{Stage: StageConnect, Cause: err}
 	}
@@ -78,17 +77,17 @@
 	if r.MaxBody > 0 {
 		maxBody = r.MaxBody
 	}
-	answer, reusable, err := c.exchange(ctx, r, maxBody)
+	resp, reusable, err := c.exchange(ctx, r, maxBody)
 	if err != nil || !reusable {
 		c.close()
-		return answer, err
+		return resp, err
 	}
-	p.put(c)
-	return answer, nil
+	p.release(c)
+	return resp, nil
 }
 
-// take returns a kept connection that still looks sound, or a new one.
-func (p *Pool) take(ctx context.Context) (*conn, error) {
+// acquire returns an idle connection that is usable, or a new one.
+func (p *Pool) acquire(ctx context.Context) (*conn, error) {
 	for {
 		c := p.pop()
 		if c == nil {
@@ -131,19 +130,19 @@
 	return newConn(raw, generation), nil
 }
 
-// SetMaxIdleConns bounds the idle connections from now on; those above it are closed as
-// others are kept.
-func (p *Pool) SetMaxIdleConns(kept int) {
+// SetMaxIdleConns changes the maximum number of idle connections. Excess connections are closed
+// when the next connection is released.
+func (p *Pool) SetMaxIdleConns(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cfg.MaxIdleConns = kept
+	p.cfg.MaxIdleConns = limit
 }
 
-// put keeps a connection, and closes those that were idle for too long: the
-// oldest lie at the front.
-func (p *Pool) put(c *conn) {
+// release adds a connection to the idle ones and closes the expired and excess ones, which are at
+// the front of the list.
+func (p *Pool) release(c *conn) {
 	now := time.Now()
-	c.expires = now.Add(min(p.cfg.Idle, c.stated))
+	c.expires = now.Add(min(p.cfg.Idle, c.keepAlive))
 	p.mu.Lock()
 	var stale []*conn
 	for len(p.idle) > 0 && (len(p.idle) > p.cfg.MaxIdleConns || !now.Before(p.idle[0].expires)) {
@@ -163,8 +162,8 @@
 	}
 }
 
-// Reset closes the idle connections and keeps none of those in use: one of
-// them was found silent, and the others may have been forgotten with it.
+// Reset closes the idle connections and prevents the reuse of those in use. It is called after one
+// connection became unresponsive, since the path may have lost the state of the others as well.
 func (p *Pool) Reset() {
 	p.mu.Lock()
 	idle := p.idle
@@ -176,7 +175,7 @@
 	}
 }
 
-// Close closes the idle connections; those in use close after their answer.
+// Close closes the idle connections. Connections in use are closed after their response.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/h1/pool_test.go
+++ b/internal/h1/pool_test.go
@@ -17,11 +17,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// script serves each accepted connection by the function at its turn; the last
-// one serves all later connections.
-type script func(c net.Conn, r *bufio.Reader)
+// connHandler serves one accepted connection. The n-th connection is served by the n-th handler,
+// later ones by the last handler.
+type connHandler func(c net.Conn, r *bufio.Reader)
 
-func serve(t *testing.T, scripts ...script) (addr string, accepted *atomic.Int64) {
+func serve(t *testing.T, handlers ...connHandler) (addr string, accepted *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	accepted = new(atomic.Int64)
@@ -34,10 +34,10 @@
 				return
 			}
 			n := accepted.Add(1)
-			s := scripts[min(int(n), len(scripts))-1]
+			handle := handlers[min(int(n), len(handlers))-1]
 			go func() {
 				defer c.Close()
-				s(c, bufio.NewReader(c))
+				handle(c, bufio.NewReader(c))
 			}()
 		}
 	}()
@@ -48,54 +48,54 @@
 	return l.Addr().String(), accepted
 }
 
-func pool(t *testing.T, addr string) *Pool {
+func newTestPool(t *testing.T, addr string) *Pool {
 	p := NewPool(addr, Config{Dial: (&net.Dialer{Timeout: time.Second}).DialContext, Idle: time.Minute, MaxIdleConns: 4, MaxBody: 1 << 20})
 	t.Cleanup(p.Close)
 	return p
 }
 
-func request(id string) *Request {
+func newRequest(id string) *Request {
 	return &Request{
 		Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"Id": {id}},
 		Matches: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
-// Guards against connections that expire in a low load and are all opened anew at the next rise.
-func TestConnectionsRoundRobinOutlastALowLoad(t *testing.T) {
+// Guards against connections that expire during low load and are all dialed again at the next peak.
+func TestRoundRobinKeepsConnectionsInUse(t *testing.T) {
 	for _, roundRobin := range []bool{true, false} {
 		addr, _ := serve(t, echo)
-		const most, idle = 8, time.Second
+		const maxConns, idle = 8, time.Second
 		dialled := 0
 		dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 			dialled++
 			return (&net.Dialer{Timeout: time.Second}).DialContext(ctx, network, addr)
 		}
-		p := NewPool(addr, Config{Dial: dial, Idle: idle, MaxIdleConns: most, MaxBody: 1 << 20, RoundRobin: roundRobin})
+		p := NewPool(addr, Config{Dial: dial, Idle: idle, MaxIdleConns: maxConns, MaxBody: 1 << 20, RoundRobin: roundRobin})
 		t.Cleanup(p.Close)
-		peak := func() {
+		useAllConns := func() {
 			var conns []*conn
-			for range most {
-				c, err := p.take(t.Context())
+			for range maxConns {
+				c, err := p.acquire(t.Context())
 				must.NoError(t, err)
 				conns = append(conns, c)
 			}
 			for _, c := range conns {
-				p.put(c)
+				p.release(c)
 			}
 		}
-		peak()
-		for begun := time.Now(); time.Since(begun) < 3*idle/2; time.Sleep(idle / (8 * most)) {
-			_, err := p.Do(t.Context(), request("a"))
+		useAllConns()
+		for begun := time.Now(); time.Since(begun) < 3*idle/2; time.Sleep(idle / (8 * maxConns)) {
+			_, err := p.Do(t.Context(), newRequest("a"))
 			must.NoError(t, err)
 		}
-		peak()
-		must.EqOp(t, roundRobin, dialled == most, must.Sprintf("%d dialled", dialled))
+		useAllConns()
+		must.EqOp(t, roundRobin, dialled == maxConns, must.Sprintf("%d dialled", dialled))
 	}
 }
 
-// take reads one request and returns its ID; empty at the end.
-func take(r *bufio.Reader) string {
+// readRequestID reads one request and returns its Id header; empty at the end of the connection.
+func readRequestID(r *bufio.Reader) string {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return ""
@@ -104,94 +104,94 @@
 	return req.Header.Get("Id")
 }
 
-func reply(c net.Conn, id, body, extra string) {
-	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n"+extra+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
+func writeResponse(c net.Conn, id, body, extraHeader string) {
+	_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n"+extraHeader+"Content-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
 
 func echo(c net.Conn, r *bufio.Reader) {
-	for id := take(r); id != ""; id = take(r) {
-		reply(c, id, "of "+id, "")
+	for id := readRequestID(r); id != ""; id = readRequestID(r) {
+		writeResponse(c, id, "of "+id, "")
 	}
 }
 
-func TestConnectionIsKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	addr, accepted := serve(t, echo)
-	p := pool(t, addr)
+	p := newTestPool(t, addr)
 	for _, id := range []string{"a", "b", "c"} {
-		got, err := p.Do(context.Background(), request(id))
+		got, err := p.Do(context.Background(), newRequest(id))
 		must.NoError(t, err)
 		must.EqOp(t, "of "+id, string(got.Body))
 	}
 	must.EqOp(t, 1, accepted.Load())
 }
 
-// Another bound comes into force while connections are kept: those above it are
-// closed with the next one that is kept, the one used last stays.
-func TestFewerConnectionsAreKept(t *testing.T) {
+// Guards against a lowered MaxIdleConns that does not apply to existing idle connections. Excess
+// ones are closed when the next connection is released; the most recently used one stays.
+func TestLowerMaxIdleConnsClosesConnections(t *testing.T) {
 	addr, accepted := serve(t, echo)
-	p := pool(t, addr)
-	var all sync.WaitGroup
+	p := newTestPool(t, addr)
+	var wg sync.WaitGroup
 	for i := range 4 {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			_, _ = p.Do(context.Background(), request(strconv.Itoa(i)))
+			defer wg.Done()
+			_, _ = p.Do(context.Background(), newRequest(strconv.Itoa(i)))
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 	p.SetMaxIdleConns(1)
 	for range 3 {
-		_, err := p.Do(context.Background(), request("x"))
+		_, err := p.Do(context.Background(), newRequest("x"))
 		must.NoError(t, err)
 	}
 	p.mu.Lock()
-	kept := len(p.idle)
+	idle := len(p.idle)
 	p.mu.Unlock()
-	must.EqOp(t, 1, kept)
+	must.EqOp(t, 1, idle)
 	must.LessEq(t, 4, int(accepted.Load()))
 }
 
-// Guards against a caller getting the repeated answer of another request.
-func TestLateAnswerOfAnotherRequestIsSkipped(t *testing.T) {
+// Guards against a caller that receives the duplicate response to another request.
+func TestLateResponseToAnotherRequestIsSkipped(t *testing.T) {
 	addr, _ := serve(t, func(c net.Conn, r *bufio.Reader) {
-		first := take(r)
-		reply(c, first, "of "+first, "")
-		second := take(r)
-		reply(c, first, "of "+first, "")
-		reply(c, second, "of "+second, "")
-		_ = take(r)
+		first := readRequestID(r)
+		writeResponse(c, first, "of "+first, "")
+		second := readRequestID(r)
+		writeResponse(c, first, "of "+first, "")
+		writeResponse(c, second, "of "+second, "")
+		_ = readRequestID(r)
 	})
-	p := pool(t, addr)
-	_, err := p.Do(context.Background(), request("a"))
+	p := newTestPool(t, addr)
+	_, err := p.Do(context.Background(), newRequest("a"))
 	must.NoError(t, err)
-	got, err := p.Do(context.Background(), request("b"))
+	got, err := p.Do(context.Background(), newRequest("b"))
 	must.NoError(t, err)
 	must.EqOp(t, "of b", string(got.Body))
 }
 
-// Only the answer of another request comes, and then the connection ends. No
-// answer may be made up from it.
-func TestForeignAnswerAlone(t *testing.T) {
+// Guards against the response to another request being returned as this one's. The server sends
+// only that response and closes the connection.
+func TestOnlyResponseToAnotherRequest(t *testing.T) {
 	addr, _ := serve(t, func(c net.Conn, r *bufio.Reader) {
-		_ = take(r)
-		reply(c, "z", "of z", "")
+		_ = readRequestID(r)
+		writeResponse(c, "z", "of z", "")
 	})
-	_, err := pool(t, addr).Do(context.Background(), request("a"))
-	stage(t, StageMismatch, err)
+	_, err := newTestPool(t, addr).Do(context.Background(), newRequest("a"))
+	requireStage(t, StageMismatch, err)
 }
 
-// Bytes follow a whole answer at once. The answer is good, and the connection
-// is not used again: the bytes belong to nobody.
-func TestExtraBytesEndTheConnection(t *testing.T) {
+// Guards against the reuse of a connection with extra bytes after a complete response. The response
+// is valid; the extra bytes belong to no request.
+func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	addr, accepted := serve(t, func(c net.Conn, r *bufio.Reader) {
-		id := take(r)
-		reply(c, id, "of "+id, "")
+		id := readRequestID(r)
+		writeResponse(c, id, "of "+id, "")
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nfoo")
-		_ = take(r)
+		_ = readRequestID(r)
 	}, echo)
-	p := pool(t, addr)
+	p := newTestPool(t, addr)
 	for _, id := range []string{"a", "b"} {
-		got, err := p.Do(context.Background(), request(id))
+		got, err := p.Do(context.Background(), newRequest(id))
 		must.NoError(t, err)
 		must.EqOp(t, "of "+id, string(got.Body))
 		time.Sleep(20 * time.Millisecond) // the extra bytes are in the socket now
@@ -199,135 +199,136 @@
 	must.EqOp(t, 2, accepted.Load())
 }
 
-// An upstream closes a connection while it is idle. The next request must not go
-// into it: one that may run once only would be lost there.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+// Guards against a request on an idle connection that the upstream has closed. A request that may
+// run only once would be lost there.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	addr, accepted := serve(t, func(c net.Conn, r *bufio.Reader) {
-		id := take(r)
-		reply(c, id, "of "+id, "")
+		id := readRequestID(r)
+		writeResponse(c, id, "of "+id, "")
 	}, echo)
-	p := pool(t, addr)
-	_, err := p.Do(context.Background(), request("a"))
+	p := newTestPool(t, addr)
+	_, err := p.Do(context.Background(), newRequest("a"))
 	must.NoError(t, err)
 	time.Sleep(20 * time.Millisecond) // the close has arrived
-	_, err = p.Do(context.Background(), request("b"))
+	_, err = p.Do(context.Background(), newRequest("b"))
 	must.NoError(t, err)
 	must.EqOp(t, 2, accepted.Load())
 }
 
-// An answer without a length ends with its connection. One whose connection is
-// reset on the way is cut and must not pass for whole.
-func TestUnframedAnswer(t *testing.T) {
+// Guards against a truncated response that is returned as complete. A response without
+// Content-Length ends with its connection; after a reset of the connection it is incomplete.
+func TestResponseWithoutContentLength(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: a\r\n\r\n"
 	addr, _ := serve(t, func(c net.Conn, r *bufio.Reader) {
-		_ = take(r)
+		_ = readRequestID(r)
 		_, _ = io.WriteString(c, head+"whole")
 	}, func(c net.Conn, r *bufio.Reader) {
-		_ = take(r)
+		_ = readRequestID(r)
 		_, _ = io.WriteString(c, head+"cut")
 		time.Sleep(20 * time.Millisecond) // the bytes are read before the reset
 		_ = c.(*net.TCPConn).SetLinger(0)
 	})
-	p := pool(t, addr)
-	got, err := p.Do(context.Background(), request("a"))
+	p := newTestPool(t, addr)
+	got, err := p.Do(context.Background(), newRequest("a"))
 	must.NoError(t, err)
 	must.EqOp(t, "whole", string(got.Body))
-	_, err = p.Do(context.Background(), request("a"))
-	stage(t, StageBody, err)
+	_, err = p.Do(context.Background(), newRequest("a"))
+	requireStage(t, StageBody, err)
 }
 
-func TestAnswerShorterThanAnnounced(t *testing.T) {
+func TestResponseShorterThanContentLength(t *testing.T) {
 	addr, _ := serve(t, func(c net.Conn, r *bufio.Reader) {
-		_ = take(r)
+		_ = readRequestID(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 10\r\n\r\nabc")
 	})
-	_, err := pool(t, addr).Do(context.Background(), request("a"))
-	stage(t, StageBody, err)
+	_, err := newTestPool(t, addr).Do(context.Background(), newRequest("a"))
+	requireStage(t, StageBody, err)
 }
 
-// Guards against a request whose bytes are taken for the rest of an earlier body.
-func TestEarlyAnswerBeforeALongBody(t *testing.T) {
-	var second atomic.Bool
+// Guards against a server that reads a request as the rest of an earlier body. The server responds
+// before it has read the body, and the connection is then reused.
+func TestEarlyResponseToLongRequestBody(t *testing.T) {
+	var secondRequestRead atomic.Bool
 	addr, accepted := serve(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		reply(c, req.Header.Get("Id"), "early", "")
+		writeResponse(c, req.Header.Get("Id"), "early", "")
 		time.Sleep(4 * bodyGrace)
 		_, _ = io.Copy(io.Discard, req.Body)
-		second.Store(take(r) != "")
+		secondRequestRead.Store(readRequestID(r) != "")
 	}, echo)
-	p := pool(t, addr)
-	r := request("a")
+	p := newTestPool(t, addr)
+	r := newRequest("a")
 	r.Method = http.MethodPost
 	r.Body = []byte(strings.Repeat("x", 16<<20))
 	got, err := p.Do(context.Background(), r)
 	must.NoError(t, err)
 	must.EqOp(t, "early", string(got.Body))
-	_, err = p.Do(context.Background(), request("b"))
+	_, err = p.Do(context.Background(), newRequest("b"))
 	must.NoError(t, err)
 	must.EqOp(t, 2, accepted.Load())
-	must.False(t, second.Load())
+	must.False(t, secondRequestRead.Load())
 }
 
-// A caller leaves while its request runs. The connection is closed at once, by
-// which the upstream learns that nobody waits.
-func TestEndOfContextClosesTheConnection(t *testing.T) {
+// Guards against an upstream that continues to work for a caller that left. Closing the connection
+// at once notifies the upstream.
+func TestCanceledContextClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	addr, _ := serve(t, func(c net.Conn, r *bufio.Reader) {
-		_ = take(r)
-		_ = take(r)
+		_ = readRequestID(r)
+		_ = readRequestID(r)
 		close(closed)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := pool(t, addr).Do(ctx, request("a"))
-	stage(t, StageHead, err)
+	_, err := newTestPool(t, addr).Do(ctx, newRequest("a"))
+	requireStage(t, StageHead, err)
 	<-closed
 }
 
-func TestRefusedConnectionSentNothing(t *testing.T) {
+func TestRefusedConnectionFailsAtConnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	addr := l.Addr().String()
 	must.NoError(t, l.Close())
-	_, err = pool(t, addr).Do(context.Background(), request("a"))
-	stage(t, StageConnect, err)
+	_, err = newTestPool(t, addr).Do(context.Background(), newRequest("a"))
+	requireStage(t, StageConnect, err)
 }
 
-// A server states that it keeps idle connections for no time at all; using one
-// again would cross its close.
-func TestStatedIdleTime(t *testing.T) {
+// Guards against the reuse of a connection while the server closes it. The server states an idle
+// timeout of 0 in Keep-Alive.
+func TestKeepAliveTimeoutOfServerIsUsed(t *testing.T) {
 	addr, accepted := serve(t, func(c net.Conn, r *bufio.Reader) {
-		for id := take(r); id != ""; id = take(r) {
-			reply(c, id, "of "+id, "Keep-Alive: max=5, timeout=0\r\n")
+		for id := readRequestID(r); id != ""; id = readRequestID(r) {
+			writeResponse(c, id, "of "+id, "Keep-Alive: max=5, timeout=0\r\n")
 		}
 	})
-	p := pool(t, addr)
+	p := newTestPool(t, addr)
 	for _, id := range []string{"a", "b"} {
-		_, err := p.Do(context.Background(), request(id))
+		_, err := p.Do(context.Background(), newRequest(id))
 		must.NoError(t, err)
 	}
 	must.EqOp(t, 2, accepted.Load())
 }
 
-func TestHeadAnswerHasNoBody(t *testing.T) {
+func TestHeadResponseHasNoBody(t *testing.T) {
 	addr, _ := serve(t, func(c net.Conn, r *bufio.Reader) {
-		for take(r) != "" {
+		for readRequestID(r) != "" {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 10\r\n\r\n")
 		}
 	})
-	r := request("a")
+	r := newRequest("a")
 	r.Method = http.MethodHead
-	got, err := pool(t, addr).Do(context.Background(), r)
+	got, err := newTestPool(t, addr).Do(context.Background(), r)
 	must.NoError(t, err)
 	must.SliceEmpty(t, got.Body)
 }
 
-func stage(t *testing.T, want Stage, err error) {
+func requireStage(t *testing.T, want Stage, err error) {
 	t.Helper()
-	var failed *Error
-	must.True(t, errors.As(err, &failed), must.Sprintf("got %v", err))
-	must.EqOp(t, want, failed.Stage)
+	var exchangeErr *Error
+	must.True(t, errors.As(err, &exchangeErr), must.Sprintf("got %v", err))
+	must.EqOp(t, want, exchangeErr.Stage)
 }
--- a/internal/h1/write.go
+++ b/internal/h1/write.go
@@ -7,42 +7,46 @@
 	"strings"
 )
 
-// ownFields are written from the request itself, or belong to one connection.
-var ownFields = map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Connection": true, "Trailer": true}
+// reservedFields are header fields that are derived from the request or apply to one connection
+// only. They are not copied from Request.Header.
+var reservedFields = map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Connection": true, "Trailer": true}
 
-// lineBreaks must not get into a head: what follows one would be read as a field.
-var lineBreaks = strings.NewReplacer("\r", " ", "\n", " ")
+// lineBreakReplacer removes line breaks from header values. Text after a line break would be parsed
+// as another header field.
+var lineBreakReplacer = strings.NewReplacer("\r", " ", "\n", " ")
 
-// writeRequest writes a request whose length is known.
+// writeRequest writes a request with its body. The length of the body is known.
 func writeRequest(w *bufio.Writer, r *Request) error {
-	writeAll(w, r.Method, " ", lineBreaks.Replace(r.Target), " HTTP/1.1\r\nHost: ", lineBreaks.Replace(r.Host), "\r\n")
+	writeStrings(w, r.Method, " ", lineBreakReplacer.Replace(r.Target), " HTTP/1.1\r\nHost: ", lineBreakReplacer.Replace(r.Host), "\r\n")
 	for name, values := range r.Header {
-		if ownFields[name] {
+		if reservedFields[name] {
 			continue
 		}
 		for _, value := range values {
-			writeAll(w, name, ": ", lineBreaks.Replace(value), "\r\n")
+			writeStrings(w, name, ": ", lineBreakReplacer.Replace(value), "\r\n")
 		}
 	}
-	if len(r.Body) > 0 || bodyExpected(r.Method) {
+	if len(r.Body) > 0 || requiresContentLength(r.Method) {
 		var digits [20]byte
-		writeAll(w, "Content-Length: ")
+		writeStrings(w, "Content-Length: ")
 		_, _ = w.Write(strconv.AppendInt(digits[:0], int64(len(r.Body)), 10))
-		writeAll(w, "\r\n")
+		writeStrings(w, "\r\n")
 	}
-	writeAll(w, "\r\n")
+	writeStrings(w, "\r\n")
 	_, err := w.Write(r.Body)
 	return err
 }
 
-// writeAll writes texts; bufio.Writer keeps the first error for the next write.
-func writeAll(w *bufio.Writer, texts ...string) {
+// writeStrings writes strings. Errors are ignored here, since bufio.Writer returns its first error
+// from every later write.
+func writeStrings(w *bufio.Writer, texts ...string) {
 	for _, text := range texts {
 		_, _ = w.WriteString(text)
 	}
 }
 
-// bodyExpected reports whether a request of this method says that it has no body.
-func bodyExpected(method string) bool {
+// requiresContentLength reports whether a request of this method without a body has to state a
+// Content-Length of 0.
+func requiresContentLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/h1/write_test.go
+++ b/internal/h1/write_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func written(t *testing.T, r *Request) *http.Request {
+func writeAndParse(t *testing.T, r *Request) *http.Request {
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
 	must.NoError(t, writeRequest(w, r))
@@ -20,33 +20,34 @@
 	return got
 }
 
-func TestRequestIsReadAsItWasWritten(t *testing.T) {
-	got := written(t, &Request{Method: "PUT", Target: "/a/b?c=1", Host: "letters.example", Header: http.Header{"X-A": {"1", "2"}, "Accept": nil}, Body: []byte("body")})
+func TestWriteRequestRoundTrip(t *testing.T) {
+	got := writeAndParse(t, &Request{Method: "PUT", Target: "/a/b?c=1", Host: "letters.example", Header: http.Header{"X-A": {"1", "2"}, "Accept": nil}, Body: []byte("body")})
 	must.EqOp(t, "PUT", got.Method)
 	must.EqOp(t, "/a/b?c=1", got.RequestURI)
 	must.EqOp(t, "letters.example", got.Host)
 	must.Eq(t, http.Header{"X-A": {"1", "2"}, "Content-Length": {"4"}}, got.Header)
-	body, err := readSome(got)
+	body, err := readBodyText(got)
 	must.NoError(t, err)
 	must.EqOp(t, "body", body)
 }
 
-func readSome(r *http.Request) (string, error) {
+func readBodyText(r *http.Request) (string, error) {
 	var b bytes.Buffer
 	_, err := b.ReadFrom(r.Body)
 	return b.String(), err
 }
 
-// Guards against a request that waits for a body which never comes, and the reverse.
-func TestRequestWithoutABodySaysSo(t *testing.T) {
-	must.EqOp(t, 0, written(t, &Request{Method: "POST", Target: "/", Host: "h"}).ContentLength)
-	must.MapNotContainsKey(t, written(t, &Request{Method: "GET", Target: "/", Host: "h"}).Header, "Content-Length")
+// Guards against a server that waits for a body that is never sent, and against a Content-Length on
+// a GET request.
+func TestContentLengthOfEmptyBody(t *testing.T) {
+	must.EqOp(t, 0, writeAndParse(t, &Request{Method: "POST", Target: "/", Host: "h"}).ContentLength)
+	must.MapNotContainsKey(t, writeAndParse(t, &Request{Method: "GET", Target: "/", Host: "h"}).Header, "Content-Length")
 }
 
-// Guards against fields of a request that begin another field or another request.
-func TestLineBreaksStayInTheirField(t *testing.T) {
+// Guards against header values that inject another header field or another request.
+func TestLineBreaksCannotInjectFields(t *testing.T) {
 	header := http.Header{"X-A": {"1\r\nX-B: 2"}, "Content-Length": {"99"}, "Transfer-Encoding": {"chunked"}, "Connection": {"close"}}
-	got := written(t, &Request{Method: "GET", Target: "/x", Host: "h\r\nX-D: 4", Header: header})
+	got := writeAndParse(t, &Request{Method: "GET", Target: "/x", Host: "h\r\nX-D: 4", Header: header})
 	for _, name := range []string{"X-B", "X-D", "Connection"} {
 		must.EqOp(t, "", got.Header.Get(name), must.Sprint(name))
 	}
@@ -59,7 +60,7 @@
 	f.Add("POST", "/x\r\n\r\nGET /y HTTP/1.1", "h", "X-A", "1\r\n\r\n")
 	f.Fuzz(func(t *testing.T, method, target, host, name, value string) {
 		if strings.ContainsAny(method+name, "\r\n: ") || name == "" {
-			return // the parser of callers' requests lets none through
+			return // the parser of callers' requests rejects these
 		}
 		var out bytes.Buffer
 		w := bufio.NewWriter(&out)
