--- a/internal/inner/check.go
+++ b/internal/inner/check.go
@@ -8,28 +8,28 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// Bounds of the fields of a header. Lengths are in bytes.
+// Limits of the header fields. Lengths are in bytes.
 const (
 	MaxIDLen = 128
-	// MaxRequestIDLen is that of the IDs that callers and upstreams give.
+	// MaxRequestIDLen is the limit for request IDs, which callers and upstreams choose.
 	MaxRequestIDLen = callctx.MaxRequestIDLen
 	MaxNameLen      = 128
 	MaxKeyLen       = 256
 	MaxTraceLen     = 256
 	MaxDetailLen    = 512
 	MaxAddrLen      = 64
-	// MaxDepth bounds a chain on the wire. Planned chains are 10 deep; the
-	// template's own bound is lower.
+	// MaxDepth limits the call depth in a header. Call chains are up to 10 deep by design; the limit
+	// in a template is lower.
 	MaxDepth = 64
-	// MaxAllowance bounds the retries that one call may carry.
+	// MaxAllowance limits the retries that one call can carry.
 	MaxAllowance = 1 << 16
-	// MaxRemaining bounds the time left and the age of a root.
+	// MaxRemaining limits the remaining time of a call and the age of its root.
 	MaxRemaining = 24 * time.Hour
-	// MaxRetryAfter bounds the pause that an answer asks for.
+	// MaxRetryAfter limits the retry delay in a response.
 	MaxRetryAfter = time.Hour
 )
 
-// FieldError says which field of a header is out of bounds.
+// FieldError reports a field that is out of bounds, with its value and the limit.
 type FieldError struct {
 	Field string
 	Value string
@@ -46,7 +46,7 @@
 		return err
 	}
 	if h.Level >= callctx.Levels {
-		return outOf("level", uint64(h.Level), callctx.Levels-1)
+		return aboveMax("level", uint64(h.Level), callctx.Levels-1)
 	}
 	if err := checkMicros("remaining_us", h.RemainingUs, MaxRemaining); err != nil {
 		return err
@@ -55,10 +55,10 @@
 		return err
 	}
 	if h.Depth > MaxDepth {
-		return outOf("depth", uint64(h.Depth), MaxDepth)
+		return aboveMax("depth", uint64(h.Depth), MaxDepth)
 	}
 	if h.Allowance > MaxAllowance {
-		return outOf("allowance", uint64(h.Allowance), MaxAllowance)
+		return aboveMax("allowance", uint64(h.Allowance), MaxAllowance)
 	}
 	if h.KeyIssuedMs < 0 {
 		return &FieldError{"key_issued_ms", fmt.Sprint(h.KeyIssuedMs), "at least 0"}
@@ -98,11 +98,11 @@
 	if err := checkName("call_id", h.CallId, MaxIDLen, true); err != nil {
 		return err
 	}
-	if !knownCode(h.Code) {
+	if !codeInRange(h.Code) {
 		return &FieldError{"code", fmt.Sprint(h.Code), "between 1000 and 5999"}
 	}
 	if h.UnusedAllowance > MaxAllowance {
-		return outOf("unused_allowance", uint64(h.UnusedAllowance), MaxAllowance)
+		return aboveMax("unused_allowance", uint64(h.UnusedAllowance), MaxAllowance)
 	}
 	if err := checkText("detail", h.Detail, MaxDetailLen); err != nil {
 		return err
@@ -119,9 +119,9 @@
 	return checkName("load.incarnation", h.GetLoad().GetIncarnation(), MaxIDLen, false)
 }
 
-// knownCode accepts the whole range of numbers: a newer node may use a code
-// that this one lacks, and an undeclared code reads as outcome unknown.
-func knownCode(code uint32) bool {
+// codeInRange accepts the whole range of result codes. A newer node may send a code that this node
+// does not declare; an undeclared code is treated as an unknown outcome.
+func codeInRange(code uint32) bool {
 	return code >= uint32(result.OK) && code < 6000
 }
 
@@ -145,18 +145,18 @@
 	return checkBytes(field, s, bound, ' ')
 }
 
-func checkBytes(field, s string, bound int, lowest byte) error {
+func checkBytes(field, s string, bound int, minByte byte) error {
 	if len(s) > bound {
 		return &FieldError{field, fmt.Sprintf("%d bytes long", len(s)), fmt.Sprintf("at most %d", bound)}
 	}
 	for i := 0; i < len(s); i++ {
-		if s[i] < lowest || s[i] > '~' {
+		if s[i] < minByte || s[i] > '~' {
 			return &FieldError{field, fmt.Sprintf("%q", s), "printable ASCII"}
 		}
 	}
 	return nil
 }
 
-func outOf(field string, v, bound uint64) error {
+func aboveMax(field string, v, bound uint64) error {
 	return &FieldError{field, fmt.Sprint(v), fmt.Sprintf("at most %d", bound)}
 }
--- a/internal/inner/check_control.go
+++ b/internal/inner/check_control.go
@@ -9,26 +9,25 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Bounds of a control message's fields. MaxControlBytes bounds the whole.
+// Limits of the fields of a control message. MaxControlBytes limits the whole message.
 const (
-	// MaxListLen bounds a repeated field. An availability zone has about 412
-	// nodes at the planned size (14,000 over 34), so a list of all of them
-	// fits ten times over.
+	// MaxListLen limits the length of a repeated field. By design an availability zone has about 412
+	// nodes (14,000 nodes in 34 zones), so the limit allows 10 times a list of all of them.
 	MaxListLen = 4096
-	// MaxTextLen bounds a string field, in bytes.
+	// MaxTextLen limits a string field, in bytes.
 	MaxTextLen = 512
-	// MaxFieldValueLen bounds the value of a kept answer's header field.
+	// MaxFieldValueLen limits the value of a header field of a stored response, in bytes.
 	MaxFieldValueLen = 8192
-	// MaxSpan bounds a duration. Records may be kept for as long.
-	MaxSpan = 365 * 24 * time.Hour
+	// MaxDuration limits a duration. Records may be kept that long.
+	MaxDuration = 365 * 24 * time.Hour
 )
 
-// headerFieldValue is the one string that may exceed MaxTextLen.
+// headerFieldValue is the only string field that may exceed MaxTextLen.
 const headerFieldValue protoreflect.FullName = "galenagrade.inner.v1.HeaderField.value"
 
-// CheckMessage reports the first field of m that is out of bounds, as a
-// *FieldError. It walks the message by its descriptor, so that a new field
-// can't be forgotten; control messages come about once a second.
+// CheckMessage returns a *FieldError for the first field of m that is out of bounds; nil if there is
+// none. It iterates over the message descriptor, so that new fields are always checked. Control
+// messages arrive about once per second.
 func CheckMessage(m proto.Message) error {
 	return checkMessage(m.ProtoReflect(), "")
 }
@@ -65,7 +64,7 @@
 	case protoreflect.StringKind:
 		return checkLen(fd, len(v.String()), path)
 	case protoreflect.Int64Kind:
-		return checkSpan(fd, v.Int(), path)
+		return checkDuration(fd, v.Int(), path)
 	default:
 		return nil
 	}
@@ -82,11 +81,11 @@
 	return nil
 }
 
-// checkSpan bounds durations, which end in _us. A negative age would make
-// old updates look fresh, and the authority of an owner rests on ages.
-func checkSpan(fd protoreflect.FieldDescriptor, us int64, path string) error {
+// checkDuration checks durations, whose field names end in _us. A negative age would make old
+// updates look recent, and the authority of an owner depends on ages.
+func checkDuration(fd protoreflect.FieldDescriptor, us int64, path string) error {
 	if !strings.HasSuffix(string(fd.Name()), "_us") {
 		return nil
 	}
-	return checkMicros(path, us, MaxSpan)
+	return checkMicros(path, us, MaxDuration)
 }
--- a/internal/inner/codec.go
+++ b/internal/inner/codec.go
@@ -11,59 +11,59 @@
 )
 
 const (
-	// HeaderCall carries a CallHeader from an entry to a guard.
+	// HeaderCall is the header that carries a CallHeader from an entry node to a guard.
 	HeaderCall = "Galena-Inner-Call"
-	// HeaderAnswer carries an AnswerHeader back.
+	// HeaderAnswer is the header that carries an AnswerHeader back to the entry node.
 	HeaderAnswer = "Galena-Inner-Answer"
-	// MaxHeaderLen bounds the encoded form of either header, in bytes. A
-	// call with every name at its bound takes about a third of it.
+	// MaxHeaderLen limits the encoded length of either header, in bytes. A call with all names at
+	// their maximum length uses about a third of it.
 	MaxHeaderLen = 4096
 )
 
-// CallHeader is the context of one call between an entry and a guard.
+// CallHeader is the context of a call from an entry node to a guard.
 type CallHeader = innerpb.CallHeader
 
-// AnswerHeader goes back with every answer of a guard.
+// AnswerHeader is part of every response of a guard.
 type AnswerHeader = innerpb.AnswerHeader
 
-// Load is what a guard says of itself.
+// Load is the load report of a guard.
 type Load = innerpb.Load
 
 var (
-	// ErrTooLong is returned for a header above MaxHeaderLen.
+	// ErrTooLong is returned for a header longer than MaxHeaderLen.
 	ErrTooLong = errors.New("inner header is longer than 4096 bytes")
 	// ErrMissing is returned for an empty header.
 	ErrMissing = errors.New("inner header is missing")
 )
 
-// Unknown fields are dropped, not refused: during a rolling restart newer
-// nodes call older ones.
-var unmarshal = proto.UnmarshalOptions{DiscardUnknown: true}
+// Unknown fields are discarded instead of rejected: during a rolling restart newer nodes call older
+// ones.
+var unmarshalOptions = proto.UnmarshalOptions{DiscardUnknown: true}
 
-// scratch holds the buffers of one encoding or decoding.
-type scratch struct {
+// codecBuffers contains the reusable buffers of one encoding or decoding.
+type codecBuffers struct {
 	raw  []byte
 	text []byte
 }
 
-var scratches = sync.Pool{New: func() any {
-	return &scratch{
+var bufferPool = sync.Pool{New: func() any {
+	return &codecBuffers{
 		raw:  make([]byte, 0, MaxHeaderLen),
 		text: make([]byte, 0, MaxHeaderLen),
 	}
 }}
 
-// EncodeCall returns the value of HeaderCall. It is empty when a field isn't
-// valid UTF-8 or the header exceeds MaxHeaderLen; DecodeCall refuses that.
+// EncodeCall returns the value of HeaderCall. It returns an empty string, which DecodeCall rejects,
+// if a field is not valid UTF-8 or the header exceeds MaxHeaderLen.
 func EncodeCall(h *CallHeader) string { return encode(h) }
 
-// EncodeAnswer returns the value of HeaderAnswer, with the rules of EncodeCall.
-// A detail that is too long or not printable ASCII is made to fit, and so is a
-// pause out of bounds.
-func EncodeAnswer(h *AnswerHeader) string { return encode(withinBounds(h)) }
+// EncodeAnswer returns the value of HeaderAnswer, or an empty string under the conditions of
+// EncodeCall. A detail that is too long or not printable ASCII, and a retry delay out of bounds, are
+// changed to valid values.
+func EncodeAnswer(h *AnswerHeader) string { return encode(clampAnswer(h)) }
 
-// DecodeCall reads and checks the value of HeaderCall. The error names the
-// field, its value and the bound.
+// DecodeCall decodes and checks the value of HeaderCall. A *FieldError names the field, its value
+// and the limit.
 func DecodeCall(s string) (*CallHeader, error) {
 	h := &CallHeader{}
 	if err := decode(s, h); err != nil {
@@ -75,7 +75,7 @@
 	return h, nil
 }
 
-// DecodeAnswer reads and checks the value of HeaderAnswer.
+// DecodeAnswer decodes and checks the value of HeaderAnswer.
 func DecodeAnswer(s string) (*AnswerHeader, error) {
 	h := &AnswerHeader{}
 	if err := decode(s, h); err != nil {
@@ -88,18 +88,18 @@
 }
 
 func encode(m proto.Message) string {
-	sc := scratches.Get().(*scratch)
-	defer scratches.Put(sc)
-	raw, err := proto.MarshalOptions{}.MarshalAppend(sc.raw[:0], m)
+	bufs := bufferPool.Get().(*codecBuffers)
+	defer bufferPool.Put(bufs)
+	raw, err := proto.MarshalOptions{}.MarshalAppend(bufs.raw[:0], m)
 	if err != nil {
 		return ""
 	}
 	if base64.RawURLEncoding.EncodedLen(len(raw)) > MaxHeaderLen {
 		return ""
 	}
-	sc.raw = raw
-	sc.text = base64.RawURLEncoding.AppendEncode(sc.text[:0], raw)
-	return string(sc.text)
+	bufs.raw = raw
+	bufs.text = base64.RawURLEncoding.AppendEncode(bufs.text[:0], raw)
+	return string(bufs.text)
 }
 
 func decode(s string, m proto.Message) error {
@@ -109,15 +109,15 @@
 	if len(s) > MaxHeaderLen {
 		return ErrTooLong
 	}
-	sc := scratches.Get().(*scratch)
-	defer scratches.Put(sc)
-	sc.text = append(sc.text[:0], s...)
-	raw, err := base64.RawURLEncoding.Strict().AppendDecode(sc.raw[:0], sc.text)
+	bufs := bufferPool.Get().(*codecBuffers)
+	defer bufferPool.Put(bufs)
+	bufs.text = append(bufs.text[:0], s...)
+	raw, err := base64.RawURLEncoding.Strict().AppendDecode(bufs.raw[:0], bufs.text)
 	if err != nil {
 		return errors.Wrap(err, "inner header is not base64url")
 	}
-	sc.raw = raw
-	if err := unmarshal.Unmarshal(raw, m); err != nil {
+	bufs.raw = raw
+	if err := unmarshalOptions.Unmarshal(raw, m); err != nil {
 		return errors.Wrap(err, "inner header is not a valid message")
 	}
 	return nil
--- a/internal/inner/codec_test.go
+++ b/internal/inner/codec_test.go
@@ -50,13 +50,13 @@
 	}
 }
 
-// A guard on another clock sees the same call: IDs as sent, the same time
-// left and the same age of the root, counted from its own now.
-func TestContextSurvivesAnotherClock(t *testing.T) {
+// Guards against a deadline that depends on the clock of the guard's VM. The IDs, the remaining time
+// and the age of the root have to be the same, relative to the clock of the guard.
+func TestContextIsIndependentOfClockSkew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := sampleContext()
-		left := rapid.Int64Range(0, MaxRemaining.Microseconds()).Draw(t, "left")
-		c.Deadline = t0.Add(micros(left))
+		remaining := rapid.Int64Range(0, MaxRemaining.Microseconds()).Draw(t, "left")
+		c.Deadline = t0.Add(micros(remaining))
 		skew := time.Duration(rapid.Int64Range(-1e15, 1e15).Draw(t, "skew"))
 		h, err := DecodeCall(EncodeCall(FromContext(c, t0, 9)))
 		must.NoError(t, err)
@@ -71,15 +71,15 @@
 	})
 }
 
-func TestPassedDeadlineIsSentAsZero(t *testing.T) {
+func TestPassedDeadlineLeavesZeroRemaining(t *testing.T) {
 	c := sampleContext()
 	must.Eq(t, 0, FromContext(c, c.Deadline.Add(time.Hour), 0).RemainingUs)
 }
 
 func TestDecodeCallNamesTheField(t *testing.T) {
 	cases := []struct {
-		field string
-		spoil func(*CallHeader)
+		field   string
+		corrupt func(*CallHeader)
 	}{
 		{"call_id", func(h *CallHeader) { h.CallId = "" }},
 		{"call_id", func(h *CallHeader) { h.CallId = strings.Repeat("x", MaxIDLen+1) }},
@@ -96,7 +96,7 @@
 	}
 	for _, c := range cases {
 		h := sampleCall()
-		c.spoil(h)
+		c.corrupt(h)
 		_, err := DecodeCall(EncodeCall(h))
 		var fe *FieldError
 		must.ErrorAs[*FieldError](t, err, &fe, must.Sprintf("%s", c.field))
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestDecodeBoundsTheSize(t *testing.T) {
+func TestCodecBoundsHeaderLength(t *testing.T) {
 	_, err := DecodeCall(strings.Repeat("A", MaxHeaderLen+1))
 	must.ErrorIs(t, err, ErrTooLong)
 	_, err = DecodeAnswer("")
@@ -116,8 +116,8 @@
 	must.Eq(t, "", EncodeCall(h))
 }
 
-// A newer node in a rolling restart sends a field that this one lacks: the
-// call is taken, and the field isn't kept.
+// Guards against a failed call during a rolling restart: a newer node sends a field that this node
+// does not know. The field is discarded.
 func TestUnknownFieldIsDropped(t *testing.T) {
 	raw, err := proto.Marshal(sampleCall())
 	must.NoError(t, err)
@@ -137,8 +137,8 @@
 	must.ErrorContains(t, err, "code is 200")
 }
 
-// Guards against a refusal turned into an unknown outcome by the text of its detail.
-func TestRefusalSurvivesAnyDetail(t *testing.T) {
+// Guards against a refusal that is reported as an unknown outcome because of the text of its detail.
+func TestRefusalWithAnyDetailDecodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		codes := result.Codes()
 		r := &result.Refusal{
@@ -152,16 +152,16 @@
 		got, err := DecodeAnswer(EncodeAnswer(h))
 		must.NoError(t, err)
 		must.True(t, proto.Equal(before, h), must.Sprint("the caller's header isn't touched"))
-		back := ToRefusal(got)
-		must.Eq(t, r.Code, back.Code)
-		must.Eq(t, r.AllFull, back.AllFull)
-		must.LessEq(t, MaxDetailLen, len(back.Detail))
-		must.Between(t, 0, back.RetryAfter, MaxRetryAfter)
+		refusal := ToRefusal(got)
+		must.Eq(t, r.Code, refusal.Code)
+		must.Eq(t, r.AllFull, refusal.AllFull)
+		must.LessEq(t, MaxDetailLen, len(refusal.Detail))
+		must.Between(t, 0, refusal.RetryAfter, MaxRetryAfter)
 	})
 }
 
-// Whatever arrives, decoding doesn't panic, and what it accepts is encoded to
-// a header that it accepts again with the same meaning.
+// Decoding must not panic on any input. A header that it accepts has to be equal after encoding and
+// decoding it again.
 func FuzzDecodeCall(f *testing.F) {
 	f.Add(EncodeCall(sampleCall()))
 	f.Add("")
@@ -171,9 +171,9 @@
 		if err != nil {
 			return
 		}
-		again, err := DecodeCall(EncodeCall(h))
+		reencoded, err := DecodeCall(EncodeCall(h))
 		must.NoError(t, err)
-		must.True(t, proto.Equal(h, again))
+		must.True(t, proto.Equal(h, reencoded))
 	})
 }
 
@@ -184,9 +184,9 @@
 		if err != nil {
 			return
 		}
-		again, err := DecodeAnswer(EncodeAnswer(h))
+		reencoded, err := DecodeAnswer(EncodeAnswer(h))
 		must.NoError(t, err)
-		must.True(t, proto.Equal(h, again))
+		must.True(t, proto.Equal(h, reencoded))
 	})
 }
 
--- a/internal/inner/context.go
+++ b/internal/inner/context.go
@@ -6,9 +6,8 @@
 	"github.com/galenagrade/galenagrade/internal/callctx"
 )
 
-// FromContext makes the header of a call sent at now with allowance retries
-// escrowed to it. BodyHash, TargetIncarnation, Reattach, Marks and
-// FromNode are the sender's to fill in.
+// FromContext returns the header of a call that is sent at now with a retry allowance. The sender
+// sets BodyHash, TargetIncarnation, Reattach, Marks and FromNode.
 func FromContext(c *callctx.Context, now time.Time, allowance uint32) *CallHeader {
 	h := &CallHeader{
 		CallId:      c.CallID,
@@ -32,8 +31,8 @@
 	return h
 }
 
-// ToContext makes the context of a header received at now. The time that the
-// call spent on the wire isn't taken off, so a deadline moves back by one way.
+// ToContext returns the context of a header received at now. The transmission time is unknown and
+// not subtracted, so the deadline moves later by the one-way delay.
 func ToContext(h *CallHeader, now time.Time) *callctx.Context {
 	c := &callctx.Context{
 		RequestID:    h.RequestId,
--- a/internal/inner/control.go
+++ b/internal/inner/control.go
@@ -10,14 +10,12 @@
 	"github.com/galenagrade/galenagrade/internal/inner/innerpb/innerpbconnect"
 )
 
-// MaxControlBytes bounds one message of the Control service in either
-// direction. The largest are parts of a state or of a hand-over, which their
-// senders cut to a quarter of it.
+// MaxControlBytes limits one message of the Control service in either direction. The largest
+// messages are parts of a state or of a hand-over; their senders limit these to a quarter of it.
 const MaxControlBytes = 4 << 20
 
-// NewControlHandler returns the path and the handler of the Control service.
-// Messages above MaxControlBytes, or with a field out of bounds, are refused
-// before h sees them.
+// NewControlHandler returns the path and the handler of the Control service. Messages that exceed
+// MaxControlBytes or have a field out of bounds are rejected before they reach h.
 func NewControlHandler(h innerpbconnect.ControlHandler) (string, http.Handler) {
 	return innerpbconnect.NewControlHandler(h,
 		connect.WithReadMaxBytes(MaxControlBytes),
@@ -26,9 +24,9 @@
 	)
 }
 
-// NewControlClient returns a client of the node at baseURL, with the bounds of
-// NewControlHandler on what comes back. Requests are sent uncompressed: most
-// are smaller than the headers that would announce a compression.
+// NewControlClient returns a client of the node at baseURL. Responses are subject to the limits of
+// NewControlHandler. Requests are sent uncompressed: most are smaller than the headers that would
+// announce the compression.
 func NewControlClient(c connect.HTTPClient, baseURL string) innerpbconnect.ControlClient {
 	return innerpbconnect.NewControlClient(c, baseURL,
 		connect.WithReadMaxBytes(MaxControlBytes),
@@ -37,8 +35,7 @@
 	)
 }
 
-// checkInterceptor checks whatever arrives: requests at a server, answers at
-// a client.
+// checkInterceptor checks received messages: requests at a server, responses at a client.
 type checkInterceptor struct{}
 
 // WrapUnary implements connect.Interceptor.
--- a/internal/inner/control_test.go
+++ b/internal/inner/control_test.go
@@ -13,7 +13,7 @@
 	"github.com/galenagrade/galenagrade/internal/inner/innerpb/innerpbconnect"
 )
 
-// echoControl answers probes; detail lets a test send back a bad answer.
+// echoControl responds to probes. from is the node ID in its responses; a test can set an invalid one.
 type echoControl struct {
 	innerpbconnect.UnimplementedControlHandler
 	calls int
@@ -34,7 +34,7 @@
 	return NewControlClient(srv.Client(), srv.URL)
 }
 
-func TestControlRefusesWhatIsOutOfBounds(t *testing.T) {
+func TestControlRejectsFieldsOutOfBounds(t *testing.T) {
 	h := &echoControl{from: "kurume-1"}
 	c := controlPair(t, h)
 	resp, err := c.Probe(t.Context(), connect.NewRequest(&innerpb.ProbeRequest{Sequence: 7}))
@@ -63,15 +63,14 @@
 	must.Eq(t, 1, h.calls)
 }
 
-// A faulty peer answers with a name that would fill the asker's memory: the
-// asker refuses the answer instead of taking it in.
-func TestClientChecksAnswers(t *testing.T) {
+// Guards against a faulty peer whose response fills the memory of the requester with a long name.
+func TestClientChecksResponses(t *testing.T) {
 	c := controlPair(t, &echoControl{from: strings.Repeat("n", MaxTextLen+1)})
 	_, err := c.Probe(t.Context(), connect.NewRequest(&innerpb.ProbeRequest{}))
 	must.ErrorContains(t, err, "from.node_id")
 }
 
-func TestControlBoundsTheWholeMessage(t *testing.T) {
+func TestControlBoundsMessageSize(t *testing.T) {
 	c := controlPair(t, &echoControl{})
 	part := &innerpb.HandOverRequest{Entries: []*innerpb.KeyEntry{{Body: make([]byte, MaxControlBytes)}}}
 	_, err := c.HandOver(t.Context(), connect.NewRequest(part))
--- a/internal/inner/crash_records.go
+++ b/internal/inner/crash_records.go
@@ -7,8 +7,8 @@
 	"github.com/galenagrade/galenagrade/internal/quarantine"
 )
 
-// SuspectMessage is a record of suspicion as nodes pass it on: clocks differ,
-// so its time travels as an age.
+// SuspectMessage converts a crash record into the message that nodes gossip. The message contains
+// the age of the record instead of its time, since the clocks of nodes differ.
 func SuspectMessage(now time.Time, s quarantine.CrashRecord) *innerpb.Suspect {
 	return &innerpb.Suspect{
 		Fingerprint: uint64(s.Fingerprint),
@@ -20,7 +20,7 @@
 	}
 }
 
-// CrashRecord is the record of a message received at now.
+// Suspect converts a message received at now into a crash record.
 func Suspect(now time.Time, s *innerpb.Suspect) quarantine.CrashRecord {
 	return quarantine.CrashRecord{
 		Fingerprint: quarantine.Fingerprint(s.GetFingerprint()),
@@ -32,8 +32,8 @@
 	}
 }
 
-// SuspectMessages makes messages of records known at now.
-func SuspectMessages(now time.Time, list []quarantine.CrashRecord) []*innerpb.Suspect {
+// CrashRecordMessages converts crash records known at now into messages.
+func CrashRecordMessages(now time.Time, list []quarantine.CrashRecord) []*innerpb.Suspect {
 	var out []*innerpb.Suspect
 	for _, s := range list {
 		out = append(out, SuspectMessage(now, s))
@@ -41,8 +41,8 @@
 	return out
 }
 
-// CrashRecords makes records of messages received at now.
-func Suspects(now time.Time, list []*innerpb.Suspect) []quarantine.CrashRecord {
+// CrashRecords converts messages received at now into crash records.
+func CrashRecords(now time.Time, list []*innerpb.Suspect) []quarantine.CrashRecord {
 	var out []quarantine.CrashRecord
 	for _, s := range list {
 		out = append(out, Suspect(now, s))
--- a/internal/inner/refusal.go
+++ b/internal/inner/refusal.go
@@ -8,8 +8,8 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// FromRefusal makes the header of a refused call. The sender fills in
-// UnusedAllowance, OwnerNode and Load.
+// FromRefusal returns the header of a refused call. The sender sets UnusedAllowance, OwnerNode and
+// Load.
 func FromRefusal(callID string, r *result.Refusal) *AnswerHeader {
 	return &AnswerHeader{
 		CallId:       callID,
@@ -21,7 +21,7 @@
 	}
 }
 
-// ToRefusal makes the refusal out of a header, whatever its code is.
+// ToRefusal converts a header into a refusal, whatever its code is.
 func ToRefusal(h *AnswerHeader) *result.Refusal {
 	return &result.Refusal{
 		Code:       result.Code(h.Code),
@@ -32,27 +32,27 @@
 	}
 }
 
-// withinBounds returns h with a detail and a pause that the receiver takes. A
-// detail may quote what a caller sent; were the header refused for it, a call
-// that provably did not run would be reported as of unknown outcome.
-func withinBounds(h *AnswerHeader) *AnswerHeader {
-	detail := cleanText(h.Detail, MaxDetailLen)
-	pause := clampRetryAfter(h.RetryAfterUs)
-	if detail == h.Detail && pause == h.RetryAfterUs {
+// clampAnswer returns h with a detail and a retry delay within the limits that the receiver checks.
+// A detail may quote input of a caller. If the receiver rejected the header for its detail, a call
+// that certainly did not run would be reported with an unknown outcome.
+func clampAnswer(h *AnswerHeader) *AnswerHeader {
+	detail := sanitizeText(h.Detail, MaxDetailLen)
+	retryAfter := clampRetryAfter(h.RetryAfterUs)
+	if detail == h.Detail && retryAfter == h.RetryAfterUs {
 		return h
 	}
-	c := proto.CloneOf(h)
-	c.Detail = detail
-	c.RetryAfterUs = pause
-	return c
+	clamped := proto.CloneOf(h)
+	clamped.Detail = detail
+	clamped.RetryAfterUs = retryAfter
+	return clamped
 }
 
 func clampRetryAfter(us int64) int64 {
 	return min(max(0, us), int64(MaxRetryAfter/time.Microsecond))
 }
 
-// cleanText cuts s and puts '?' in place of what isn't printable ASCII.
-func cleanText(s string, bound int) string {
+// sanitizeText truncates s to bound bytes and replaces bytes other than printable ASCII by '?'.
+func sanitizeText(s string, bound int) string {
 	if checkText("", s, bound) == nil {
 		return s
 	}
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -84,7 +84,7 @@
 	h.BodyHash = attempt.BodyHash
 	h.TargetIncarnation = formatIncarnation(s.to.Incarnation)
 	h.Reattach = attempt.Reattach
-	h.Marks = inner.SuspectMessages(s.peers.node.Now(), attempt.CrashRecords)
+	h.Marks = inner.CrashRecordMessages(s.peers.node.Now(), attempt.CrashRecords)
 	h.FromNode = s.peers.node.ID()
 	h.Hlc = s.peers.node.Stamp(attempt)
 	return h
@@ -212,7 +212,7 @@
 		Header:       callctx.Forwardable(r.Header),
 		BodyHash:     h.GetBodyHash(),
 		Allowance:    int(h.GetAllowance()),
-		CrashRecords: inner.Suspects(p.node.Now(), h.GetMarks()),
+		CrashRecords: inner.CrashRecords(p.node.Now(), h.GetMarks()),
 		Reattach:     h.GetReattach(),
 		Sampled:      h.GetHlc() != 0 || p.node.Sampled(h.GetRequestId()),
 	}
