--- a/internal/proxy/cancel_test.go
+++ b/internal/proxy/cancel_test.go
@@ -17,15 +17,15 @@
 	"github.com/galenagrade/galenagrade/internal/retry"
 )
 
-// Guards against an attempt sent for a caller who has left.
-func TestCallerLeavesBetweenAttempts(t *testing.T) {
-	ctx, leave := context.WithCancel(context.Background())
+// Guards against another attempt for a caller that canceled its request between two attempts.
+func TestNoAttemptAfterCallerCancels(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
 	var attempts atomic.Int32
-	w := newWorld(t)
-	entry := w.start(nil, nil)
+	c := newCluster(t)
+	entry := c.startNode(nil, nil)
 	services := map[*testNode]string{}
 	for range 2 {
-		guard := w.start(nil, func(http.Handler) http.Handler {
+		guard := c.startNode(nil, func(http.Handler) http.Handler {
 			return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 				attempts.Add(1)
 				h := &innerpb.AnswerHeader{CallId: callID(t, r), Code: uint32(result.Shed), UnusedAllowance: 2}
@@ -34,22 +34,22 @@
 		})
 		services[guard] = "letters"
 	}
-	w.connect(services)
-	call := newLetter()
-	d := node.NewDispatch(entry.node, rand.New(rand.NewPCG(1, 1)), call, retry.NewAccount(4))
+	c.configure(services)
+	call := newCall()
+	dispatch := node.NewDispatch(entry.node, rand.New(rand.NewPCG(1, 1)), call, retry.NewAccount(4))
 	p := New(entry.node, entry.peers, entry.upstream)
-	order := d.Next(time.Now())
-	d.Observe(time.Now(), p.send(ctx, order))
-	leave()
-	answer := p.follow(ctx, call, d)
-	must.EqOp(t, result.Cancelled, answer.Code)
+	action := dispatch.Next(time.Now())
+	dispatch.Observe(time.Now(), p.send(ctx, action))
+	cancel()
+	resp := p.runActions(ctx, call, dispatch)
+	must.EqOp(t, result.Cancelled, resp.Code)
 	must.EqOp(t, 1, attempts.Load())
 }
 
-func newLetter() *node.Call {
+func newCall() *node.Call {
 	call := &node.Call{Method: "POST", Target: "/path", Body: []byte("a")}
 	call.Ctx.CallID, call.Ctx.RequestID = "letter", "letter"
-	call.Ctx.Workspace, call.Ctx.Service = workspace, "letters"
-	call.Ctx.Deadline = time.Now().Add(giveUp)
+	call.Ctx.Workspace, call.Ctx.Service = testWorkspace, "letters"
+	call.Ctx.Deadline = time.Now().Add(testTimeout)
 	return call
 }
--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -23,29 +23,29 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-const workspace = "w"
+const testWorkspace = "w"
 
-// permissive lets every key start here without a claim.
-type permissive struct{}
+// allowAll is a claimer and authority that lets every call start without a claim.
+type allowAll struct{}
 
-func (permissive) NeedsClaim(*node.Call) bool { return false }
-func (permissive) MayStart(time.Time, *node.Call) (time.Time, *result.Refusal) {
+func (allowAll) NeedsClaim(*node.Call) bool { return false }
+func (allowAll) MayStart(time.Time, *node.Call) (time.Time, *result.Refusal) {
 	return time.Time{}, nil
 }
-func (permissive) Claim(context.Context, *node.Call) *result.Refusal { return nil }
+func (allowAll) Claim(context.Context, *node.Call) *result.Refusal { return nil }
 
 type realClock struct{}
 
 func (realClock) Now() time.Time { return time.Now() }
 
-// owner is the inner address that owns every key.
-type owner struct{ addr string }
+// fixedOwner assigns all keys to one inner address.
+type fixedOwner struct{ addr string }
 
-func (o *owner) Owner(string, uint64) string { return o.addr }
+func (o *fixedOwner) Owner(string, uint64) string { return o.addr }
 
-func (o *owner) SetResendHorizon(time.Duration) {}
+func (o *fixedOwner) SetResendHorizon(time.Duration) {}
 
-// testNode is one node with its listeners on loopback.
+// testNode is a node with its listeners on loopback.
 type testNode struct {
 	name     string
 	node     *node.Node
@@ -58,35 +58,36 @@
 
 func (n *testNode) innerAddr() string { return n.inner.Listener.Addr().String() }
 
-// world is some nodes that know each other.
-type world struct {
+// cluster is a set of connected test nodes.
+type cluster struct {
 	t      *testing.T
 	nodes  []*testNode
-	owner  *owner
+	owner  *fixedOwner
 	client *http.Client
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, owner: &owner{}, client: &http.Client{Transport: &http.Transport{}}}
-	t.Cleanup(w.client.CloseIdleConnections)
-	return w
+func newCluster(t *testing.T) *cluster {
+	c := &cluster{t: t, owner: &fixedOwner{}, client: &http.Client{Transport: &http.Transport{}}}
+	t.Cleanup(c.client.CloseIdleConnections)
+	return c
 }
 
-// start adds a node; wrap may change its inner handler, dial its connections.
-func (w *world) start(dial DialFunc, wrap func(http.Handler) http.Handler) *testNode {
-	n := &testNode{name: fmt.Sprintf("n%d", len(w.nodes)), peers: NewPeers(dial), upstream: NewUpstream(permissive{})}
+// startNode adds a node. dial opens its connections to other nodes; wrap wraps its inner handler. Both
+// may be nil.
+func (c *cluster) startNode(dial DialFunc, wrap func(http.Handler) http.Handler) *testNode {
+	n := &testNode{name: fmt.Sprintf("n%d", len(c.nodes)), peers: NewPeers(dial), upstream: NewUpstream(allowAll{})}
 	n.inner = httptest.NewUnstartedServer(nil)
 	n.node = node.New(node.Config{
-		Identity:  node.Identity{Node: n.name, Incarnation: uint64(1 + len(w.nodes)), Zone: "z", InnerAddr: n.innerAddr()},
+		Identity:  node.Identity{Node: n.name, Incarnation: uint64(1 + len(c.nodes)), Zone: "z", InnerAddr: n.innerAddr()},
 		Clock:     realClock{},
 		Runner:    n.upstream,
-		Authority: permissive{},
-		Owners:    w.owner,
+		Authority: allowAll{},
+		Owners:    c.owner,
 		Routing:   routing.DefaultConfig(),
 		Retry:     retry.DefaultPolicy(),
 		Throttle:  retry.DefaultThrottleConfig(),
 		Guard:     node.DefaultGuardConfig(),
-		Seed:      [32]byte{byte(len(w.nodes))},
+		Seed:      [32]byte{byte(len(c.nodes))},
 		Sample:    1,
 	})
 	n.peers.Bind(n.node)
@@ -99,8 +100,8 @@
 	n.inner.Start()
 	n.callers = httptest.NewServer(p.CallerHandler())
 	n.exit = httptest.NewServer(p.ExitHandler())
-	w.nodes = append(w.nodes, n)
-	w.t.Cleanup(func() {
+	c.nodes = append(c.nodes, n)
+	c.t.Cleanup(func() {
 		n.callers.Close()
 		n.exit.Close()
 		n.inner.Close()
@@ -110,24 +111,24 @@
 	return n
 }
 
-// serve puts handler behind a node as the upstream of a service.
-func (w *world) serve(n *testNode, service string, slots int, handler http.HandlerFunc) *httptest.Server {
+// startUpstream starts handler as the upstream of a service behind a node.
+func (c *cluster) startUpstream(n *testNode, service string, slots int, handler http.HandlerFunc) *httptest.Server {
 	srv := httptest.NewServer(handler)
-	w.t.Cleanup(srv.Close)
+	c.t.Cleanup(srv.Close)
 	n.upstream.SetAddr(srv.Listener.Addr().String())
 	n.node.UpstreamAnnounced(time.Now(), node.Announcement{Service: service, Slots: slots})
 	return srv
 }
 
-// connect tells every node the configuration and who guards which service.
-func (w *world) connect(services map[*testNode]string) {
+// configure applies the policies and the endpoints of the given services to all nodes.
+func (c *cluster) configure(services map[*testNode]string) {
 	var endpoints []routing.Endpoint
 	state := policy.NewState()
 	add := func(p policy.Publication) {
 		p.ID = strconv.Itoa(int(state.Version()) + 1)
 		p.Author = "test"
 		rec, err := p.Record(time.Now())
-		must.NoError(w.t, err)
+		must.NoError(c.t, err)
 		state = state.Apply(logstore.Entry{Offset: int64(state.Version()), Record: rec})
 	}
 	for _, t := range policy.Library() {
@@ -138,24 +139,24 @@
 		endpoints = append(endpoints, routing.Endpoint{Node: n.name, Incarnation: n.node.Incarnation(), Zone: "z", Service: service, Addr: n.innerAddr(), Slots: 8, Joined: time.Now().Add(-time.Hour)})
 		if !known[service] {
 			known[service] = true
-			add(policy.Publication{Instance: &policy.Instance{Workspace: workspace, Service: service, Template: "balanced", Revision: 1, Values: map[string]string{"key_required": "false"}}})
+			add(policy.Publication{Instance: &policy.Instance{Workspace: testWorkspace, Service: service, Template: "balanced", Revision: 1, Values: map[string]string{"key_required": "false"}}})
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range c.nodes {
 		n.node.SetPolicy(time.Now(), state)
 		n.node.SetEndpoints(time.Now(), endpoints)
-		_, ok := n.node.Policy().Lookup(workspace, endpoints[0].Service)
-		must.True(w.t, ok)
+		_, ok := n.node.Policy().Lookup(testWorkspace, endpoints[0].Service)
+		must.True(c.t, ok)
 	}
 }
 
-// request is one call of a caller or an upstream.
+// request is a request of a caller or an upstream.
 type request struct {
 	to, method, service, key, body, parent string
 	timeout                                time.Duration
 }
 
-// reply is what came back, read to its end.
+// reply is the completely read response.
 type reply struct {
 	status int
 	code   result.Code
@@ -163,10 +164,10 @@
 	err    error
 }
 
-func (w *world) do(ctx context.Context, r request) reply {
+func (c *cluster) do(ctx context.Context, r request) reply {
 	req, err := http.NewRequestWithContext(ctx, r.method, r.to+"/path", strings.NewReader(r.body))
-	must.NoError(w.t, err)
-	req.Header.Set(callctx.HeaderWorkspace, workspace)
+	must.NoError(c.t, err)
+	req.Header.Set(callctx.HeaderWorkspace, testWorkspace)
 	req.Header.Set(callctx.HeaderService, r.service)
 	for name, v := range map[string]string{callctx.HeaderKey: r.key, callctx.HeaderContext: r.parent} {
 		if v != "" {
@@ -176,7 +177,7 @@
 	if r.timeout > 0 {
 		req.Header.Set(callctx.HeaderTimeout, r.timeout.String())
 	}
-	resp, err := w.client.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return reply{err: err}
 	}
@@ -186,43 +187,43 @@
 	return reply{resp.StatusCode, result.Code(code), string(body), err}
 }
 
-// ledger counts what upstreams ran, by body.
-type ledger struct {
+// runCounter counts the runs at upstreams by request body.
+type runCounter struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func (l *ledger) add(body string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.runs == nil {
-		l.runs = map[string]int{}
+func (c *runCounter) add(body string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.runs == nil {
+		c.runs = map[string]int{}
 	}
-	l.runs[body]++
+	c.runs[body]++
 }
 
-func (l *ledger) count(body string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.runs[body]
+func (c *runCounter) count(body string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.runs[body]
 }
 
-// echo records the run and answers with the body it got.
-func (l *ledger) echo(rw http.ResponseWriter, r *http.Request) {
+// echo counts the run and responds with the request body.
+func (c *runCounter) echo(rw http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	l.add(string(body))
+	c.add(string(body))
 	rw.Header().Set(callctx.HeaderContext, r.Header.Get(callctx.HeaderContext))
 	_, _ = rw.Write(append([]byte("re:"), body...))
 }
 
-// giveUp ends a wait for what never comes; no test measures by it.
-const giveUp = 10 * time.Second
+// testTimeout limits the wait for an expected event. Tests do not measure time with it.
+const testTimeout = 10 * time.Second
 
-// eventually returns once cond holds.
+// eventually waits until cond returns true.
 func eventually(t *testing.T, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(giveUp); !cond(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(testTimeout); !cond(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("the condition never held")
 		}
 	}
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,5 +1,4 @@
-// Package proxy is the data path over net/http: it takes requests from
-// callers and from the local upstream, carries attempts to guards on other
-// nodes, and runs admitted calls at the local upstream. The decisions are made
-// in package node; this package performs them.
+// Package proxy implements the data path over net/http. It receives requests from callers and from
+// the local upstream, sends attempts to guards on other nodes, and runs admitted calls at the local
+// upstream. Package node makes the decisions, this package executes them.
 package proxy
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -7,35 +7,36 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// fullPause is when a caller may come back to a node that holds all it may.
-const fullPause = time.Second
+// limitRetryAfter is the retry delay for requests that are refused because a limit is reached.
+const limitRetryAfter = time.Second
 
-// Limits bound what one node holds; 0 is without bound.
+// Limits bound the calls and bodies that a node holds; 0 means unlimited.
 type Limits struct {
-	// Calls bounds the calls held in any role.
+	// Calls is the maximum number of calls in any role.
 	Calls int64
-	// HeldBytes bounds the bodies of requests and answers held.
+	// HeldBytes is the maximum size of all request and response bodies in memory, in bytes.
 	HeldBytes int64
 }
 
-// Held is what a node holds at present.
+// Held is the current use of the limits.
 type Held struct {
 	Calls, Bytes int64
-	// Rejected counts requests refused for either bound.
+	// Rejected counts requests refused because of either limit.
 	Rejected int64
 }
 
-// gate counts calls and bytes against their limits. Calls of the local
-// upstream are counted and not refused: they belong to a call that is already
-// held, and refusing them would waste what it did.
+// gate counts calls and bytes and enforces their limits. Calls of the local upstream are counted but
+// never refused: they belong to a call that the node already holds, and a refusal would waste the
+// work done for it.
 type gate struct {
-	limits     Limits
-	calls      atomic.Int64
-	bytes      atomic.Int64
-	turnedAway atomic.Int64
+	limits   Limits
+	calls    atomic.Int64
+	bytes    atomic.Int64
+	rejected atomic.Int64
 }
 
-// enter takes a call in; leave must follow unless it is refused.
+// enter counts a call and its body of size bytes. It returns a refusal if refusable is set and a
+// limit is exceeded. Unless it refuses, the caller must call leave.
 func (g *gate) enter(size int64, refusable bool) *result.Refusal {
 	calls := g.calls.Add(1)
 	bytes := g.bytes.Add(size)
@@ -45,19 +46,19 @@
 	var refusal *result.Refusal
 	switch {
 	case g.limits.Calls > 0 && calls > g.limits.Calls:
-		refusal = result.Refuse(result.Shed, "the node holds %d calls, bound %d", calls-1, g.limits.Calls)
+		refusal = result.Refuse(result.Shed, "node holds %d calls, limit is %d", calls-1, g.limits.Calls)
 	case g.limits.HeldBytes > 0 && bytes > g.limits.HeldBytes:
-		refusal = result.Refuse(result.Shed, "the node holds %d bytes of bodies, bound %d", bytes-size, g.limits.HeldBytes)
+		refusal = result.Refuse(result.Shed, "node holds %d bytes of bodies, limit is %d", bytes-size, g.limits.HeldBytes)
 	default:
 		return nil
 	}
 	g.leave(size)
-	g.turnedAway.Add(1)
-	return refusal.After(fullPause)
+	g.rejected.Add(1)
+	return refusal.After(limitRetryAfter)
 }
 
-// hold counts n more bytes of a call that is in, and returns n.
-func (g *gate) hold(n int64) int64 {
+// addBytes adds n to the bytes of a counted call and returns n.
+func (g *gate) addBytes(n int64) int64 {
 	g.bytes.Add(n)
 	return n
 }
@@ -67,10 +68,10 @@
 	g.bytes.Add(-size)
 }
 
-// SetLimits sets the bounds; call it before the first request.
+// SetLimits sets the limits. It must be called before the first request.
 func (p *Proxy) SetLimits(l Limits) { p.gate.limits = l }
 
-// Held returns what the node holds.
+// Held returns the calls and bytes that the node currently holds.
 func (p *Proxy) Held() Held {
-	return Held{Calls: p.gate.calls.Load(), Bytes: p.gate.bytes.Load(), Rejected: p.gate.turnedAway.Load()}
+	return Held{Calls: p.gate.calls.Load(), Bytes: p.gate.bytes.Load(), Rejected: p.gate.rejected.Load()}
 }
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -19,181 +19,183 @@
 )
 
 const (
-	// CallPath is where a guard takes calls of other nodes.
+	// CallPath is the path at which a guard receives calls of other nodes.
 	CallPath = "/call"
-	// headerMethod and headerTarget carry the caller's request line.
+	// headerMethod and headerTarget carry the request line of the caller's request.
 	headerMethod = "Galena-Inner-Method"
 	headerTarget = "Galena-Inner-Target"
-	// headerHost carries the Host of a caller's request that came by a route.
+	// headerHost carries the Host header of a request that matched a route.
 	headerHost = "Galena-Inner-Host"
-	// headerRepeat marks a call of which an earlier attempt may have reached an
-	// upstream.
+	// headerRepeat marks a call for which an earlier attempt may have reached an upstream.
 	headerRepeat = "Galena-Inner-Repeat"
-	// headerContinues marks a call of a tree of which others were served already.
+	// headerContinues marks a call whose call tree already contains completed calls.
 	headerContinues = "Galena-Inner-Continues"
-	// headerSheds carries Answer.ShedsFrom and Answer.ShedsBy where something is shed.
+	// headerSheds carries Response.ShedsFrom and Response.ShedsBy if a deeper service sheds calls.
 	headerSheds = "Galena-Inner-Sheds"
-	// headerCause carries Answer.Cause where a call made for the answer failed.
+	// headerCause carries Response.Cause if a call that was made for the response failed.
 	headerCause = "Galena-Inner-Cause"
-	// headerConfig carries the version of the sender's routes, both ways: a node
-	// cut off from the store learns from its peers that it is behind.
+	// headerConfig carries the version of the sender's routes in requests and responses. A node
+	// that cannot reach the store detects from its peers that its routes are outdated.
 	headerConfig = "Galena-Inner-Config"
-	// maxAnswerBody bounds what is held of an answer, far above the templates'.
-	maxAnswerBody = 64 << 20
+	// maxResponseBody is the maximum size of a response body in bytes. The limits in templates are
+	// much lower.
+	maxResponseBody = 64 << 20
 )
 
-func (s *sending) roundTrip(ctx context.Context, pool *h1.Pool, attempt *node.Call) *node.Response {
-	header := make(http.Header, len(attempt.Header)+innerHeaders)
-	for name, values := range attempt.Header {
+// roundTrip sends a call to the guard on a connection of pool and decodes the response.
+func (c *peerCall) roundTrip(ctx context.Context, pool *h1.Pool, call *node.Call) *node.Response {
+	header := make(http.Header, len(call.Header)+maxInnerHeaders)
+	for name, values := range call.Header {
 		header[name] = values
 	}
-	header.Set(headerMethod, attempt.Method)
-	header.Set(headerTarget, attempt.Target)
-	if attempt.Routed {
-		header.Set(headerHost, attempt.Host)
+	header.Set(headerMethod, call.Method)
+	header.Set(headerTarget, call.Target)
+	if call.Routed {
+		header.Set(headerHost, call.Host)
 	}
-	if attempt.IsRetry {
+	if call.IsRetry {
 		header.Set(headerRepeat, "1")
 	}
-	if attempt.HasPriorWork {
+	if call.HasPriorWork {
 		header.Set(headerContinues, "1")
 	}
-	if version := s.peers.configVersion(); version > 0 {
+	if version := c.peers.configVersion(); version > 0 {
 		header.Set(headerConfig, strconv.FormatInt(version, 10))
 	}
-	header.Set(inner.HeaderCall, inner.EncodeCall(s.encode(attempt)))
-	got, err := pool.Do(ctx, &h1.Request{
+	header.Set(inner.HeaderCall, inner.EncodeCall(c.callHeader(call)))
+	resp, err := pool.Do(ctx, &h1.Request{
 		Method: http.MethodPost,
 		Target: CallPath,
-		Host:   s.to.Addr,
+		Host:   c.endpoint.Addr,
 		Header: header,
-		Body:   attempt.Body,
+		Body:   call.Body,
 	})
 	if err != nil {
-		return lost(ctx, attempt, err)
+		return sendFailure(ctx, call, err)
 	}
-	s.peers.heardVersion(s.to.Addr, got.Header.Get(headerConfig))
-	return s.readInner(attempt, got)
+	c.peers.observeVersion(c.endpoint.Addr, resp.Header.Get(headerConfig))
+	return c.decodeResponse(call, resp)
 }
 
-// innerHeaders is how many headers a hop adds.
-const innerHeaders = 7
+// maxInnerHeaders is the maximum number of headers that roundTrip adds.
+const maxInnerHeaders = 7
 
-func (s *sending) encode(attempt *node.Call) *innerpb.CallHeader {
-	h := inner.FromContext(&attempt.Ctx, s.peers.node.Now(), uint32(attempt.Allowance))
-	h.BodyHash = attempt.BodyHash
-	h.TargetIncarnation = formatIncarnation(s.to.Incarnation)
-	h.Reattach = attempt.Reattach
-	h.Marks = inner.CrashRecordMessages(s.peers.node.Now(), attempt.CrashRecords)
-	h.FromNode = s.peers.node.ID()
-	h.Hlc = s.peers.node.Stamp(attempt)
+func (c *peerCall) callHeader(call *node.Call) *innerpb.CallHeader {
+	h := inner.FromContext(&call.Ctx, c.peers.node.Now(), uint32(call.Allowance))
+	h.BodyHash = call.BodyHash
+	h.TargetIncarnation = formatIncarnation(c.endpoint.Incarnation)
+	h.Reattach = call.Reattach
+	h.Marks = inner.CrashRecordMessages(c.peers.node.Now(), call.CrashRecords)
+	h.FromNode = c.peers.node.ID()
+	h.Hlc = c.peers.node.Stamp(call)
 	return h
 }
 
-func lost(ctx context.Context, attempt *node.Call, err error) *node.Response {
-	var failed *h1.Error
-	if errors.As(err, &failed) && failed.Stage == h1.StageConnect {
-		return node.Refused(attempt.Ctx.CallID, result.Refuse(result.Unreachable, "no connection: %v", failed.Cause))
+// sendFailure returns the response for an exchange with a guard that failed with err.
+func sendFailure(ctx context.Context, call *node.Call, err error) *node.Response {
+	var exchangeErr *h1.Error
+	if errors.As(err, &exchangeErr) && exchangeErr.Stage == h1.StageConnect {
+		return node.Refused(call.Ctx.CallID, result.Refuse(result.Unreachable, "connection to the guard failed: %v", exchangeErr.Cause))
 	}
 	if ctx.Err() != nil {
-		return node.Refused(attempt.Ctx.CallID, endedRefusal(ctx))
+		return node.Refused(call.Ctx.CallID, contextRefusal(ctx))
 	}
-	if failed != nil && failed.Stage >= h1.StageBody {
-		return node.Refused(attempt.Ctx.CallID, result.Refuse(result.AnswerCut, "answer ended early: %v", err))
+	if exchangeErr != nil && exchangeErr.Stage >= h1.StageBody {
+		return node.Refused(call.Ctx.CallID, result.Refuse(result.AnswerCut, "response of the guard ended early: %v", err))
 	}
-	return node.Refused(attempt.Ctx.CallID, result.Refuse(result.LostAnswer, "the connection broke: %v", err))
+	return node.Refused(call.Ctx.CallID, result.Refuse(result.LostAnswer, "connection to the guard failed before the response: %v", err))
 }
 
-// readInner checks that the answer is of this call. A connection that delivers
-// another call's answer shows as a differing call ID.
-func (s *sending) readInner(attempt *node.Call, got *h1.Response) *node.Response {
-	h, err := inner.DecodeAnswer(got.Header.Get(inner.HeaderAnswer))
+// decodeResponse checks that the response belongs to this call. A different call ID shows that the
+// connection delivered the response to another call.
+func (c *peerCall) decodeResponse(call *node.Call, resp *h1.Response) *node.Response {
+	h, err := inner.DecodeAnswer(resp.Header.Get(inner.HeaderAnswer))
 	if err != nil {
-		return node.Refused(attempt.Ctx.CallID, result.Refuse(result.AnswerMismatch, "answer header: %v", err))
+		return node.Refused(call.Ctx.CallID, result.Refuse(result.AnswerMismatch, "response header of the guard is invalid: %v", err))
 	}
-	if h.GetCallId() != attempt.Ctx.CallID {
-		return node.Refused(attempt.Ctx.CallID, result.Refuse(result.AnswerMismatch, "answer is for call %.64q", h.GetCallId()))
+	if h.GetCallId() != call.Ctx.CallID {
+		return node.Refused(call.Ctx.CallID, result.Refuse(result.AnswerMismatch, "guard responded to call %.64q instead of this call", h.GetCallId()))
 	}
-	s.peers.node.ObserveClock(h.GetHlc())
-	return decodeAnswer(h, got, s.to.Node)
+	c.peers.node.ObserveClock(h.GetHlc())
+	return decodeAnswer(h, resp, c.endpoint.Node)
 }
 
-func decodeAnswer(h *innerpb.AnswerHeader, got *h1.Response, from string) *node.Response {
-	a := &node.Response{
+func decodeAnswer(h *innerpb.AnswerHeader, httpResp *h1.Response, fromNode string) *node.Response {
+	resp := &node.Response{
 		CallID:   h.GetCallId(),
 		Code:     result.Code(h.GetCode()),
 		Unused:   int(h.GetUnusedAllowance()),
 		Load:     decodeLoad(h.GetLoad()),
 		Crashed:  h.GetCrashedIncarnation(),
-		Upstream: from,
+		Upstream: fromNode,
 	}
-	a.ShedsFrom, a.ShedsBy = decodeSheds(got.Header.Get(headerSheds))
-	a.Cause = result.DecodeCause(got.Header.Get(headerCause))
+	resp.ShedsFrom, resp.ShedsBy = decodeSheds(httpResp.Header.Get(headerSheds))
+	resp.Cause = result.DecodeCause(httpResp.Header.Get(headerCause))
 	if !h.GetWhole() {
-		a.Refusal = &result.Refusal{
-			Code:       a.Code,
+		resp.Refusal = &result.Refusal{
+			Code:       resp.Code,
 			Detail:     h.GetDetail(),
 			RetryAfter: time.Duration(h.GetRetryAfterUs()) * time.Microsecond,
 			AllFull:    h.GetAllFull(),
 			Owner:      h.GetOwnerAddr(),
 		}
-		return a
+		return resp
 	}
-	a.Status = got.Status
-	a.Header = callctx.Forwardable(got.Header)
-	a.Body = got.Body
-	return a
+	resp.Status = httpResp.Status
+	resp.Header = callctx.Forwardable(httpResp.Header)
+	resp.Body = httpResp.Body
+	return resp
 }
 
-// CallHandler serves the calls of other nodes at this node's guard.
+// CallHandler returns the handler that runs the calls of other nodes at this node's guard.
 func (p *Proxy) CallHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		p.answering.Add(1)
-		defer p.answering.Add(-1)
-		p.peers.heardVersion("", r.Header.Get(headerConfig))
+		p.peerCallsPending.Add(1)
+		defer p.peerCallsPending.Add(-1)
+		p.peers.observeVersion("", r.Header.Get(headerConfig))
 		h, err := inner.DecodeCall(r.Header.Get(inner.HeaderCall))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		call := p.decodeCall(h, r)
-		if refusal := p.forAnother(h, call); refusal != nil {
+		if refusal := p.checkIncarnation(h, call); refusal != nil {
 			p.writeInner(w, call, p.node.RefuseCall(call, refusal))
 			return
 		}
 		size := max(0, r.ContentLength)
-		// A re-attachment is never rejected: its call may be running here,
-		// and "not run" would then be false.
+		// A re-attachment is never refused by a limit: its call may be running here, and the refusal
+		// would falsely report that it did not run.
 		if refusal := p.gate.enter(size, !call.Reattach); refusal != nil {
 			p.writeInner(w, call, p.node.RefuseCall(call, refusal))
 			return
 		}
 		defer func() { p.gate.leave(size) }()
-		body, err := readSized(io.LimitReader(r.Body, maxAnswerBody), r.ContentLength)
+		body, err := readSized(io.LimitReader(r.Body, maxResponseBody), r.ContentLength)
 		if err != nil {
-			p.writeInner(w, call, p.node.RefuseCall(call, result.Refuse(result.BadContext, "body ended early: %v", err)))
+			p.writeInner(w, call, p.node.RefuseCall(call, result.Refuse(result.BadContext, "request body ended early: %v", err)))
 			return
 		}
 		call.Body = body
 		ctx, cancel := context.WithDeadline(r.Context(), call.Ctx.Deadline)
 		defer cancel()
-		answer := p.upstream.Serve(ctx, call)
-		size += p.gate.hold(int64(len(answer.Body)))
-		p.writeInner(w, call, answer)
+		resp := p.upstream.Serve(ctx, call)
+		size += p.gate.addBytes(int64(len(resp.Body)))
+		p.writeInner(w, call, resp)
 	})
 }
 
-// forAnother refuses a call that is meant for an earlier process at this address.
-// Where routes are served, the successor takes it if it serves the same service:
-// after a loss of power all nodes know each other's earlier processes only, and would
-// refuse all calls until each has read the new records. A re-attachment asks
-// for what the earlier process ran, which this one can't tell.
-func (p *Proxy) forAnother(h *innerpb.CallHeader, call *node.Call) *result.Refusal {
+// checkIncarnation refuses a call that is addressed to an earlier process at this address. In a
+// deployment with routes, this process accepts the call if it serves the same service: after a power
+// failure all nodes know only the earlier incarnations of each other, and would refuse all calls
+// until they have read the new records. A re-attachment to an earlier process is always refused,
+// since it requests the result of a call in that process, which this process does not know.
+func (p *Proxy) checkIncarnation(h *innerpb.CallHeader, call *node.Call) *result.Refusal {
 	own := formatIncarnation(p.node.Incarnation())
 	if h.GetTargetIncarnation() == own {
 		return nil
 	}
-	if !call.Reattach && p.successorOf != "" && call.Ctx.Service == p.successorOf {
+	if !call.Reattach && p.predecessorService != "" && call.Ctx.Service == p.predecessorService {
 		return nil
 	}
 	return result.Refuse(result.Unreachable, "incarnation %s has been replaced by %s", h.GetTargetIncarnation(), own)
@@ -218,58 +220,58 @@
 	}
 }
 
-func (p *Proxy) writeInner(w http.ResponseWriter, call *node.Call, a *node.Response) {
+func (p *Proxy) writeInner(w http.ResponseWriter, call *node.Call, resp *node.Response) {
 	h := &innerpb.AnswerHeader{
-		CallId:             a.CallID,
-		Code:               uint32(a.Code),
-		UnusedAllowance:    uint32(a.Unused),
-		Load:               encodeLoad(a.Load),
-		CrashedIncarnation: a.Crashed,
-		Whole:              a.Whole(),
+		CallId:             resp.CallID,
+		Code:               uint32(resp.Code),
+		UnusedAllowance:    uint32(resp.Unused),
+		Load:               encodeLoad(resp.Load),
+		CrashedIncarnation: resp.Crashed,
+		Whole:              resp.Whole(),
 		Hlc:                p.node.Stamp(call),
 	}
-	status := a.Status
-	if !a.Whole() {
+	status := resp.Status
+	if !resp.Whole() {
 		status = http.StatusOK
-		h.Detail = a.Refusal.Detail
-		h.RetryAfterUs = a.Refusal.RetryAfter.Microseconds()
-		h.AllFull = a.Refusal.AllFull
-		h.OwnerAddr = a.Refusal.Owner
+		h.Detail = resp.Refusal.Detail
+		h.RetryAfterUs = resp.Refusal.RetryAfter.Microseconds()
+		h.AllFull = resp.Refusal.AllFull
+		h.OwnerAddr = resp.Refusal.Owner
 	}
 	out := w.Header()
-	for name, values := range a.Header {
+	for name, values := range resp.Header {
 		out[name] = values
 	}
 	out.Set(inner.HeaderAnswer, inner.EncodeAnswer(h))
-	if a.ShedsFrom != routing.NoThreshold {
-		out.Set(headerSheds, encodeSheds(a))
+	if resp.ShedsFrom != routing.NoThreshold {
+		out.Set(headerSheds, encodeSheds(resp))
 	}
-	if a.Cause != nil {
-		out.Set(headerCause, a.Cause.Encode())
+	if resp.Cause != nil {
+		out.Set(headerCause, resp.Cause.Encode())
 	}
 	if version := p.peers.configVersion(); version > 0 {
 		out.Set(headerConfig, strconv.FormatInt(version, 10))
 	}
-	if _, given := out["Date"]; !given {
-		out["Date"] = nil // nobody reads it between nodes
+	if _, ok := out["Date"]; !ok {
+		out["Date"] = nil // suppresses the header, which nodes do not read
 	}
-	out.Set("Content-Length", strconv.Itoa(len(a.Body)))
+	out.Set("Content-Length", strconv.Itoa(len(resp.Body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(a.Body)
+	_, _ = w.Write(resp.Body)
 }
 
-func encodeSheds(a *node.Response) string {
-	return strconv.FormatUint(uint64(a.ShedsFrom), 10) + " " + a.ShedsBy
+func encodeSheds(resp *node.Response) string {
+	return strconv.FormatUint(uint64(resp.ShedsFrom), 10) + " " + resp.ShedsBy
 }
 
-// decodeSheds reads what encodeSheds wrote; what can't be read sheds nothing.
-func decodeSheds(text string) (from uint32, by string) {
-	number, by, _ := strings.Cut(text, " ")
-	rank, err := strconv.ParseUint(number, 10, 32)
-	if err != nil || !callctx.ValidName(by) {
+// decodeSheds parses a value of encodeSheds. An invalid value means that no service sheds calls.
+func decodeSheds(text string) (threshold uint32, service string) {
+	rankText, service, _ := strings.Cut(text, " ")
+	rank, err := strconv.ParseUint(rankText, 10, 32)
+	if err != nil || !callctx.ValidName(service) {
 		return routing.NoThreshold, ""
 	}
-	return uint32(rank), by
+	return uint32(rank), service
 }
 
 func encodeLoad(l *routing.LoadReport) *innerpb.Load {
--- a/internal/proxy/latency_test.go
+++ b/internal/proxy/latency_test.go
@@ -8,15 +8,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a slow upstream that looks fast because its calls are timed wrongly.
+// Guards against a slow upstream that appears fast, because the end of a call is taken before the call
+// is sent.
 func TestLatencyOfATargetCoversTheCall(t *testing.T) {
-	const takes = 60 * time.Millisecond
-	w := newWorld(t)
-	a, b := w.start(nil, nil), w.start(nil, nil)
-	w.serve(b, "letters", 4, func(rw http.ResponseWriter, _ *http.Request) { time.Sleep(takes) })
-	w.connect(map[*testNode]string{b: "letters"})
-	got := w.do(t.Context(), request{to: a.callers.URL, method: http.MethodGet, service: "letters"})
+	const serviceTime = 60 * time.Millisecond
+	c := newCluster(t)
+	a, b := c.startNode(nil, nil), c.startNode(nil, nil)
+	c.startUpstream(b, "letters", 4, func(rw http.ResponseWriter, _ *http.Request) { time.Sleep(serviceTime) })
+	c.configure(map[*testNode]string{b: "letters"})
+	got := c.do(t.Context(), request{to: a.callers.URL, method: http.MethodGet, service: "letters"})
 	must.EqOp(t, http.StatusOK, got.status, must.Sprint(got.body))
 	target := a.node.Table().ByNode(b.name)
-	must.GreaterEq(t, takes, target.Stats().Latency)
+	must.GreaterEq(t, serviceTime, target.Stats().Latency)
 }
--- a/internal/proxy/main_test.go
+++ b/internal/proxy/main_test.go
@@ -6,6 +6,6 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails when a test leaves a goroutine behind: each would be a call,
-// a connection or a re-attachment that never ends.
+// TestMain fails if a test leaves a goroutine running: a call, a connection or a re-attachment that
+// does not end.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -16,63 +16,62 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// maxReattaches bounds the second connections that are out to one peer at a time,
-// so that a slow peer isn't met with a burst of them.
+// maxReattaches is the maximum number of concurrent re-attachments to one peer. It prevents a burst
+// of new connections to a slow peer.
 const maxReattaches = 16
 
-// Connections says how connections to other nodes are made and kept.
+// Connections configures the connections to other nodes.
 type Connections struct {
-	// Connect bounds making one without its TLS handshake; a new connection
-	// takes about 1 ms. A dial function given to NewPeers has its own bound.
+	// Connect is the timeout for establishing a connection without its TLS handshake; this usually
+	// takes about 1 ms. It does not apply to a dial function given to NewPeers.
 	Connect time.Duration
-	// Idle bounds how long one is kept without use: something between the two
-	// ends may have forgotten it, and nothing on it would ever say so.
+	// Idle is how long an unused connection stays open. A device on the path may have lost the state
+	// of an idle connection, and neither end would receive an error.
 	Idle time.Duration
-	// MaxIdleConns bounds the idle ones to one node. Those that carry calls have no
-	// bound of their own: a call that waited for one would look like a slow
-	// peer.
+	// MaxIdleConns is the maximum number of idle connections per node. Connections in use are not
+	// limited: a call that waited for a connection would look like a slow peer.
 	MaxIdleConns int
-	// Silence is how long the path of a connection may be silent before the
-	// connection fails; 0 leaves that to the re-attachment.
+	// Silence is the time without acknowledgements after which a connection fails; 0 disables this
+	// check, so that only the re-attachment detects a broken path.
 	Silence time.Duration
-	// Reattach bounds the wait for an answer after which a second connection is
-	// tried; 0 stands for the default bounds.
+	// Reattach bounds the time to wait for a response before a re-attachment; 0 for both uses the
+	// default bounds.
 	Reattach WaitBounds
 }
 
-// DefaultConnections are those of the settings' defaults.
+// DefaultConnections returns the default values of the settings.
 func DefaultConnections() Connections {
 	return Connections{Connect: 250 * time.Millisecond, Idle: 5 * time.Second, MaxIdleConns: 256}
 }
 
-// Peers carries attempts to the guards of other nodes. Safe for concurrent use.
+// Peers sends attempts to the guards of other nodes. It is safe for concurrent use.
 type Peers struct {
-	node        *node.Node
-	dial        DialFunc
-	plain       bool // dial was not given
-	connections Connections
+	node            *node.Node
+	dial            DialFunc
+	usesDefaultDial bool // NewPeers was called without a dial function
+	connections     Connections
 
-	open atomic.Int64
-	// dialTLS replaces dial where nodes speak TLS with each other.
+	openConns atomic.Int64
+	// dialTLS replaces dial if nodes use TLS among each other.
 	dialTLS DialFunc
 
-	// versions is told of the versions of routes; nil where there are none.
+	// versions receives the route versions of other nodes; nil in a deployment without routes.
 	versions Versions
 
 	mu    sync.Mutex
 	peers map[string]*peer
 }
 
-// Versions compares the node's routes with those of others.
+// Versions compares the version of the node's routes with those of other nodes.
 type Versions interface {
-	// Version returns the version in force; 0 when there is none.
+	// Version returns the version in use; 0 if there is none.
 	Version() int64
-	// ObserveVersion says that the node at an inner address has that version in force;
-	// the address is empty when it isn't known. It must not block.
+	// ObserveVersion reports that the node at an inner address uses the given version. addr is empty
+	// if the address is unknown. It must not block.
 	ObserveVersion(addr string, version int64)
 }
 
-// SetVersions sets who compares versions; call it before the first sending.
+// SetVersions sets the receiver of route versions. It must be called before the first Send.
 func (p *Peers) SetVersions(v Versions) { p.versions = v }
 
 func (p *Peers) configVersion() int64 {
@@ -82,7 +81,7 @@
 	return p.versions.Version()
 }
 
-func (p *Peers) heardVersion(addr, text string) {
+func (p *Peers) observeVersion(addr, text string) {
 	if p == nil || p.versions == nil || text == "" {
 		return
 	}
@@ -91,60 +90,60 @@
 	}
 }
 
-// NewPeers makes the sender of a node with DefaultConnections; dial may be nil
-// for plain TCP.
+// NewPeers returns a sender with DefaultConnections. A nil dial uses plain TCP.
 func NewPeers(dial DialFunc) *Peers {
-	p := &Peers{peers: make(map[string]*peer), plain: dial == nil}
-	p.dial = p.counting(dial)
+	p := &Peers{peers: make(map[string]*peer), usesDefaultDial: dial == nil}
+	p.dial = p.countOpen(dial)
 	p.SetConnections(DefaultConnections())
 	return p
 }
 
-// SetConnections replaces the defaults. Call it before Secure and before the
-// first sending.
+// SetConnections replaces the default configuration. It must be called before Secure and before the
+// first Send.
 func (p *Peers) SetConnections(c Connections) {
 	p.connections = c
-	if p.plain {
+	if p.usesDefaultDial {
 		dialer := &net.Dialer{Timeout: c.Connect}
 		if c.Silence > 0 {
 			dialer = conns.DetectSilence(dialer, c.Silence)
 		}
-		p.dial = p.counting(dialer.DialContext)
+		p.dial = p.countOpen(dialer.DialContext)
 	}
 	if p.connections.Reattach == (WaitBounds{}) {
 		p.connections.Reattach = WaitBounds{Min: minReattachWait, Max: maxReattachWait}
 	}
 }
 
-// SetMaxIdleConns bounds the idle connections to each node from now on.
-func (p *Peers) SetMaxIdleConns(kept int) {
+// SetMaxIdleConns changes the maximum number of idle connections per node.
+func (p *Peers) SetMaxIdleConns(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.connections.MaxIdleConns = kept
-	for _, to := range p.peers {
-		to.pool.SetMaxIdleConns(kept)
+	p.connections.MaxIdleConns = limit
+	for _, peer := range p.peers {
+		peer.pool.SetMaxIdleConns(limit)
 	}
 }
 
-// Open returns how many connections to other nodes are open.
-func (p *Peers) Open() int64 { return p.open.Load() }
+// Open returns the number of open connections to other nodes.
+func (p *Peers) Open() int64 { return p.openConns.Load() }
 
-func (p *Peers) counting(dial DialFunc) DialFunc {
+// countOpen wraps a dial function so that its open connections are counted.
+func (p *Peers) countOpen(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		p.open.Add(1)
-		return conns.OnClose(c, func() { p.open.Add(-1) }), nil
+		p.openConns.Add(1)
+		return conns.OnClose(c, func() { p.openConns.Add(-1) }), nil
 	}
 }
 
-// Secure makes every connection to other nodes one of TLS; wrap adds the
-// handshake. Call it before the first sending.
+// Secure enables TLS for all connections to other nodes. wrap adds the handshake to a dial function.
+// It must be called before the first Send.
 func (p *Peers) Secure(wrap func(DialFunc) DialFunc) { p.dialTLS = wrap(p.dial) }
 
-// Scheme is that of other nodes' inner addresses.
+// Scheme returns the URL scheme of the inner addresses of other nodes.
 func (p *Peers) Scheme() string {
 	if p.dialTLS != nil {
 		return "https"
@@ -152,139 +151,140 @@
 	return "http"
 }
 
-// ControlTransport returns a transport to other nodes apart from that of data
-// calls, so that an operator's questions never wait behind calls.
+// ControlTransport returns a transport to other nodes that does not share connections with data
+// calls, so that requests of operators do not wait for calls.
 func (p *Peers) ControlTransport() *http.Transport { return p.newTransport() }
 
-// Query sends a short question to another node on the connections of data calls: it is
-// part of a request that waits for it.
+// Query sends a short request without a body to another node. It uses the connections of data calls,
+// because a call waits for the response.
 func (p *Peers) Query(ctx context.Context, addr, target string) (*h1.Response, error) {
 	return p.peer(addr).pool.Do(ctx, &h1.Request{Method: http.MethodPost, Target: target, Host: addr})
 }
 
-// Bind sets the node on whose behalf attempts are sent.
+// Bind sets the node for which attempts are sent.
 func (p *Peers) Bind(n *node.Node) { p.node = n }
 
-// peer is one guard's address: a pool of kept connections, and a way to make
-// fresh ones that never come from the pool.
+// peer holds the connections to one guard's address: pool reuses connections, freshPool opens a new
+// connection for each call.
 type peer struct {
-	pool       *h1.Pool
-	fresh      *h1.Pool
-	wait       waitEstimator
-	reattaches chan struct{}
+	pool          *h1.Pool
+	freshPool     *h1.Pool
+	responseTime  responseTimeEstimator
+	reattachSlots chan struct{}
 }
 
 func (p *Peers) peer(addr string) *peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	got, ok := p.peers[addr]
+	entry, ok := p.peers[addr]
 	if !ok {
-		got = &peer{
-			pool:       p.newPool(addr, p.connections.Idle),
-			fresh:      p.newPool(addr, 0),
-			reattaches: make(chan struct{}, maxReattaches),
+		entry = &peer{
+			pool:          p.newPool(addr, p.connections.Idle),
+			freshPool:     p.newPool(addr, 0),
+			reattachSlots: make(chan struct{}, maxReattaches),
 		}
-		p.peers[addr] = got
+		p.peers[addr] = entry
 	}
-	return got
+	return entry
 }
 
-// Retain closes what leads to addresses that are no longer members.
+// Retain closes the connections to addresses that are not in addrs.
 func (p *Peers) Retain(addrs map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for addr, gone := range p.peers {
+	for addr, entry := range p.peers {
 		if !addrs[addr] {
-			gone.pool.Close()
+			entry.pool.Close()
 			delete(p.peers, addr)
 		}
 	}
 }
 
-// Close closes every idle connection.
+// Close closes all idle connections.
 func (p *Peers) Close() { p.Retain(nil) }
 
-// Send takes an attempt to its guard and returns its answer.
+// Send sends an attempt to its guard and returns the response.
 //
-// A connection can go silent for good while new ones work. The first sending
-// would then wait for its deadline. After several times the usual wait the
-// same call ID is sent over a fresh connection: the guard either knows the
-// call, and the second sending joins it, or never saw it, and runs it now; it
-// can't run twice, because a guard runs a call ID once.
-func (p *Peers) Send(ctx context.Context, to routing.Endpoint, attempt *node.Call) *node.Response {
-	peer := p.peer(to.Addr)
+// A connection can become unresponsive permanently while new connections work. The first
+// transmission would then wait until the deadline of the call. After a multiple of the usual response
+// time, the same call ID is therefore sent again over a new connection. If the guard knows the call,
+// the second transmission joins it; otherwise the guard runs it now. The call cannot run twice,
+// because a guard runs a call ID at most once.
+func (p *Peers) Send(ctx context.Context, endpoint routing.Endpoint, call *node.Call) *node.Response {
+	peer := p.peer(endpoint.Addr)
 	started := p.node.Now()
-	s := &sending{peers: p, peer: peer, to: to, attempt: attempt, fresh: make(chan *node.Response, 1)}
-	s.ctx, s.cancel = context.WithCancel(ctx)
-	defer s.cancel()
-	timer := time.AfterFunc(peer.wait.bound(p.connections.Reattach), s.reattachIfSilent)
-	answer := s.roundTrip(s.ctx, peer.pool, attempt)
+	c := &peerCall{peers: p, peer: peer, endpoint: endpoint, call: call, reattachResp: make(chan *node.Response, 1)}
+	c.ctx, c.cancel = context.WithCancel(ctx)
+	defer c.cancel()
+	timer := time.AfterFunc(peer.responseTime.reattachWait(p.connections.Reattach), c.reattachIfPending)
+	resp := c.roundTrip(c.ctx, peer.pool, call)
 	timer.Stop()
-	answer = s.settle(answer)
-	if answer.Whole() {
-		peer.wait.observe(p.node.Now().Sub(started))
+	resp = c.finalResponse(resp)
+	if resp.Whole() {
+		peer.responseTime.observe(p.node.Now().Sub(started))
 	}
-	return answer
+	return resp
 }
 
-// sending is one attempt on its way, over one or two connections.
-type sending struct {
-	peers   *Peers
-	peer    *peer
-	to      routing.Endpoint
-	attempt *node.Call
-	ctx     context.Context
-	cancel  context.CancelFunc
-	fresh   chan *node.Response
-
-	mu         sync.Mutex
-	reattached bool // a re-attachment is out and will put an answer into fresh
-	ended      bool // the first sending came back
+// peerCall sends one attempt to a guard over one or two connections.
+type peerCall struct {
+	peers        *Peers
+	peer         *peer
+	endpoint     routing.Endpoint
+	call         *node.Call
+	ctx          context.Context
+	cancel       context.CancelFunc
+	reattachResp chan *node.Response
+
+	mu              sync.Mutex
+	reattachStarted bool // a re-attachment was started and will send to reattachResp
+	firstDone       bool // the first transmission returned
 }
 
-// reattachIfSilent is called when the first connection was silent for long.
-func (s *sending) reattachIfSilent() {
+// reattachIfPending starts a re-attachment if the first transmission has not returned yet. If the
+// re-attachment reaches the guard, it cancels the first transmission and resets the pool.
+func (c *peerCall) reattachIfPending() {
 	select {
-	case s.peer.reattaches <- struct{}{}:
-		defer func() { <-s.peer.reattaches }()
+	case c.peer.reattachSlots <- struct{}{}:
+		defer func() { <-c.peer.reattachSlots }()
 	default:
 		return
 	}
-	s.mu.Lock()
-	if s.ended {
-		s.mu.Unlock()
+	c.mu.Lock()
+	if c.firstDone {
+		c.mu.Unlock()
 		return
 	}
-	s.reattached = true
-	s.mu.Unlock()
-
-	answer := s.reattach()
-	s.fresh <- answer
-	if answer.Code != result.Unreachable {
-		s.cancel()
-		s.peer.pool.Reset()
+	c.reattachStarted = true
+	c.mu.Unlock()
+
+	resp := c.reattach()
+	c.reattachResp <- resp
+	if resp.Code != result.Unreachable {
+		c.cancel()
+		c.peer.pool.Reset()
 	}
 }
 
-// settle chooses between the two sendings. A whole answer of the first one
-// counts at once; otherwise the second one's does. When the first one's
-// connection broke before a second was out, the call is attached to again now.
+// finalResponse selects the response of one of the two transmissions. A whole response of the first
+// one is returned immediately, otherwise that of the second one. If the connection of the first one
+// failed before a second one was started, the call is re-attached now.
 //
-// A refusal of the first that says "not run" is true of the first only: the
-// guard may take the second, should its upstream come or a slot become free in
-// between. It shows when the refusal is late, as after a lost packet: the caller
-// was told that nothing ran while the call ran. So the second is waited for.
-func (s *sending) settle(first *node.Response) *node.Response {
-	s.mu.Lock()
-	s.ended = true
-	reattached := s.reattached
-	s.mu.Unlock()
+// A refusal with "not run" in the first response applies to the first transmission only: the guard
+// may accept the second one if its upstream becomes available or a slot becomes free in between. This
+// occurs if the refusal arrives late, for example after a lost packet. The caller would receive "not
+// run" while the call runs. Therefore finalResponse waits for the second response.
+func (c *peerCall) finalResponse(first *node.Response) *node.Response {
+	c.mu.Lock()
+	c.firstDone = true
+	reattachStarted := c.reattachStarted
+	c.mu.Unlock()
 	var second *node.Response
 	switch {
-	case reattached && superseded(first):
-		second = <-s.fresh
-	case !reattached && broken(first) && s.ctx.Err() == nil:
-		second = s.reattach()
+	case reattachStarted && needsSecondResponse(first):
+		second = <-c.reattachResp
+	case !reattachStarted && connectionFailed(first) && c.ctx.Err() == nil:
+		second = c.reattach()
 	default:
 		return first
 	}
@@ -294,43 +294,43 @@
 	return second
 }
 
-// broken reports whether the connection of a sending failed. An answer that names
-// its node came over a sound one: what broke lies behind it, and to ask again
-// would bring the same answer.
-func broken(first *node.Response) bool {
+// connectionFailed reports whether the connection of a transmission failed. A response that names its
+// node arrived over a working connection: the failure is behind that node, and a second transmission
+// would get the same response.
+func connectionFailed(first *node.Response) bool {
 	if first.Upstream != "" {
 		return false
 	}
 	return first.Code == result.LostAnswer || first.Code == result.AnswerCut
 }
 
-// superseded reports whether the answer of a first sending leaves open what a
-// second one brings.
-func superseded(first *node.Response) bool {
+// needsSecondResponse reports whether the first response is not final, so that the response of the
+// second transmission decides.
+func needsSecondResponse(first *node.Response) bool {
 	if first.Whole() {
 		return false
 	}
-	return broken(first) || first.Code == result.CancelledRunning || first.Code.Ran() == result.RanNo
+	return connectionFailed(first) || first.Code == result.CancelledRunning || first.Code.Ran() == result.RanNo
 }
 
-// reattach sends the call ID again over a fresh connection.
-func (s *sending) reattach() *node.Response {
-	again := *s.attempt
-	again.Reattach = true
-	answer := s.roundTrip(s.ctx, s.peer.fresh, &again)
-	if answer.Code != result.Unreachable {
-		s.peers.node.Reattached(s.attempt, s.to.Node, answer)
+// reattach sends the call ID again over a new connection.
+func (c *peerCall) reattach() *node.Response {
+	call := *c.call
+	call.Reattach = true
+	resp := c.roundTrip(c.ctx, c.peer.freshPool, &call)
+	if resp.Code != result.Unreachable {
+		c.peers.node.Reattached(c.call, c.endpoint.Node, resp)
 	}
-	return answer
+	return resp
 }
 
-// newPool makes the connections to one address; those of idle 0 carry one call.
+// newPool returns a connection pool for one address. With idle 0 each connection carries one call.
 func (p *Peers) newPool(addr string, idle time.Duration) *h1.Pool {
 	dial := p.dial
 	if p.dialTLS != nil {
 		dial = p.dialTLS
 	}
-	return h1.NewPool(addr, h1.Config{Dial: h1.DialFunc(dial), Idle: idle, MaxIdleConns: p.connections.MaxIdleConns, MaxBody: maxAnswerBody})
+	return h1.NewPool(addr, h1.Config{Dial: h1.DialFunc(dial), Idle: idle, MaxIdleConns: p.connections.MaxIdleConns, MaxBody: maxResponseBody})
 }
 
 func (p *Peers) newTransport() *http.Transport {
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -22,9 +22,9 @@
 
 func (wallClock) Now() time.Time { return time.Now() }
 
-// guard serves what a test says in place of a guard, and returns the sender of
+// startFakeGuard starts a server that responds in place of a guard, and returns a function that sends
 // calls to it.
-func guard(t *testing.T, serve func(l net.Listener, h *innerpb.CallHeader, w http.ResponseWriter)) func(callID string) *node.Response {
+func startFakeGuard(t *testing.T, serve func(l net.Listener, h *innerpb.CallHeader, w http.ResponseWriter)) func(callID string) *node.Response {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -47,21 +47,22 @@
 	}
 }
 
-// writeInner answers as a guard does.
-func writeInner(w http.ResponseWriter, a *node.Response) {
+// writeInner writes a response as a guard does.
+func writeInner(w http.ResponseWriter, resp *node.Response) {
 	p := &Proxy{node: node.New(node.Config{Clock: wallClock{}, Ring: timeline.NewRing("g", 16, &timeline.Clock{})})}
-	p.writeInner(w, &node.Call{}, a)
+	p.writeInner(w, &node.Call{}, resp)
 }
 
-func whole(callID string) *node.Response {
+func okResponse(callID string) *node.Response {
 	return &node.Response{CallID: callID, Code: result.OK, Status: http.StatusOK}
 }
 
-// Guards against a failed dial of a repeat hiding that the request ran.
-func TestDialErrorAfterSendingIsNoRefusal(t *testing.T) {
-	send := guard(t, func(l net.Listener, h *innerpb.CallHeader, w http.ResponseWriter) {
+// Guards against a call that ran but is reported as not run, because the dial of its re-attachment
+// failed.
+func TestDialErrorOfReattachIsNoRefusal(t *testing.T) {
+	send := startFakeGuard(t, func(l net.Listener, h *innerpb.CallHeader, w http.ResponseWriter) {
 		if h.GetCallId() == "kept" {
-			writeInner(w, whole("kept"))
+			writeInner(w, okResponse("kept"))
 			return
 		}
 		conn, _, err := http.NewResponseController(w).Hijack()
@@ -74,17 +75,17 @@
 	must.Eq(t, result.Unreachable, send("never sent").Code)
 }
 
-// Guards against a refusal of one sending reported for a call whose other sending runs.
-func TestRefusalOfOneSendingIsNotTheCalls(t *testing.T) {
-	second, refused := make(chan struct{}), make(chan struct{})
-	send := guard(t, func(_ net.Listener, h *innerpb.CallHeader, w http.ResponseWriter) {
+// Guards against the refusal of the first transmission being returned while the second one runs.
+func TestRefusalOfFirstTransmissionIsNotFinal(t *testing.T) {
+	reattached, refused := make(chan struct{}), make(chan struct{})
+	send := startFakeGuard(t, func(_ net.Listener, h *innerpb.CallHeader, w http.ResponseWriter) {
 		if h.GetReattach() {
-			close(second)
+			close(reattached)
 			<-refused
-			writeInner(w, whole("c"))
+			writeInner(w, okResponse("c"))
 			return
 		}
-		<-second
+		<-reattached
 		writeInner(w, node.Refused("c", result.Refuse(result.NoAuthority, "last proof is too old")))
 		close(refused)
 	})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -19,65 +19,63 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// Proxy serves one node's calls. Safe for concurrent use.
+// Proxy serves the calls of one node. It is safe for concurrent use.
 type Proxy struct {
 	node     *node.Node
 	peers    *Peers
 	upstream *Upstream
 	gate     gate
 	rngs     sync.Pool
-	// routed is set where requests come by routes; see ServeRoutes.
-	routed *routed
-	// successorOf is the service whose calls for an earlier process at this address
-	// are taken; empty takes none.
-	successorOf string
-	// answering counts the calls of other nodes whose answers are not written.
-	answering atomic.Int64
-	// roots counts the requests of callers that are not answered.
-	roots atomic.Int64
+	// routeHandler is set in a deployment with routes; see ServeRoutes.
+	routeHandler *routeHandler
+	// predecessorService is the service for which calls to an earlier process at this address are
+	// accepted; empty accepts none.
+	predecessorService string
+	// peerCallsPending counts the calls of other nodes whose responses are not yet written.
+	peerCallsPending atomic.Int64
+	// rootsPending counts the requests of callers whose responses are not yet written.
+	rootsPending atomic.Int64
 }
 
-// New joins a node's decisions to its data path.
+// New returns a Proxy that executes the decisions of n with the given peers and upstream.
 func New(n *node.Node, peers *Peers, upstream *Upstream) *Proxy {
 	p := &Proxy{node: n, peers: peers, upstream: upstream}
 	p.rngs.New = func() any { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 	return p
 }
 
-// AcceptPredecessorCalls lets the node take calls that are meant for an earlier process at its
-// address, if they are for that service. It is for deployments without idempotency
-// keys: who ran what is not kept from one process to the next. Call it before
-// serving.
-func (p *Proxy) AcceptPredecessorCalls(service string) { p.successorOf = service }
+// AcceptPredecessorCalls makes the node accept calls to an earlier process at its address if they
+// are for the given service. It is for deployments without idempotency keys, since a new process does
+// not know which calls ran in the earlier one. It must be called before serving.
+func (p *Proxy) AcceptPredecessorCalls(service string) { p.predecessorService = service }
 
-// Answering returns how many calls of other nodes have not got their whole
-// answer yet.
-func (p *Proxy) Answering() int { return int(p.answering.Load()) }
+// Answering returns the number of calls of other nodes whose responses are not completely written.
+func (p *Proxy) Answering() int { return int(p.peerCallsPending.Load()) }
 
-// Roots returns how many requests of callers, other than the local upstream, have not
-// got their whole answer yet.
-func (p *Proxy) Roots() int { return int(p.roots.Load()) }
+// Roots returns the number of callers' requests whose responses are not completely written. Requests
+// of the local upstream are not counted.
+func (p *Proxy) Roots() int { return int(p.rootsPending.Load()) }
 
-// CallerHandler serves callers: every request is a new root, whatever context
-// it claims to belong to.
+// CallerHandler returns the handler for callers. Every request starts a new call tree; a parent
+// context in its headers is ignored.
 func (p *Proxy) CallerHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		raw, refusal := callctx.Decode(r.Header)
 		if refusal != nil {
-			p.turn(w, raw, "", refusal)
+			p.reject(w, raw, "", refusal)
 			return
 		}
 		p.serveRoot(w, r, raw)
 	})
 }
 
-// ExitHandler serves the calls of the local upstream. Those that carry the
-// context of a running call become its children.
+// ExitHandler returns the handler for requests of the local upstream. A request with the context of a
+// running call becomes a child of that call.
 func (p *Proxy) ExitHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		raw, refusal := callctx.Decode(r.Header)
 		if refusal != nil {
-			p.turn(w, raw, "", refusal)
+			p.reject(w, raw, "", refusal)
 			return
 		}
 		if raw.Parent == "" {
@@ -91,136 +89,137 @@
 func (p *Proxy) serveRoot(w http.ResponseWriter, r *http.Request, raw callctx.Raw) {
 	call, allowance, refusal := p.node.Root(p.node.Now(), raw, r.Method, callerOf(raw, r))
 	if refusal != nil {
-		p.turn(w, raw, "", refusal)
+		p.reject(w, raw, "", refusal)
 		return
 	}
-	p.serve(r.Context(), exchange{w: w, r: r, out: plainWriter{p}}, call, retry.NewAccount(allowance))
+	p.serve(r.Context(), exchange{w: w, r: r, writer: defaultWriter{p}}, call, retry.NewAccount(allowance))
 }
 
 func (p *Proxy) serveChild(w http.ResponseWriter, r *http.Request, raw callctx.Raw) {
 	call, account, refusal := p.node.Child(p.node.Now(), raw, r.Method)
 	if refusal != nil {
-		p.turn(w, raw, "", refusal)
+		p.reject(w, raw, "", refusal)
 		return
 	}
-	ctx, stop := p.upstream.whileRunning(r.Context(), raw.Parent)
+	ctx, stop := p.upstream.boundByParent(r.Context(), raw.Parent)
 	defer stop()
-	p.serve(ctx, exchange{w: w, r: r, out: plainWriter{p}}, call, account)
+	p.serve(ctx, exchange{w: w, r: r, writer: defaultWriter{p}}, call, account)
 }
 
-// exchange is one request with the way to answer it.
+// exchange is a request together with the writer of its response.
 type exchange struct {
-	w   http.ResponseWriter
-	r   *http.Request
-	out answerWriter
+	w      http.ResponseWriter
+	r      *http.Request
+	writer responseWriter
 }
 
-// answerWriter puts answers into the words of those who asked.
-type answerWriter interface {
-	// refuse answers a request that did not become a call.
-	refuse(w http.ResponseWriter, call *node.Call, refusal *result.Refusal)
-	// answer gives the answer of a call.
-	answer(w http.ResponseWriter, call *node.Call, a *node.Response)
+// responseWriter writes responses in the format of the requester.
+type responseWriter interface {
+	// writeRefusal responds to a request that was refused before it became a call.
+	writeRefusal(w http.ResponseWriter, call *node.Call, refusal *result.Refusal)
+	// writeResponse writes the response of a call.
+	writeResponse(w http.ResponseWriter, call *node.Call, resp *node.Response)
 }
 
-func (p *Proxy) serve(ctx context.Context, x exchange, call *node.Call, account *retry.Account) {
-	size := max(0, x.r.ContentLength)
+func (p *Proxy) serve(ctx context.Context, ex exchange, call *node.Call, account *retry.Account) {
+	size := max(0, ex.r.ContentLength)
 	if refusal := p.gate.enter(size, call.Ctx.Depth == 0); refusal != nil {
-		x.out.refuse(x.w, call, refusal)
+		ex.writer.writeRefusal(ex.w, call, refusal)
 		return
 	}
 	defer func() { p.gate.leave(size) }()
 	if call.Ctx.Depth == 0 {
-		p.roots.Add(1)
-		defer p.roots.Add(-1)
+		p.rootsPending.Add(1)
+		defer p.rootsPending.Add(-1)
 	}
-	if !isPathTarget(x.r.RequestURI) {
-		x.out.refuse(x.w, call, badTarget())
+	if !isPathTarget(ex.r.RequestURI) {
+		ex.writer.writeRefusal(ex.w, call, badTargetRefusal())
 		return
 	}
-	body, refusal := readBody(x.w, x.r, p.maxBody(call))
+	body, refusal := readBody(ex.w, ex.r, p.maxBody(call))
 	if refusal != nil {
-		x.out.refuse(x.w, call, refusal)
+		ex.writer.writeRefusal(ex.w, call, refusal)
 		return
 	}
-	size += p.gate.hold(int64(len(body)) - size)
-	call.Method = x.r.Method
-	call.Target = x.r.RequestURI
+	size += p.gate.addBytes(int64(len(body)) - size)
+	call.Method = ex.r.Method
+	call.Target = ex.r.RequestURI
 	if call.Routed {
-		call.Host = x.r.Host
+		call.Host = ex.r.Host
 	}
 	if call.Header == nil {
-		call.Header = callctx.Forwardable(x.r.Header)
+		call.Header = callctx.Forwardable(ex.r.Header)
 	}
 	call.Body = body
 	call.BodyHash = node.HashBody(body)
 	ctx, cancel := context.WithDeadline(ctx, call.Ctx.Deadline)
 	defer cancel()
-	answer := p.run(ctx, call, account)
-	size += p.gate.hold(int64(len(answer.Body)))
-	x.out.answer(x.w, call, answer)
+	resp := p.run(ctx, call, account)
+	size += p.gate.addBytes(int64(len(resp.Body)))
+	ex.writer.writeResponse(ex.w, call, resp)
 }
 
-// turn refuses a request that did not become a call.
-func (p *Proxy) turn(w http.ResponseWriter, raw callctx.Raw, requestID string, refusal *result.Refusal) {
+// reject refuses a request before it became a call.
+func (p *Proxy) reject(w http.ResponseWriter, raw callctx.Raw, requestID string, refusal *result.Refusal) {
 	p.node.RecordRejected(raw.Workspace, raw.Service, requestID, refusal)
 	refusal.Write(w, requestID)
 }
 
-// plainWriter answers in the product's own words.
-type plainWriter struct{ p *Proxy }
+// defaultWriter writes responses with galenagrade's own headers.
+type defaultWriter struct{ p *Proxy }
 
-func (o plainWriter) refuse(w http.ResponseWriter, call *node.Call, refusal *result.Refusal) {
+func (d defaultWriter) writeRefusal(w http.ResponseWriter, call *node.Call, refusal *result.Refusal) {
 	c := &call.Ctx
-	o.p.turn(w, callctx.Raw{Workspace: c.Workspace, Service: c.Service}, c.RequestID, refusal)
+	d.p.reject(w, callctx.Raw{Workspace: c.Workspace, Service: c.Service}, c.RequestID, refusal)
 }
 
-func (plainWriter) answer(w http.ResponseWriter, call *node.Call, a *node.Response) {
-	writeAnswer(w, call, a)
+func (defaultWriter) writeResponse(w http.ResponseWriter, call *node.Call, resp *node.Response) {
+	writeResponse(w, call, resp)
 }
 
-// run follows the orders of a Dispatch until the call has its answer.
+// run executes the actions of a Dispatch until the call has a response.
 func (p *Proxy) run(ctx context.Context, call *node.Call, account *retry.Account) *node.Response {
 	rng := p.rngs.Get().(*rand.Rand)
 	defer p.rngs.Put(rng)
-	return p.follow(ctx, call, node.NewDispatch(p.node, rng, call, account))
+	return p.runActions(ctx, call, node.NewDispatch(p.node, rng, call, account))
 }
 
-func (p *Proxy) follow(ctx context.Context, call *node.Call, d *node.Dispatch) *node.Response {
+func (p *Proxy) runActions(ctx context.Context, call *node.Call, dispatch *node.Dispatch) *node.Response {
 	for {
 		if errors.Is(ctx.Err(), context.Canceled) {
-			d.Leave()
+			dispatch.Leave()
 		}
-		order := d.Next(p.node.Now())
-		switch order.Kind {
+		action := dispatch.Next(p.node.Now())
+		switch action.Kind {
 		case node.ActionDone:
-			p.node.Answered(call, order.Response, d)
-			return order.Response
+			p.node.Answered(call, action.Response, dispatch)
+			return action.Response
 		case node.ActionPause:
-			wait.For(ctx, order.Pause)
+			wait.For(ctx, action.Pause)
 		case node.ActionSend:
-			// The time is taken after the answer. As an argument beside the call it is the
-			// time before: every latency is microseconds, a slow upstream looks like a quick
-			// one, and reports of load are as old as the call.
-			answer := p.send(ctx, order)
-			d.Observe(p.node.Now(), answer)
+			// The time is read after the response. As an argument next to p.send it would be the time
+			// before the call: every latency would be microseconds, a slow upstream would look fast, and
+			// load reports would be as old as the call.
+			resp := p.send(ctx, action)
+			dispatch.Observe(p.node.Now(), resp)
 		}
 	}
 }
 
-func (p *Proxy) send(ctx context.Context, order node.Action) *node.Response {
-	to := order.Target.Endpoint()
-	if to.Node == p.node.ID() {
+func (p *Proxy) send(ctx context.Context, action node.Action) *node.Response {
+	endpoint := action.Target.Endpoint()
+	if endpoint.Node == p.node.ID() {
 		p.node.Metrics().Inc(metrics.CallsLocal, 1)
-		return p.upstream.Serve(ctx, order.Attempt)
+		return p.upstream.Serve(ctx, action.Attempt)
 	}
 	p.node.Metrics().Inc(metrics.CallsForwarded, 1)
 	sent := p.node.Now()
-	answer := p.peers.Send(ctx, to, order.Attempt)
+	resp := p.peers.Send(ctx, endpoint, action.Attempt)
 	p.node.Metrics().Observe(metrics.InnerTime, p.node.Now().Sub(sent))
-	return answer
+	return resp
 }
 
+// callerOf returns the caller named in the headers, or else the host of the remote address.
 func callerOf(raw callctx.Raw, r *http.Request) string {
 	if raw.Caller != "" {
 		return raw.Caller
@@ -232,10 +231,10 @@
 	return host
 }
 
-// readBody takes a whole body of at most limit bytes.
+// readBody reads a whole body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *result.Refusal) {
 	if r.ContentLength > limit {
-		return nil, result.Refuse(result.BodyTooLarge, "body of %d bytes, bound %d", r.ContentLength, limit)
+		return nil, result.Refuse(result.BodyTooLarge, "body has %d bytes, limit is %d", r.ContentLength, limit)
 	}
 	if r.ContentLength == 0 {
 		return nil, nil
@@ -243,15 +242,15 @@
 	body, err := readSized(http.MaxBytesReader(w, r.Body, limit), r.ContentLength)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, result.Refuse(result.BodyTooLarge, "body of more than %d bytes", limit)
+		return nil, result.Refuse(result.BodyTooLarge, "body exceeds the limit of %d bytes", limit)
 	}
 	if err != nil {
-		return nil, result.Refuse(result.BadContext, "body ended early: %v", err)
+		return nil, result.Refuse(result.BadContext, "request body ended early: %v", err)
 	}
 	return body, nil
 }
 
-// readSized reads to the end; size is the announced length or negative.
+// readSized reads a whole body. size is its Content-Length; negative if unknown.
 func readSized(r io.Reader, size int64) ([]byte, error) {
 	if size < 0 {
 		return io.ReadAll(r)
@@ -261,18 +260,19 @@
 	return buf, err
 }
 
-func writeAnswer(w http.ResponseWriter, call *node.Call, a *node.Response) {
+// writeResponse writes the response of a call to a caller, with its result code in the header.
+func writeResponse(w http.ResponseWriter, call *node.Call, resp *node.Response) {
 	h := w.Header()
 	h.Set(callctx.HeaderRequestID, call.Ctx.RequestID)
-	if !a.Whole() {
-		a.Refusal.Write(w, call.Ctx.RequestID)
+	if !resp.Whole() {
+		resp.Refusal.Write(w, call.Ctx.RequestID)
 		return
 	}
-	for name, values := range a.Header {
+	for name, values := range resp.Header {
 		h[name] = values
 	}
-	h.Set(result.HeaderResult, strconv.Itoa(int(a.Code)))
-	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body)
+	h.Set(result.HeaderResult, strconv.Itoa(int(resp.Code)))
+	h.Set("Content-Length", strconv.Itoa(len(resp.Body)))
+	w.WriteHeader(resp.Status)
+	_, _ = w.Write(resp.Body)
 }
--- a/internal/proxy/resend_test.go
+++ b/internal/proxy/resend_test.go
@@ -19,10 +19,11 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// dyingUpstream answers the first request on a connection and dies by the
-// second, after it has read it: only the connection breaks, so that a client
-// would find it listening. It returns its address and the requests it read.
-func dyingUpstream(t *testing.T) (addr string, read *atomic.Int32) {
+// startBreakingUpstream starts an upstream that responds to the first request on a connection and
+// closes the connection after it has read the second one. The upstream continues to accept
+// connections, so that a client could send the request again. It returns the address and the number of
+// requests read.
+func startBreakingUpstream(t *testing.T) (addr string, read *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -33,17 +34,17 @@
 			if err != nil {
 				return
 			}
-			go serveOnce(conn, read)
+			go serveTwoRequests(conn, read)
 		}
 	}()
 	return l.Addr().String(), read
 }
 
-func serveOnce(conn net.Conn, read *atomic.Int32) {
+func serveTwoRequests(conn net.Conn, read *atomic.Int32) {
 	defer func() { _ = conn.Close() }()
-	buffered := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for range 2 {
-		req, err := http.ReadRequest(buffered)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -56,35 +57,34 @@
 	}
 }
 
-// Guards against the HTTP library sending a keyed request again on its own.
-func TestNoReplayToTheUpstream(t *testing.T) {
+// Guards against an HTTP client that sends a keyed request again after its connection failed.
+func TestKeyedRequestIsNotResentToUpstream(t *testing.T) {
 	for _, body := range []string{"", "a"} {
-		w := newWorld(t)
-		n := w.start(nil, nil)
-		addr, read := dyingUpstream(t)
+		c := newCluster(t)
+		n := c.startNode(nil, nil)
+		addr, read := startBreakingUpstream(t)
 		n.upstream.SetAddr(addr)
 		n.node.UpstreamAnnounced(time.Now(), node.Announcement{Service: "letters", Slots: 4})
-		w.connect(map[*testNode]string{n: "letters"})
-		first := w.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", key: "k1", body: body})
+		c.configure(map[*testNode]string{n: "letters"})
+		first := c.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", key: "k1", body: body})
 		must.EqOp(t, result.OK, first.code)
-		second := w.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", key: "k2", body: body})
+		second := c.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", key: "k2", body: body})
 		must.EqOp(t, result.LostAnswer, second.code)
 		must.EqOp(t, 2, read.Load())
 	}
 }
 
-// blocking is an upstream that holds its runs until released and notes which
-// of them were cancelled.
-type blocking struct {
-	ledger
+// blockingUpstream is an upstream whose runs block until release is closed. It records canceled runs.
+type blockingUpstream struct {
+	runCounter
 	release, cancelled chan struct{}
 }
 
-func newBlocking() *blocking {
-	return &blocking{release: make(chan struct{}), cancelled: make(chan struct{}, 8)}
+func newBlockingUpstream() *blockingUpstream {
+	return &blockingUpstream{release: make(chan struct{}), cancelled: make(chan struct{}, 8)}
 }
 
-func (b *blocking) serve(rw http.ResponseWriter, r *http.Request) {
+func (b *blockingUpstream) serve(rw http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	b.add(string(body))
 	select {
@@ -95,46 +95,46 @@
 	}
 }
 
-// A caller leaves while its call runs two services deep. Both upstreams must
-// be told to stop, and their slots come back.
-func TestCallerLeavesAnIdempotentChain(t *testing.T) {
-	w := newWorld(t)
-	entry, middle, deep := w.start(nil, nil), w.start(nil, nil), w.start(nil, nil)
-	deepest := newBlocking()
-	w.serve(deep, "tracker", 1, deepest.serve)
-	w.serve(middle, "archive", 1, func(_ http.ResponseWriter, r *http.Request) {
-		// The child's own connection stays: only the parent's end stops it.
-		w.do(context.Background(), request{to: middle.exit.URL, method: "GET", service: "tracker", parent: r.Header.Get(callctx.HeaderContext)})
+// Guards against upstreams that continue to work after their caller canceled. The call runs 2 services
+// deep; both runs have to be canceled, and their slots released.
+func TestCancelPropagatesThroughIdempotentChain(t *testing.T) {
+	c := newCluster(t)
+	entry, middle, leaf := c.startNode(nil, nil), c.startNode(nil, nil), c.startNode(nil, nil)
+	leafUpstream := newBlockingUpstream()
+	c.startUpstream(leaf, "tracker", 1, leafUpstream.serve)
+	c.startUpstream(middle, "archive", 1, func(_ http.ResponseWriter, r *http.Request) {
+		// The connection of the child stays open: only the end of the parent cancels it.
+		c.do(context.Background(), request{to: middle.exit.URL, method: "GET", service: "tracker", parent: r.Header.Get(callctx.HeaderContext)})
 	})
-	w.connect(map[*testNode]string{middle: "archive", deep: "tracker"})
+	c.configure(map[*testNode]string{middle: "archive", leaf: "tracker"})
 	ctx, leave := context.WithCancel(context.Background())
 	done := make(chan reply, 1)
 	go func() {
-		done <- w.do(ctx, request{to: entry.callers.URL, method: "GET", service: "archive", timeout: 3 * giveUp})
+		done <- c.do(ctx, request{to: entry.callers.URL, method: "GET", service: "archive", timeout: 3 * testTimeout})
 	}()
-	eventually(t, func() bool { return deepest.count("") == 1 })
+	eventually(t, func() bool { return leafUpstream.count("") == 1 })
 	leave()
 	must.Error(t, (<-done).err)
-	eventually(t, func() bool { return len(deepest.cancelled) == 1 })
-	eventually(t, func() bool { return middle.node.Guard().Busy()+deep.node.Guard().Busy() == 0 })
+	eventually(t, func() bool { return len(leafUpstream.cancelled) == 1 })
+	eventually(t, func() bool { return middle.node.Guard().Busy()+leaf.node.Guard().Busy() == 0 })
 }
 
-// The caller of a letter leaves and sends it again. The first sending goes on,
-// and the second gets its answer.
-func TestCallerLeavesAKeyedCall(t *testing.T) {
-	w := newWorld(t)
-	entry, guard := w.start(nil, nil), w.start(nil, nil)
-	letters := newBlocking()
-	w.serve(guard, "letters", 2, letters.serve)
-	w.connect(map[*testNode]string{guard: "letters"})
+// Guards against a keyed call that runs twice or gets no response after its caller canceled and sent it
+// again. The first run continues, and the second request receives its response.
+func TestCancelDoesNotStopKeyedCall(t *testing.T) {
+	c := newCluster(t)
+	entry, guard := c.startNode(nil, nil), c.startNode(nil, nil)
+	letters := newBlockingUpstream()
+	c.startUpstream(guard, "letters", 2, letters.serve)
+	c.configure(map[*testNode]string{guard: "letters"})
 	r := request{to: entry.callers.URL, method: "POST", service: "letters", key: "k", body: "a"}
 	ctx, leave := context.WithCancel(context.Background())
 	done := make(chan reply, 1)
-	go func() { done <- w.do(ctx, r) }()
+	go func() { done <- c.do(ctx, r) }()
 	eventually(t, func() bool { return letters.count("a") == 1 })
 	leave()
 	<-done
-	go func() { done <- w.do(context.Background(), r) }()
+	go func() { done <- c.do(context.Background(), r) }()
 	close(letters.release)
 	got := <-done
 	must.EqOp(t, result.Replayed, got.code)
@@ -143,27 +143,27 @@
 	must.EqOp(t, 0, len(letters.cancelled))
 }
 
-// The answer to a letter is slow and its caller sends it again through another
-// node. The second sending joins the first at the owner of the key.
+// Guards against a keyed call that runs twice, because its caller sends it again to another node while
+// the first one still runs. The second call joins the first one at the owner of the key.
 func TestResendAtAnotherNodeJoins(t *testing.T) {
-	w := newWorld(t)
-	one, two, guard, other := w.start(nil, nil), w.start(nil, nil), w.start(nil, nil), w.start(nil, nil)
-	letters, idle := newBlocking(), newBlocking()
-	w.serve(guard, "letters", 2, letters.serve)
-	w.serve(other, "letters", 2, idle.serve)
-	w.owner.addr = guard.innerAddr()
-	w.connect(map[*testNode]string{guard: "letters", other: "letters"})
-	answers := make(chan reply, 2)
+	c := newCluster(t)
+	one, two, guard, other := c.startNode(nil, nil), c.startNode(nil, nil), c.startNode(nil, nil), c.startNode(nil, nil)
+	letters, idle := newBlockingUpstream(), newBlockingUpstream()
+	c.startUpstream(guard, "letters", 2, letters.serve)
+	c.startUpstream(other, "letters", 2, idle.serve)
+	c.owner.addr = guard.innerAddr()
+	c.configure(map[*testNode]string{guard: "letters", other: "letters"})
+	replies := make(chan reply, 2)
 	for _, n := range []*testNode{one, two} {
 		go func() {
-			answers <- w.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", key: "k", body: "a"})
+			replies <- c.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", key: "k", body: "a"})
 		}()
 	}
 	eventually(t, func() bool { return letters.count("a") == 1 })
 	close(letters.release)
 	codes := map[result.Code]int{}
 	for range 2 {
-		got := <-answers
+		got := <-replies
 		must.EqOp(t, "re:a", got.body)
 		codes[got.code]++
 	}
@@ -172,35 +172,34 @@
 	must.EqOp(t, 0, idle.count("a"))
 }
 
-// A caller uses a key again for another letter: refused with 422.
-func TestKeyWithAnotherBody(t *testing.T) {
-	w := newWorld(t)
-	n := w.start(nil, nil)
-	var ran ledger
-	w.serve(n, "letters", 2, ran.echo)
-	w.connect(map[*testNode]string{n: "letters"})
+// Guards against a key that is reused with another body: the call has to be refused with 422.
+func TestKeyReusedWithAnotherBody(t *testing.T) {
+	c := newCluster(t)
+	n := c.startNode(nil, nil)
+	var ran runCounter
+	c.startUpstream(n, "letters", 2, ran.echo)
+	c.configure(map[*testNode]string{n: "letters"})
 	r := request{to: n.callers.URL, method: "POST", service: "letters", key: "k", body: "a"}
-	must.EqOp(t, result.OK, w.do(context.Background(), r).code)
+	must.EqOp(t, result.OK, c.do(context.Background(), r).code)
 	r.body = "b"
-	got := w.do(context.Background(), r)
+	got := c.do(context.Background(), r)
 	must.EqOp(t, http.StatusUnprocessableEntity, got.status)
 	must.EqOp(t, 0, ran.count("b"))
 }
 
-// A call waits behind another until its deadline. It never ran, and its caller
-// must hear so.
-func TestDeadlinePassesInTheQueue(t *testing.T) {
-	w := newWorld(t)
-	n := w.start(nil, nil)
-	letters := newBlocking()
-	w.serve(n, "letters", 1, letters.serve)
-	w.connect(map[*testNode]string{n: "letters"})
+// Guards against a queued call that runs after its deadline or is not reported as not run.
+func TestDeadlinePassesInQueue(t *testing.T) {
+	c := newCluster(t)
+	n := c.startNode(nil, nil)
+	letters := newBlockingUpstream()
+	c.startUpstream(n, "letters", 1, letters.serve)
+	c.configure(map[*testNode]string{n: "letters"})
 	done := make(chan reply, 1)
 	go func() {
-		done <- w.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", body: "a"})
+		done <- c.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", body: "a"})
 	}()
 	eventually(t, func() bool { return letters.count("a") == 1 })
-	got := w.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", body: "b", timeout: 50 * time.Millisecond})
+	got := c.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", body: "b", timeout: 50 * time.Millisecond})
 	must.EqOp(t, result.RanNo, got.code.Ran())
 	must.EqOp(t, http.StatusGatewayTimeout, got.status)
 	close(letters.release)
@@ -208,23 +207,23 @@
 	must.EqOp(t, 0, letters.count("b"))
 }
 
-// A body exceeds what is held for a call, with and without an announced length.
+// Guards against a body that exceeds the limit, with and without Content-Length.
 func TestBodyTooLarge(t *testing.T) {
-	w := newWorld(t)
-	n := w.start(nil, nil)
-	var ran ledger
-	w.serve(n, "letters", 2, ran.echo)
-	w.connect(map[*testNode]string{n: "letters"})
+	c := newCluster(t)
+	n := c.startNode(nil, nil)
+	var ran runCounter
+	c.startUpstream(n, "letters", 2, ran.echo)
+	c.configure(map[*testNode]string{n: "letters"})
 	call := &node.Call{}
-	call.Ctx.Workspace, call.Ctx.Service = workspace, "letters"
+	call.Ctx.Workspace, call.Ctx.Service = testWorkspace, "letters"
 	large := strings.Repeat("x", int(n.node.MaxBody(call))+1)
-	got := w.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", body: large})
+	got := c.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", body: large})
 	must.EqOp(t, result.BodyTooLarge, got.code)
 	req, err := http.NewRequest("POST", n.callers.URL, io.MultiReader(strings.NewReader(large)))
 	must.NoError(t, err)
-	req.Header.Set(callctx.HeaderWorkspace, workspace)
+	req.Header.Set(callctx.HeaderWorkspace, testWorkspace)
 	req.Header.Set(callctx.HeaderService, "letters")
-	resp, err := w.client.Do(req)
+	resp, err := c.client.Do(req)
 	if err == nil {
 		must.EqOp(t, http.StatusRequestEntityTooLarge, resp.StatusCode)
 		_ = resp.Body.Close()
--- a/internal/proxy/responses_test.go
+++ b/internal/proxy/responses_test.go
@@ -14,14 +14,14 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// throughPeer makes an entry node and a guard whose inner answers are spoilt,
-// and returns what a caller of the entry gets.
-func throughPeer(t *testing.T, spoil func(http.ResponseWriter, *http.Request)) reply {
-	w := newWorld(t)
-	entry := w.start(nil, nil)
-	guard := w.start(nil, func(http.Handler) http.Handler { return http.HandlerFunc(spoil) })
-	w.connect(map[*testNode]string{guard: "letters"})
-	return w.do(context.Background(), request{to: entry.callers.URL, method: "POST", service: "letters", body: "a"})
+// callThroughPeer sends a call from an entry node to a guard that responds with serveInner, and returns
+// the reply to the caller.
+func callThroughPeer(t *testing.T, serveInner func(http.ResponseWriter, *http.Request)) reply {
+	c := newCluster(t)
+	entry := c.startNode(nil, nil)
+	guard := c.startNode(nil, func(http.Handler) http.Handler { return http.HandlerFunc(serveInner) })
+	c.configure(map[*testNode]string{guard: "letters"})
+	return c.do(context.Background(), request{to: entry.callers.URL, method: "POST", service: "letters", body: "a"})
 }
 
 func callID(t *testing.T, r *http.Request) string {
@@ -34,29 +34,29 @@
 	return inner.EncodeAnswer(&innerpb.AnswerHeader{CallId: callID, Code: uint32(result.OK), Whole: true})
 }
 
-// cut announces more bytes than it sends and breaks the connection.
-func cut(rw http.ResponseWriter) {
+// truncateResponse sends fewer bytes than its Content-Length and closes the connection.
+func truncateResponse(rw http.ResponseWriter) {
 	rw.Header().Set("Content-Length", "100")
 	_, _ = io.WriteString(rw, "half of it")
 	_ = http.NewResponseController(rw).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// The guard's VM dies while it sends an answer. The caller must get an error,
-// not the half that arrived.
-func TestAnswerCutBetweenNodes(t *testing.T) {
-	got := throughPeer(t, func(rw http.ResponseWriter, r *http.Request) {
+// Guards against a truncated response that is given to the caller. The guard's VM fails while it
+// sends the response.
+func TestTruncatedResponseBetweenNodes(t *testing.T) {
+	got := callThroughPeer(t, func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set(inner.HeaderAnswer, answerHeader(callID(t, r)))
-		cut(rw)
+		truncateResponse(rw)
 	})
 	must.EqOp(t, result.AnswerCut, got.code)
 	must.EqOp(t, http.StatusBadGateway, got.status)
 }
 
-// A guard mixes up two connections and sends the answer to another call. The
-// caller must not read somebody else's letter.
-func TestAnswerOfAnotherCallBetweenNodes(t *testing.T) {
-	got := throughPeer(t, func(rw http.ResponseWriter, _ *http.Request) {
+// Guards against a caller that receives the response to another call, because a guard mixes up two
+// connections.
+func TestResponseToAnotherCallBetweenNodes(t *testing.T) {
+	got := callThroughPeer(t, func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set(inner.HeaderAnswer, answerHeader("another"))
 		_, _ = io.WriteString(rw, "secret")
 	})
@@ -64,11 +64,11 @@
 	must.StrNotContains(t, got.body, "secret")
 }
 
-// Something between the nodes answers in place of the guard, with a good
-// status and no header of the inner protocol.
-func TestAnswerWithoutHeaderBetweenNodes(t *testing.T) {
+// Guards against a response that does not come from the guard. Something between the nodes responds
+// with a good status and without a valid header of the inner protocol.
+func TestResponseWithoutInnerHeader(t *testing.T) {
 	for _, header := range []string{"", "not base64 \x01", "AAAA"} {
-		got := throughPeer(t, func(rw http.ResponseWriter, _ *http.Request) {
+		got := callThroughPeer(t, func(rw http.ResponseWriter, _ *http.Request) {
 			rw.Header()[inner.HeaderAnswer] = []string{header}
 			_, _ = io.WriteString(rw, "welcome")
 		})
@@ -77,25 +77,26 @@
 	}
 }
 
-// throughUpstream returns what a caller gets of an upstream behind its own node.
-func throughUpstream(t *testing.T, handler http.HandlerFunc) reply {
-	w := newWorld(t)
-	n := w.start(nil, nil)
-	w.serve(n, "letters", 4, handler)
-	w.connect(map[*testNode]string{n: "letters"})
-	return w.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", body: "a"})
+// callUpstream sends a call to the upstream of the same node and returns the reply to the caller.
+func callUpstream(t *testing.T, handler http.HandlerFunc) reply {
+	c := newCluster(t)
+	n := c.startNode(nil, nil)
+	c.startUpstream(n, "letters", 4, handler)
+	c.configure(map[*testNode]string{n: "letters"})
+	return c.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", body: "a"})
 }
 
-// The upstream's process breaks off in the middle of its answer.
-func TestAnswerCutByTheUpstream(t *testing.T) {
-	got := throughUpstream(t, func(rw http.ResponseWriter, _ *http.Request) { cut(rw) })
+// Guards against a truncated response that is given to the caller. The upstream's process breaks off
+// while it sends the response.
+func TestTruncatedResponseOfUpstream(t *testing.T) {
+	got := callUpstream(t, func(rw http.ResponseWriter, _ *http.Request) { truncateResponse(rw) })
 	must.EqOp(t, result.AnswerCut, got.code)
 }
 
-// The upstream answers late, on a connection that by then carries another call,
-// and closes it before it answers that one.
-func TestAnswerOfAnotherCallByTheUpstream(t *testing.T) {
-	got := throughUpstream(t, func(rw http.ResponseWriter, _ *http.Request) {
+// Guards against a caller that receives the response to another call. The upstream responds late, on a
+// connection that carries another call by then, and closes it before it responds to that call.
+func TestUpstreamResponseToAnotherCall(t *testing.T) {
+	got := callUpstream(t, func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set("Connection", "close")
 		rw.Header().Set(callctx.HeaderContext, "another")
 		_, _ = io.WriteString(rw, "secret")
@@ -104,46 +105,46 @@
 	must.StrNotContains(t, got.body, "secret")
 }
 
-// An upstream sheds, with and without the promise that nothing ran. Only with
-// it may the caller be told so.
-func TestShedByTheUpstream(t *testing.T) {
-	got := throughUpstream(t, func(rw http.ResponseWriter, _ *http.Request) {
+// Guards against a failed call that is reported as not run. Only a response with the promise that the
+// call did not run is a refusal.
+func TestUpstreamSheds(t *testing.T) {
+	got := callUpstream(t, func(rw http.ResponseWriter, _ *http.Request) {
 		rw.Header().Set(headerRan, "no")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 	})
 	must.EqOp(t, result.RanNo, got.code.Ran())
-	got = throughUpstream(t, func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
+	got = callUpstream(t, func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
 	must.EqOp(t, result.UpstreamFailed, got.code)
 }
 
-// Ten calls are in flight and their answers come in the reverse order. Each
-// caller must get its own.
-func TestAnswersOutOfOrder(t *testing.T) {
+// Guards against responses that are mixed up between calls. 10 calls are in flight, and their
+// responses arrive in reverse order.
+func TestResponsesOutOfOrder(t *testing.T) {
 	const calls = 10
-	w := newWorld(t)
-	entry, guard := w.start(nil, nil), w.start(nil, nil)
-	turns := make([]chan struct{}, calls+1)
-	for i := range turns {
-		turns[i] = make(chan struct{})
+	c := newCluster(t)
+	entry, guard := c.startNode(nil, nil), c.startNode(nil, nil)
+	released := make([]chan struct{}, calls+1)
+	for i := range released {
+		released[i] = make(chan struct{})
 	}
-	w.serve(guard, "letters", calls, func(rw http.ResponseWriter, r *http.Request) {
+	c.startUpstream(guard, "letters", calls, func(rw http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		i := int(body[0] - '0')
-		<-turns[i+1]
+		<-released[i+1]
 		_, _ = rw.Write(body)
-		close(turns[i])
+		close(released[i])
 	})
-	w.connect(map[*testNode]string{guard: "letters"})
+	c.configure(map[*testNode]string{guard: "letters"})
 	got := make(chan [2]string, calls)
 	for i := range calls {
 		go func() {
 			sent := string(rune('0' + i))
-			r := w.do(context.Background(), request{to: entry.callers.URL, method: "POST", service: "letters", body: sent})
+			r := c.do(context.Background(), request{to: entry.callers.URL, method: "POST", service: "letters", body: sent})
 			got <- [2]string{sent, r.body}
 		}()
 	}
 	eventually(t, func() bool { return guard.node.Guard().Busy() == calls })
-	close(turns[calls])
+	close(released[calls])
 	for range calls {
 		pair := <-got
 		must.EqOp(t, pair[0], pair[1])
--- a/internal/proxy/responsetime.go
+++ b/internal/proxy/responsetime.go
@@ -7,49 +7,50 @@
 	"time"
 )
 
-// DialFunc makes a connection to another node.
+// DialFunc establishes a connection to another node.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 const (
-	// minReattachWait keeps ordinary variation from costing connections.
+	// minReattachWait prevents re-attachments, and with them new connections, because of normal
+	// variation of the response time.
 	minReattachWait = 100 * time.Millisecond
-	// maxReattachWait bounds what a caller loses to one silent connection.
+	// maxReattachWait limits the delay that one unresponsive connection causes for a caller.
 	maxReattachWait = 1 * time.Second
-	// gains of the smoothed wait and its deviation, as in RFC 6298.
-	waitGain      = 8
-	deviationGain = 4
-	deviations    = 4
+	// Gains of the smoothed response time and its deviation, as in RFC 6298.
+	meanGain        = 8
+	deviationGain   = 4
+	deviationFactor = 4
 )
 
-// waitEstimator keeps the usual wait for an answer and its deviation, like a
-// TCP retransmission timer. Concurrent observations may overwrite each other:
-// an estimate needs no exactness. The zero value waits maxReattachWait.
-type waitEstimator struct {
+// responseTimeEstimator estimates the response time and its deviation like a TCP retransmission timer.
+// Concurrent observations may overwrite each other, since an estimate does not have to be exact. The
+// zero value waits for the maximum.
+type responseTimeEstimator struct {
 	mean, deviation atomic.Int64 // nanoseconds
 }
 
-func (w *waitEstimator) observe(d time.Duration) {
-	mean := w.mean.Load()
+func (e *responseTimeEstimator) observe(d time.Duration) {
+	mean := e.mean.Load()
 	if mean == 0 {
-		w.mean.Store(int64(d))
-		w.deviation.Store(int64(d) / 2)
+		e.mean.Store(int64(d))
+		e.deviation.Store(int64(d) / 2)
 		return
 	}
 	diff := int64(d) - mean
-	w.mean.Store(mean + diff/waitGain)
-	deviation := w.deviation.Load()
-	w.deviation.Store(deviation + (max(diff, -diff)-deviation)/deviationGain)
+	e.mean.Store(mean + diff/meanGain)
+	deviation := e.deviation.Load()
+	e.deviation.Store(deviation + (max(diff, -diff)-deviation)/deviationGain)
 }
 
-// WaitBounds bound the wait before a second connection is tried.
+// WaitBounds are the limits of the time to wait before a re-attachment.
 type WaitBounds struct{ Min, Max time.Duration }
 
-// bound returns how long to wait before a second connection is tried.
-func (w *waitEstimator) bound(b WaitBounds) time.Duration {
-	mean := w.mean.Load()
+// reattachWait returns how long to wait for a response before a re-attachment.
+func (e *responseTimeEstimator) reattachWait(b WaitBounds) time.Duration {
+	mean := e.mean.Load()
 	if mean == 0 {
 		return b.Max
 	}
-	d := time.Duration(mean + deviations*w.deviation.Load())
+	d := time.Duration(mean + deviationFactor*e.deviation.Load())
 	return min(max(d, b.Min), b.Max)
 }
--- a/internal/proxy/routed.go
+++ b/internal/proxy/routed.go
@@ -14,120 +14,121 @@
 	"github.com/galenagrade/galenagrade/internal/routes"
 )
 
-// Intake is what the headers of a request say, whatever their names are.
+// Intake contains the decoded headers of a request, independently of their names.
 type Intake struct {
-	// RequestID is the caller's name of the request.
+	// RequestID is the caller's ID of the request.
 	RequestID string
-	// Parent is the name of the request for which this one was made, as far as
-	// that can be told; empty when it can't. It is a hint.
+	// Parent is the ID of the request for which this one was made; empty if unknown. It is a hint
+	// only.
 	Parent string
-	// APIKey proves whose request it is; empty when the caller shows none. It must not
-	// be in Header.
+	// APIKey identifies the workspace of the request; empty if the caller sent none. It must not be in
+	// Header.
 	APIKey string
-	// Timeout is how long the caller will wait; 0 when it doesn't say.
+	// Timeout is how long the caller waits; 0 if it sent no timeout.
 	Timeout time.Duration
-	// Header holds what goes on to the upstream.
+	// Header contains the headers that are forwarded to the upstream.
 	Header http.Header
 }
 
-// Edge decodes the requests of a deployment and writes the node's own answers.
-// It is called concurrently.
+// Edge decodes the requests of a deployment and writes the responses that the node itself creates.
+// Its methods are called concurrently.
 type Edge interface {
-	// Decode reads the headers of a request.
+	// Decode decodes the headers of a request.
 	Decode(r *http.Request) (Intake, *result.Refusal)
-	// Refuse writes a refusal as the whole answer.
+	// Refuse writes a refusal as the complete response.
 	Refuse(w http.ResponseWriter, refusal *result.Refusal)
 }
 
-// Quota counts the requests of workspaces. It is called concurrently.
+// Quota enforces the request quotas of workspaces. Its methods are called concurrently.
 type Quota interface {
-	// Take spends one request of a workspace's quota; a refusal says why it can't.
+	// Take consumes one request of a workspace's quota. It returns a refusal with the reason if it
+	// cannot.
 	Take(ctx context.Context, workspace string) *result.Refusal
-	// Return gives back what a request took that has not run.
+	// Return gives back the quota of a request that did not run.
 	Return(workspace string)
 }
 
-// routed serves requests that come by routes.
-type routed struct {
+// routeHandler serves requests that are matched by routes.
+type routeHandler struct {
 	p     *Proxy
 	edge  Edge
 	quota Quota
 	table atomic.Pointer[routes.Table]
-	// gates turn requests away at their entry.
-	gates treeGates
-	// workspaces counts what became of their requests.
-	workspaces workspaceMetrics
+	// treeGates refuse requests at their entry node.
+	treeGates treeGates
+	// workspaceMetrics counts the requests of workspaces by result.
+	workspaceMetrics workspaceMetrics
 }
 
-// ServeRoutes makes the proxy serve requests by routes and returns their
-// handler. Call it once, before the first request.
+// ServeRoutes makes the proxy serve requests by routes and returns their handler. It must be called
+// once, before the first request.
 func (p *Proxy) ServeRoutes(edge Edge, quota Quota) http.Handler {
 	set := p.node.Metrics()
-	p.routed = &routed{p: p, edge: edge, quota: quota, gates: treeGates{metrics: set}, workspaces: workspaceMetrics{metrics: set}}
-	return p.routed
+	p.routeHandler = &routeHandler{p: p, edge: edge, quota: quota, treeGates: treeGates{metrics: set}, workspaceMetrics: workspaceMetrics{metrics: set}}
+	return p.routeHandler
 }
 
-// SetRoutes puts routes in force.
+// SetRoutes replaces the routes in use.
 func (p *Proxy) SetRoutes(t *routes.Table) {
-	p.routed.table.Store(t)
-	p.routed.gates.retain(t)
-	p.routed.workspaces.set(t)
+	p.routeHandler.table.Store(t)
+	p.routeHandler.treeGates.retain(t)
+	p.routeHandler.workspaceMetrics.update(t)
 }
 
-// Routes returns the routes in force; nil when there are none yet.
-func (p *Proxy) Routes() *routes.Table { return p.routed.table.Load() }
+// Routes returns the routes in use; nil if there are none yet.
+func (p *Proxy) Routes() *routes.Table { return p.routeHandler.table.Load() }
 
 // ServeHTTP implements http.Handler.
-func (s *routed) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	in, refusal := s.edge.Decode(r)
+func (h *routeHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	in, refusal := h.edge.Decode(r)
 	if refusal != nil {
-		s.turn(w, in.RequestID, refusal)
+		h.reject(w, in.RequestID, refusal)
 		return
 	}
-	table := s.table.Load()
+	table := h.table.Load()
 	if table == nil {
-		s.turn(w, in.RequestID, result.Refuse(result.Starting, "no routes have reached this node yet").After(startingPause))
+		h.reject(w, in.RequestID, result.Refuse(result.Starting, "node has not received routes yet").After(startingRetryAfter))
 		return
 	}
 	if bound := table.Config().Limits.HeaderBytes; bound > 0 && headerSize(r) > bound {
-		s.turn(w, in.RequestID, result.Refuse(result.HeaderTooLarge, "header of %d bytes, bound %d", headerSize(r), bound))
+		h.reject(w, in.RequestID, result.Refuse(result.HeaderTooLarge, "header has %d bytes, limit is %d", headerSize(r), bound))
 		return
 	}
 	route := table.Match(r.Host, r.URL.EscapedPath())
 	if route == nil {
-		s.turn(w, in.RequestID, result.Refuse(result.UnknownRoute, "no route for host %.64q and path %.128q", r.Host, r.URL.Path))
+		h.reject(w, in.RequestID, result.Refuse(result.UnknownRoute, "no route for host %.64q and path %.128q", r.Host, r.URL.Path))
 		return
 	}
-	call, account, refusal := s.accept(in, table, route)
+	call, account, refusal := h.accept(in, table, route)
 	if refusal != nil {
-		s.turn(w, in.RequestID, refusal)
+		h.reject(w, in.RequestID, refusal)
 		return
 	}
 	call.Header = in.Header
-	gate := s.gates.of(route.Host, route.Prefix)
-	begun := s.p.node.Now()
-	out := gatedWriter{s, gate, begun}
-	out.offered(call)
+	gate := h.treeGates.forRoute(route.Host, route.Prefix)
+	startedAt := h.p.node.Now()
+	writer := gatedWriter{h, gate, startedAt}
+	writer.countOffered(call)
 	ctx := r.Context()
-	refusal = gate.admit(begun, call, route.Objective)
-	if refusal == nil && counted(call) {
-		refusal = s.quota.Take(ctx, call.Ctx.Workspace)
+	refusal = gate.admit(startedAt, call, route.Objective)
+	if refusal == nil && countsAgainstQuota(call) {
+		refusal = h.quota.Take(ctx, call.Ctx.Workspace)
 	}
 	if refusal != nil {
-		out.ended(call, refusal.Code, 0)
-		s.turnCall(w, call, refusal)
+		writer.countEnded(call, refusal.Code, 0)
+		h.rejectCall(w, call, refusal)
 		return
 	}
 	if call.Ctx.ParentID != "" {
-		bounded, stop := s.p.upstream.whileRunning(ctx, call.Ctx.ParentID)
+		childCtx, stop := h.p.upstream.boundByParent(ctx, call.Ctx.ParentID)
 		defer stop()
-		ctx = bounded
+		ctx = childCtx
 	}
-	s.p.serve(ctx, exchange{w: w, r: r, out: out}, call, account)
+	h.p.serve(ctx, exchange{w: w, r: r, writer: writer}, call, account)
 }
 
-// headerSize returns the bytes of a request's line and header as callers send
-// them, but for spaces that they may leave out.
+// headerSize returns the size in bytes of the request line and the header as sent by the caller,
+// without optional spaces.
 func headerSize(r *http.Request) int {
 	const lineEnd, separator = 2, 2
 	size := len(r.Method) + len(r.RequestURI) + len(r.Proto) + 2 + lineEnd
@@ -140,14 +141,14 @@
 	return size + lineEnd
 }
 
-// startingPause is when a caller may come back to a node without routes: a read
-// of the store takes milliseconds, a restart of it a second.
-const startingPause = time.Second
+// startingRetryAfter is the retry delay sent by a node that has no routes yet. Reading the store takes
+// milliseconds, restarting the store a second.
+const startingRetryAfter = time.Second
 
-// accept makes the call of a request. One that shows an API key is a caller's, whatever
-// its ID looks like; a call that the local upstream makes shows none.
-func (s *routed) accept(in Intake, table *routes.Table, route *routes.Entry) (*node.Call, *retry.Account, *result.Refusal) {
-	want := node.Routed{
+// accept creates the call of a request. A request with an API key is a new root whatever its request
+// ID is; requests of the local upstream contain no API key.
+func (h *routeHandler) accept(in Intake, table *routes.Table, route *routes.Entry) (*node.Call, *retry.Account, *result.Refusal) {
+	request := node.Routed{
 		RequestID:  in.RequestID,
 		Workspace:  callctx.NoWorkspace,
 		Level:      route.Level,
@@ -157,104 +158,105 @@
 		Caller:     in.RequestID,
 	}
 	if in.Timeout > 0 {
-		want.Timeout = min(want.Timeout, in.Timeout)
+		request.Timeout = min(request.Timeout, in.Timeout)
 	}
-	parent := ""
+	parentID := ""
 	if in.APIKey == "" || !table.NeedsKey(route) {
-		parent = s.p.upstream.runningAs(in.Parent)
+		parentID = h.p.upstream.runningCallID(in.Parent)
 	}
-	if parent == "" && table.NeedsKey(route) {
-		holder := table.Holder(in.APIKey)
-		if holder == nil {
+	if parentID == "" && table.NeedsKey(route) {
+		workspace := table.Holder(in.APIKey)
+		if workspace == nil {
 			return nil, nil, unknownKey(in.APIKey, table.Config().Version)
 		}
-		want.Workspace = holder.Name
-		if holder.Level != nil {
-			want.Level = *holder.Level
+		request.Workspace = workspace.Name
+		if workspace.Level != nil {
+			request.Level = *workspace.Level
 		}
 	}
-	want.Service = route.Service()
-	now := s.p.node.Now()
-	if parent == "" {
-		call, account := s.p.node.Accept(now, want)
+	request.Service = route.Service()
+	now := h.p.node.Now()
+	if parentID == "" {
+		call, account := h.p.node.Accept(now, request)
 		return call, account, nil
 	}
-	if call, account, ok := s.p.node.AcceptChild(now, want, parent); ok {
+	if call, account, ok := h.p.node.AcceptChild(now, request, parentID); ok {
 		return call, account, nil
 	}
-	return nil, nil, result.Refuse(result.ParentGone, "call %s is not running here any more", parent)
+	return nil, nil, result.Refuse(result.ParentGone, "parent call %s is no longer running on this node", parentID)
 }
 
 func unknownKey(apiKey string, version int64) *result.Refusal {
 	if apiKey == "" {
-		return result.Refuse(result.UnknownKey, "the request shows no API key; version %d of the routes asks for one", version)
+		return result.Refuse(result.UnknownKey, "request contains no API key, but version %d of the routes requires one", version)
 	}
 	return result.Refuse(result.UnknownKey, "version %d of the routes has no workspace with key %s", version, routes.KeyOf(apiKey))
 }
 
-// counted reports whether a call counts against a quota: calls that an upstream makes
-// belong to a request that was counted.
-func counted(call *node.Call) bool {
+// countsAgainstQuota reports whether a call consumes quota. Calls that an upstream makes belong to a
+// request that was counted already.
+func countsAgainstQuota(call *node.Call) bool {
 	return call.Ctx.Depth == 0 && call.Ctx.Workspace != callctx.NoWorkspace
 }
 
-// turn refuses a request that did not become a call.
-func (s *routed) turn(w http.ResponseWriter, requestID string, refusal *result.Refusal) {
-	s.p.node.RecordRejected("", "", requestID, refusal)
-	s.edge.Refuse(w, refusal)
+// reject refuses a request before it became a call.
+func (h *routeHandler) reject(w http.ResponseWriter, requestID string, refusal *result.Refusal) {
+	h.p.node.RecordRejected("", "", requestID, refusal)
+	h.edge.Refuse(w, refusal)
 }
 
-// turnCall refuses a call that was not begun.
-func (s *routed) turnCall(w http.ResponseWriter, call *node.Call, refusal *result.Refusal) {
-	s.p.node.RecordRejected(call.Ctx.Workspace, call.Ctx.Service, call.Ctx.RequestID, refusal)
-	s.edge.Refuse(w, refusal)
+// rejectCall refuses a call that was not started.
+func (h *routeHandler) rejectCall(w http.ResponseWriter, call *node.Call, refusal *result.Refusal) {
+	h.p.node.RecordRejected(call.Ctx.Workspace, call.Ctx.Service, call.Ctx.RequestID, refusal)
+	h.edge.Refuse(w, refusal)
 }
 
-// refuse implements answerWriter.
-func (s *routed) refuse(w http.ResponseWriter, call *node.Call, refusal *result.Refusal) {
-	s.returnQuota(call)
-	s.turnCall(w, call, refusal)
+// writeRefusal implements responseWriter.
+func (h *routeHandler) writeRefusal(w http.ResponseWriter, call *node.Call, refusal *result.Refusal) {
+	h.returnQuota(call)
+	h.rejectCall(w, call, refusal)
 }
 
-func (s *routed) returnQuota(call *node.Call) {
-	if counted(call) {
-		s.quota.Return(call.Ctx.Workspace)
+func (h *routeHandler) returnQuota(call *node.Call) {
+	if countsAgainstQuota(call) {
+		h.quota.Return(call.Ctx.Workspace)
 	}
 }
 
-// answer implements answerWriter. The upstream's answer is passed on as it is.
-func (s *routed) answer(w http.ResponseWriter, call *node.Call, a *node.Response) {
-	if a.Code.Ran() == result.RanNo {
-		s.returnQuota(call)
+// writeResponse implements responseWriter. The upstream's response is forwarded unchanged.
+func (h *routeHandler) writeResponse(w http.ResponseWriter, call *node.Call, resp *node.Response) {
+	if resp.Code.Ran() == result.RanNo {
+		h.returnQuota(call)
 	}
-	if !a.Whole() {
-		s.edge.Refuse(w, a.Refusal)
+	if !resp.Whole() {
+		h.edge.Refuse(w, resp.Refusal)
 		return
 	}
-	h := w.Header()
-	for name, values := range a.Header {
-		h[name] = values
+	header := w.Header()
+	for name, values := range resp.Header {
+		header[name] = values
 	}
-	if _, given := h["Content-Type"]; !given {
-		h["Content-Type"] = nil
+	if _, ok := header["Content-Type"]; !ok {
+		header["Content-Type"] = nil
 	}
-	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	w.WriteHeader(a.Status)
+	header.Set("Content-Length", strconv.Itoa(len(resp.Body)))
+	w.WriteHeader(resp.Status)
 	if call.Method != http.MethodHead {
-		_, _ = w.Write(a.Body)
+		_, _ = w.Write(resp.Body)
 	}
 }
 
-// maxBody is the bound of the routes in force where there are routes.
+// maxBody returns the maximum size of the request body. In a deployment with routes, the routes in use
+// set it.
 func (p *Proxy) maxBody(call *node.Call) int64 {
-	if p.routed == nil {
+	if p.routeHandler == nil {
 		return p.node.MaxBody(call)
 	}
 	if t := p.Routes(); t != nil && t.Config().Limits.BodyBytes > 0 {
 		return t.Config().Limits.BodyBytes
 	}
-	return defaultRoutedBody
+	return defaultMaxRoutedBody
 }
 
-// defaultRoutedBody bounds a body where the routes set no bound, in bytes.
-const defaultRoutedBody = 16 << 20
+// defaultMaxRoutedBody is the maximum size of a body in bytes if the routes set none.
+const defaultMaxRoutedBody = 16 << 20
--- a/internal/proxy/treegate.go
+++ b/internal/proxy/treegate.go
@@ -14,48 +14,48 @@
 	"github.com/galenagrade/galenagrade/internal/routes"
 )
 
-// treeGates are those of the routes that requests came by here, and what is known of
-// the services that shed behind them. All routes that meet a service learn of it
-// together: the requests of a route that is refused bring nothing new, and a gate for each
-// route would open after a while without, to requests that fail.
+// treeGates contains a gate per route with requests at this node, and the thresholds of the services
+// that shed calls deeper in the call trees. Routes that depend on the same service share its
+// threshold: a route whose requests are refused gets no responses, so a gate with a threshold of its
+// own would open after a while and admit requests that fail.
 type treeGates struct {
 	metrics   *metrics.Set
-	byRoute   sync.Map // routeName to *treeGate
-	byService sync.Map // name of a service to *serviceGate
+	byRoute   sync.Map // routeKey to *treeGate
+	byService sync.Map // service name to *serviceGate
 }
 
-type routeName struct{ host, prefix string }
+type routeKey struct{ host, prefix string }
 
 // routeSeries is the kind of the metrics of routes.
 const routeSeries = "route"
 
-func (n routeName) label() string { return n.host + n.prefix }
+func (k routeKey) label() string { return k.host + k.prefix }
 
-// treeGate is that of one route, for concurrent use.
+// treeGate is the gate of one route. It is safe for concurrent use.
 type treeGate struct {
 	series *metrics.Series
 	gates  *treeGates
-	// behind is the service that its answers last said to shed; nil when they never
-	// did.
-	behind atomic.Pointer[serviceGate]
+	// shedding is the gate of the service that responses last named as shedding; nil if no response
+	// named one.
+	shedding atomic.Pointer[serviceGate]
 }
 
-// serviceGate is an admission.TreeGate for concurrent use.
+// serviceGate is an admission.TreeGate that is safe for concurrent use.
 type serviceGate struct {
 	mu    sync.Mutex
 	state admission.TreeGate
 }
 
-func (g *treeGates) of(host, prefix string) *treeGate {
-	name := routeName{host, prefix}
-	if got, ok := g.byRoute.Load(name); ok {
+func (g *treeGates) forRoute(host, prefix string) *treeGate {
+	key := routeKey{host, prefix}
+	if got, ok := g.byRoute.Load(key); ok {
 		return got.(*treeGate)
 	}
-	got, _ := g.byRoute.LoadOrStore(name, &treeGate{series: g.metrics.Series(routeSeries, name.label()), gates: g})
+	got, _ := g.byRoute.LoadOrStore(key, &treeGate{series: g.metrics.Series(routeSeries, key.label()), gates: g})
 	return got.(*treeGate)
 }
 
-func (g *treeGates) ofService(name string) *serviceGate {
+func (g *treeGates) forService(name string) *serviceGate {
 	if got, ok := g.byService.Load(name); ok {
 		return got.(*serviceGate)
 	}
@@ -63,13 +63,13 @@
 	return got.(*serviceGate)
 }
 
-// retain forgets the gates of routes and services that are gone.
+// retain deletes the gates of routes and services that are not in t.
 func (g *treeGates) retain(t *routes.Table) {
 	g.byRoute.Range(func(name, _ any) bool {
-		n := name.(routeName)
-		if !t.Has(n.host, n.prefix) {
+		key := name.(routeKey)
+		if !t.Has(key.host, key.prefix) {
 			g.byRoute.Delete(name)
-			g.metrics.Drop(routeSeries, n.label())
+			g.metrics.Drop(routeSeries, key.label())
 		}
 		return true
 	})
@@ -81,72 +81,72 @@
 	})
 }
 
-// admit decides on a root request. A call made for a running request always goes
-// on: what was spent on that one would be lost.
+// admit decides whether to admit a root request. A call made for a running request is always admitted,
+// since a refusal would waste the work done for that request.
 func (g *treeGate) admit(now time.Time, call *node.Call, objective time.Duration) *result.Refusal {
 	c := &call.Ctx
-	behind := g.behind.Load()
-	if c.Depth > 0 || behind == nil {
+	shedding := g.shedding.Load()
+	if c.Depth > 0 || shedding == nil {
 		return nil
 	}
-	behind.mu.Lock()
-	defer behind.mu.Unlock()
-	return behind.state.Admit(now, c.Level, c.CallerHash, objective, rand.Float64(), rand.Float64())
+	shedding.mu.Lock()
+	defer shedding.mu.Unlock()
+	return shedding.state.Admit(now, c.Level, c.CallerHash, objective, rand.Float64(), rand.Float64())
 }
 
-// learn takes what an answer says of the services behind. One that was refused
-// before it reached an upstream met none of them. An answer that names no service says
-// of the one that earlier answers named that it sheds nothing now.
-func (g *treeGate) learn(now time.Time, call *node.Call, a *node.Response) {
-	if call.Ctx.Depth > 0 || a.Code.Ran() == result.RanNo {
+// observe applies the shedding information of a response. A call that was refused before it reached
+// an upstream has none. If a response names no service, the service named by earlier responses no
+// longer sheds calls.
+func (g *treeGate) observe(now time.Time, call *node.Call, resp *node.Response) {
+	if call.Ctx.Depth > 0 || resp.Code.Ran() == result.RanNo {
 		return
 	}
-	if a.ShedsBy != "" {
-		g.behind.Store(g.gates.ofService(a.ShedsBy))
+	if resp.ShedsBy != "" {
+		g.shedding.Store(g.gates.forService(resp.ShedsBy))
 	}
-	behind := g.behind.Load()
-	if behind == nil {
+	shedding := g.shedding.Load()
+	if shedding == nil {
 		return
 	}
-	behind.mu.Lock()
-	defer behind.mu.Unlock()
-	behind.state.ObserveThreshold(now, a.ShedsFrom)
+	shedding.mu.Lock()
+	defer shedding.mu.Unlock()
+	shedding.state.ObserveThreshold(now, resp.ShedsFrom)
 }
 
-// gatedWriter tells the gate of a route what its answers say.
+// gatedWriter passes the responses of a route to its gate and to the metrics.
 type gatedWriter struct {
-	*routed
-	gate  *treeGate
-	begun time.Time
+	*routeHandler
+	gate      *treeGate
+	startedAt time.Time
 }
 
-// offered counts a request that came.
-func (o gatedWriter) offered(call *node.Call) {
-	o.gate.series.Offered()
-	if counted(call) {
-		o.workspaces.of(call.Ctx.Workspace).Offered()
+// countOffered counts a received request.
+func (g gatedWriter) countOffered(call *node.Call) {
+	g.gate.series.Offered()
+	if countsAgainstQuota(call) {
+		g.workspaceMetrics.forWorkspace(call.Ctx.Workspace).Offered()
 	}
 }
 
-// ended counts how a request ended.
-func (o gatedWriter) ended(call *node.Call, code result.Code, took time.Duration) {
-	o.gate.series.Ended(code, took)
-	if counted(call) {
-		o.workspaces.of(call.Ctx.Workspace).Ended(code, took)
+// countEnded counts the result and the duration of a request.
+func (g gatedWriter) countEnded(call *node.Call, code result.Code, took time.Duration) {
+	g.gate.series.Ended(code, took)
+	if countsAgainstQuota(call) {
+		g.workspaceMetrics.forWorkspace(call.Ctx.Workspace).Ended(code, took)
 	}
 }
 
-// refuse implements answerWriter.
-func (o gatedWriter) refuse(w http.ResponseWriter, call *node.Call, refusal *result.Refusal) {
-	o.ended(call, refusal.Code, 0)
-	o.routed.refuse(w, call, refusal)
+// writeRefusal implements responseWriter.
+func (g gatedWriter) writeRefusal(w http.ResponseWriter, call *node.Call, refusal *result.Refusal) {
+	g.countEnded(call, refusal.Code, 0)
+	g.routeHandler.writeRefusal(w, call, refusal)
 }
 
-// answer implements answerWriter.
-func (o gatedWriter) answer(w http.ResponseWriter, call *node.Call, a *node.Response) {
-	now := o.p.node.Now()
-	o.gate.learn(now, call, a)
-	o.p.node.ChildEnded(now, call, a)
-	o.ended(call, a.Code, now.Sub(o.begun))
-	o.routed.answer(w, call, a)
+// writeResponse implements responseWriter.
+func (g gatedWriter) writeResponse(w http.ResponseWriter, call *node.Call, resp *node.Response) {
+	now := g.p.node.Now()
+	g.gate.observe(now, call, resp)
+	g.p.node.ChildEnded(now, call, resp)
+	g.countEnded(call, resp.Code, now.Sub(g.startedAt))
+	g.routeHandler.writeResponse(w, call, resp)
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -20,93 +20,93 @@
 )
 
 const (
-	// crashProbeTimeout bounds the connection attempt that tells a crashed
-	// upstream from a single broken connection; the upstream is on loopback.
+	// crashProbeTimeout limits the connection attempt that distinguishes a crashed upstream from a
+	// single broken connection. The upstream is on loopback.
 	crashProbeTimeout = 200 * time.Millisecond
-	// upstreamConnect bounds a connection to the upstream, which is on the same
-	// VM: one that has more than it accepts doesn't answer.
-	upstreamConnect = time.Second
-	// upstreamSilence is how long the path to the upstream may be silent; it is on
-	// the same VM.
-	upstreamSilence = time.Second
-	// upstreamIdle stays below the idle timeouts usual for servers, so that
-	// this side closes first and no call is sent into a closing connection.
-	upstreamIdle = 5 * time.Second
-	// upstreamKept bounds the idle connections to the upstream.
-	upstreamKept = 1024
+	// upstreamDialTimeout limits connecting to the upstream, which is on the same VM. An upstream
+	// at its connection limit does not respond.
+	upstreamDialTimeout = time.Second
+	// upstreamPathTimeout is the time without acknowledgements after which a connection to the upstream
+	// fails. The upstream is on the same VM.
+	upstreamPathTimeout = time.Second
+	// upstreamIdleTimeout is shorter than the usual idle timeouts of servers, so that the node closes a
+	// connection first and sends no call on a connection that the upstream is closing.
+	upstreamIdleTimeout = 5 * time.Second
+	// maxIdleUpstreamConns is the maximum number of idle connections to the upstream.
+	maxIdleUpstreamConns = 1024
 )
 
-// Claimer gets claims of idempotency keys into the log.
+// Claimer writes claims of idempotency keys to the log.
 type Claimer interface {
-	// Claim returns nil once this guard is known to hold the key of the call.
+	// Claim returns nil once this guard holds the key of the call.
 	Claim(ctx context.Context, call *node.Call) *result.Refusal
 }
 
-// Upstream runs admitted calls at the local upstream. It implements
-// node.Runner. Safe for concurrent use.
+// Upstream runs admitted calls at the local upstream. It implements node.Runner and is safe for
+// concurrent use.
 type Upstream struct {
-	// BeforeRun is called between the decision to run a call and its dispatch;
-	// a test holds it there, as a paused process would. It may be nil, and must
-	// be set before calls.
+	// BeforeRun is called between the decision to run a call and its dispatch. Tests use it to delay
+	// the dispatch, as in a paused process. It may be nil, and must be set before the first call.
 	BeforeRun func(context.Context) error
 
 	node    *node.Node
 	claimer Claimer
 	dialect Dialect
-	// queued is told when a call has to wait; may be nil.
-	queued func()
+	// onQueued is called when a call is queued; may be nil.
+	onQueued func()
 
 	mu      sync.Mutex
 	pool    *h1.Pool
 	running map[string]context.Context
-	// byRequest finds the running call of a request that callers named.
+	// byRequest maps the request ID of a caller to the running call ID.
 	byRequest map[string]string
 }
 
-// NewUpstream makes the runner of a node; Bind must follow before calls.
+// NewUpstream returns the runner of a node. Bind must be called before the first call.
 func NewUpstream(claimer Claimer) *Upstream {
 	return &Upstream{
 		claimer:   claimer,
-		dialect:   ownDialect{},
+		dialect:   defaultDialect{},
 		pool:      newUpstreamPool(""),
 		running:   make(map[string]context.Context),
 		byRequest: make(map[string]string),
 	}
 }
 
-// newUpstreamPool keeps all connections in use, round robin: there are never more than the
-// upstream has slots, and one that is opened anew after a lower load may hold a slot.
+// newUpstreamPool returns a pool that uses all its connections round robin. The upstream has at least
+// as many slots as there are connections, and a connection that is reopened after low load may use up
+// a slot.
 func newUpstreamPool(addr string) *h1.Pool {
 	return h1.NewPool(addr, h1.Config{
-		Dial:         conns.DetectSilence(&net.Dialer{Timeout: upstreamConnect}, upstreamSilence).DialContext,
-		Idle:         upstreamIdle,
-		MaxIdleConns: upstreamKept,
-		MaxBody:      maxAnswerBody,
+		Dial:         conns.DetectSilence(&net.Dialer{Timeout: upstreamDialTimeout}, upstreamPathTimeout).DialContext,
+		Idle:         upstreamIdleTimeout,
+		MaxIdleConns: maxIdleUpstreamConns,
+		MaxBody:      maxResponseBody,
 		RoundRobin:   true,
 	})
 }
 
-// Speak sets how the upstream is spoken to; call it before the first call.
+// Speak sets the dialect of the upstream. It must be called before the first call.
 func (u *Upstream) Speak(d Dialect) { u.dialect = d }
 
-// OnQueued sets what is told when a call has to wait; call it before the first
-// call. It must not block.
-func (u *Upstream) OnQueued(f func()) { u.queued = f }
+// OnQueued sets the function that is called when a call is queued. It must be set before the first
+// call and must not block.
+func (u *Upstream) OnQueued(f func()) { u.onQueued = f }
 
 // Close closes the idle connections to the upstream.
-func (u *Upstream) Close() { u.connections().Close() }
+func (u *Upstream) Close() { u.currentPool().Close() }
 
-func (u *Upstream) connections() *h1.Pool {
+func (u *Upstream) currentPool() *h1.Pool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.pool
 }
 
-// Bind sets the node whose guard decides.
+// Bind sets the node whose guard admits the calls.
 func (u *Upstream) Bind(n *node.Node) { u.node = n }
 
-// SetAddr sets the address that the upstream announced. Connections to the
-// process before are not used again.
+// SetAddr sets the address that the upstream announced. Connections to the earlier process are not
+// reused.
 func (u *Upstream) SetAddr(addr string) {
 	u.mu.Lock()
 	old := u.pool
@@ -115,46 +115,46 @@
 	old.Close()
 }
 
-// Addr returns the announced address; empty when there is none.
-func (u *Upstream) Addr() string { return u.connections().Addr() }
+// Addr returns the announced address; empty if there is none.
+func (u *Upstream) Addr() string { return u.currentPool().Addr() }
 
-// Serve takes a call to its answer at this node's guard. When ctx ends first
-// the attachment is given up and the answer says what may have happened.
+// Serve runs a call at this node's guard and returns its response. If ctx ends first, it detaches
+// from the call and returns a refusal that says whether the call may have run.
 func (u *Upstream) Serve(ctx context.Context, call *node.Call) *node.Response {
 	guard := u.node.Guard()
-	ch := make(chan *node.Response, 1)
-	token, answer := guard.Arrive(u.node.Now(), call, func(a *node.Response) { ch <- a })
-	if answer != nil {
-		return answer
+	responses := make(chan *node.Response, 1)
+	token, resp := guard.Arrive(u.node.Now(), call, func(resp *node.Response) { responses <- resp })
+	if resp != nil {
+		return resp
 	}
-	if u.queued != nil {
-		u.queued()
+	if u.onQueued != nil {
+		u.onQueued()
 	}
 	select {
-	case answer = <-ch:
-		return answer
+	case resp = <-responses:
+		return resp
 	case <-ctx.Done():
-		return u.abandon(ctx, call, token, ch)
+		return u.abandon(ctx, call, token, responses)
 	}
 }
 
-// abandon leaves the guard. A call that was still waiting has its truthful
-// refusal in ch by the time Leave returns.
-func (u *Upstream) abandon(ctx context.Context, call *node.Call, token int, ch chan *node.Response) *node.Response {
+// abandon detaches from the guard. If the call was still queued, its refusal is in responses when
+// Leave returns.
+func (u *Upstream) abandon(ctx context.Context, call *node.Call, token int, responses chan *node.Response) *node.Response {
 	u.node.Guard().Leave(u.node.Now(), call.Ctx.CallID, token)
 	select {
-	case a := <-ch:
-		return a
+	case resp := <-responses:
+		return resp
 	default:
 	}
-	return node.Refused(call.Ctx.CallID, endedRefusal(ctx))
+	return node.Refused(call.Ctx.CallID, contextRefusal(ctx))
 }
 
-func endedRefusal(ctx context.Context) *result.Refusal {
+func contextRefusal(ctx context.Context) *result.Refusal {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return result.Refuse(result.DeadlinePassed, "the deadline passed while the call was out")
+		return result.Refuse(result.DeadlinePassed, "deadline passed while the call was in flight")
 	}
-	return result.Refuse(result.CancelledRunning, "the caller left while the call was out")
+	return result.Refuse(result.CancelledRunning, "caller disconnected while the call was in flight")
 }
 
 // Claim implements node.Runner.
@@ -167,17 +167,17 @@
 	}()
 }
 
-// Run implements node.Runner. The run does not hang on the connection of the
-// caller: a non-idempotent call goes on when its caller's link breaks.
-func (u *Upstream) Run(call *node.Call, before time.Time) {
+// Run implements node.Runner. The run is independent of the caller's connection: a call that is not
+// idempotent continues if that connection fails.
+func (u *Upstream) Run(call *node.Call, startBy time.Time) {
 	go func() {
 		ctx, cancel := context.WithDeadline(context.Background(), call.Ctx.Deadline)
 		defer cancel()
 		u.track(ctx, call)
 		defer u.untrack(call)
 		u.node.Guard().OnCancel(call.Ctx.CallID, cancel)
-		answer := u.roundTrip(ctx, call, before)
-		u.node.Guard().Finish(u.node.Now(), call.Ctx.CallID, answer)
+		resp := u.roundTrip(ctx, call, startBy)
+		u.node.Guard().Finish(u.node.Now(), call.Ctx.CallID, resp)
 	}()
 }
 
@@ -197,9 +197,9 @@
 	}
 }
 
-// runningAs returns the ID of the call that runs here for a request that callers
-// named; empty when there is none.
-func (u *Upstream) runningAs(requestID string) string {
+// runningCallID returns the ID of the running call for a request ID of a caller; empty if there is
+// none.
+func (u *Upstream) runningCallID(requestID string) string {
 	if requestID == "" {
 		return ""
 	}
@@ -208,9 +208,9 @@
 	return u.byRequest[requestID]
 }
 
-// whileRunning bounds a child call by its parent: when the parent is
-// cancelled, its children are doomed work.
-func (u *Upstream) whileRunning(ctx context.Context, parentID string) (context.Context, func()) {
+// boundByParent returns a context for a child call that is canceled with its parent call, since the
+// result of the child is then no longer needed.
+func (u *Upstream) boundByParent(ctx context.Context, parentID string) (context.Context, func()) {
 	u.mu.Lock()
 	parent, ok := u.running[parentID]
 	u.mu.Unlock()
@@ -222,17 +222,17 @@
 	return child, func() { stop(); cancel() }
 }
 
-func (u *Upstream) roundTrip(ctx context.Context, call *node.Call, before time.Time) *node.Response {
+func (u *Upstream) roundTrip(ctx context.Context, call *node.Call, startBy time.Time) *node.Response {
 	if !isPathTarget(call.Target) {
-		return node.Refused(call.Ctx.CallID, badTarget())
+		return node.Refused(call.Ctx.CallID, badTargetRefusal())
 	}
 	if u.BeforeRun != nil {
 		_ = u.BeforeRun(ctx)
 	}
-	if !before.IsZero() && u.node.Now().After(before) {
-		return node.Refused(call.Ctx.CallID, result.Refuse(result.NoAuthority, "the authority ended before dispatch"))
+	if !startBy.IsZero() && u.node.Now().After(startBy) {
+		return node.Refused(call.Ctx.CallID, result.Refuse(result.NoAuthority, "authority over the key expired before dispatch"))
 	}
-	pool := u.connections()
+	pool := u.currentPool()
 	header := maps.Clone(call.Header)
 	if header == nil {
 		header = make(http.Header)
@@ -242,80 +242,80 @@
 	if host == "" {
 		host = pool.Addr()
 	}
-	got, err := pool.Do(ctx, &h1.Request{
+	httpResp, err := pool.Do(ctx, &h1.Request{
 		Method:  call.Method,
 		Target:  call.Target,
 		Host:    host,
 		Header:  header,
 		Body:    call.Body,
-		MaxBody: u.maxAnswer(call),
+		MaxBody: u.responseBodyLimit(call),
 		Matches: func(h http.Header) bool { return u.dialect.Matches(h, call) },
 	})
 	if err != nil {
-		return u.failed(ctx, call, err)
+		return u.failureResponse(ctx, call, err)
 	}
-	return u.answered(call, got)
+	return u.convertResponse(call, httpResp)
 }
 
-// maxAnswer is the template's bound of a body; a call that came by a route has
-// no template.
-func (u *Upstream) maxAnswer(call *node.Call) int64 {
+// responseBodyLimit returns the maximum size of the response body, which the template sets. A call
+// that matched a route has no template.
+func (u *Upstream) responseBodyLimit(call *node.Call) int64 {
 	if call.Routed {
-		return maxAnswerBody
+		return maxResponseBody
 	}
 	return u.node.MaxBody(call)
 }
 
-// isPathTarget reports whether a target stays on the host that it is put
-// behind. Go takes "x:@host/" in a request line for an opaque URL and gives
-// "@host/" as its target: behind the upstream's address that would turn the
-// address into a user name, and the request would go to a host of the caller's
-// choice.
+// isPathTarget reports whether a target is a path on the host it is sent to. Go parses "x:@host/" in
+// a request line as an opaque URL with the target "@host/". Appended to the upstream's address, this
+// would turn the address into a user name, and the request would go to a host that the caller
+// chooses.
 func isPathTarget(target string) bool { return strings.HasPrefix(target, "/") }
 
-func badTarget() *result.Refusal {
-	return result.Refuse(result.BadContext, "the target of a request must begin with '/'")
+func badTargetRefusal() *result.Refusal {
+	return result.Refuse(result.BadContext, "request target must begin with '/'")
 }
 
-func (u *Upstream) failed(ctx context.Context, call *node.Call, err error) *node.Response {
-	var broken *h1.Error
-	if !errors.As(err, &broken) {
-		broken = &h1.Error{Stage: h1.StageSend, Cause: err}
+// failureResponse returns the response for an exchange with the upstream that failed with err. It
+// records a crash if the upstream refuses connections.
+func (u *Upstream) failureResponse(ctx context.Context, call *node.Call, err error) *node.Response {
+	var exchangeErr *h1.Error
+	if !errors.As(err, &exchangeErr) {
+		exchangeErr = &h1.Error{Stage: h1.StageSend, Cause: err}
 	}
 	id := call.Ctx.CallID
-	if broken.Stage == h1.StageConnect {
+	if exchangeErr.Stage == h1.StageConnect {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			u.crashed()
+			u.recordCrash()
 		}
-		return node.Refused(id, result.Refuse(result.NoUpstream, "the upstream takes no connection: %v", err))
+		return node.Refused(id, result.Refuse(result.NoUpstream, "connection to the upstream failed: %v", err))
 	}
-	if ctx.Err() != nil && broken.Stage != h1.StageMismatch {
-		return node.Refused(id, endedRefusal(ctx))
+	if ctx.Err() != nil && exchangeErr.Stage != h1.StageMismatch {
+		return node.Refused(id, contextRefusal(ctx))
 	}
-	a := node.Refused(id, brokenRefusal(broken))
-	if broken.Stage != h1.StageTooLarge && broken.Stage != h1.StageMismatch {
-		a.Crashed = u.probeCrash()
+	resp := node.Refused(id, failureRefusal(exchangeErr))
+	if exchangeErr.Stage != h1.StageTooLarge && exchangeErr.Stage != h1.StageMismatch {
+		resp.Crashed = u.probeCrash()
 	}
-	return a
+	return resp
 }
 
-func brokenRefusal(broken *h1.Error) *result.Refusal {
-	switch broken.Stage {
+func failureRefusal(exchangeErr *h1.Error) *result.Refusal {
+	switch exchangeErr.Stage {
 	case h1.StageBody:
-		return result.Refuse(result.AnswerCut, "the upstream's answer ended early: %v", broken.Cause)
+		return result.Refuse(result.AnswerCut, "response of the upstream ended early: %v", exchangeErr.Cause)
 	case h1.StageTooLarge:
-		return result.Refuse(result.AnswerCut, "the upstream's answer exceeds %d bytes: %v", maxAnswerBody, broken.Cause)
+		return result.Refuse(result.AnswerCut, "response of the upstream exceeds %d bytes: %v", maxResponseBody, exchangeErr.Cause)
 	case h1.StageMismatch:
-		return result.Refuse(result.AnswerMismatch, "the upstream answered another call: %v", broken.Cause)
+		return result.Refuse(result.AnswerMismatch, "upstream responded to another call: %v", exchangeErr.Cause)
 	}
-	return result.Refuse(result.LostAnswer, "the connection to the upstream broke: %v", broken)
+	return result.Refuse(result.LostAnswer, "connection to the upstream failed before the response: %v", exchangeErr)
 }
 
-// probeCrash tells a dead upstream from a single broken connection: all its
-// connections break at once, but only a dead one refuses a new one. Any other
-// error, such as this process running out of descriptors, says nothing about
-// the upstream.
-// It returns the incarnation that died, 0 when none did.
+// probeCrash distinguishes a crashed upstream from a single broken connection. A crash breaks all
+// connections, but only a crashed upstream refuses a new one. Any other error, for example too many
+// open file descriptors in this process, gives no information about the upstream.
+// It returns the incarnation that crashed; 0 if none did.
 func (u *Upstream) probeCrash() uint64 {
 	conn, err := net.DialTimeout("tcp", u.Addr(), crashProbeTimeout)
 	if err == nil {
@@ -325,28 +325,29 @@
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return 0
 	}
-	return u.crashed()
+	return u.recordCrash()
 }
 
-func (u *Upstream) crashed() uint64 {
-	u.connections().Reset()
+func (u *Upstream) recordCrash() uint64 {
+	u.currentPool().Reset()
 	return u.node.UpstreamCrashed(u.node.Now())
 }
 
-func (u *Upstream) answered(call *node.Call, got *h1.Response) *node.Response {
-	if refusal := u.dialect.NotRun(got.Status, got.Header); refusal != nil {
+// convertResponse converts the upstream's HTTP response.
+func (u *Upstream) convertResponse(call *node.Call, httpResp *h1.Response) *node.Response {
+	if refusal := u.dialect.NotRun(httpResp.Status, httpResp.Header); refusal != nil {
 		return node.Refused(call.Ctx.CallID, refusal)
 	}
 	code := result.OK
-	if got.Status >= http.StatusInternalServerError {
+	if httpResp.Status >= http.StatusInternalServerError {
 		code = result.UpstreamFailed
 	}
 	return &node.Response{
 		CallID: call.Ctx.CallID,
 		Code:   code,
-		Status: got.Status,
-		Header: callctx.Forwardable(got.Header),
-		Body:   got.Body,
+		Status: httpResp.Status,
+		Header: callctx.Forwardable(httpResp.Header),
+		Body:   httpResp.Body,
 
 		ShedsFrom: routing.NoThreshold,
 	}
--- a/internal/proxy/workspaceseries.go
+++ b/internal/proxy/workspaceseries.go
@@ -13,45 +13,45 @@
 const (
 	// workspaceSeries is the kind of the metrics of workspaces.
 	workspaceSeries = "workspace"
-	// maxWorkspaceSeries bounds the workspaces with metrics of their own: those with the
-	// highest quotas. All others share one series.
+	// maxWorkspaceSeries limits the number of workspaces with metrics of their own. These are the
+	// workspaces with the highest quotas; all others share one series.
 	maxWorkspaceSeries = 64
-	// otherWorkspaces is the label of those; no workspace may have this name.
+	// otherWorkspaces is the label of the shared series. It is not a valid workspace name.
 	otherWorkspaces = "(others)"
 )
 
-// workspaceMetrics finds the series of a workspace.
+// workspaceMetrics maps workspaces to their series.
 type workspaceMetrics struct {
 	metrics *metrics.Set
-	// own are the workspaces with a series of their own.
-	own atomic.Pointer[map[string]*metrics.Series]
+	// series contains the workspaces with a series of their own.
+	series atomic.Pointer[map[string]*metrics.Series]
 }
 
-// set puts the workspaces of routes in force. One caller at a time.
-func (m *workspaceMetrics) set(t *routes.Table) {
-	ordered := slices.Clone(t.Config().Workspaces)
-	slices.SortFunc(ordered, func(a, b routes.Workspace) int {
+// update applies the workspaces of new routes. It must not be called concurrently.
+func (m *workspaceMetrics) update(t *routes.Table) {
+	byRate := slices.Clone(t.Config().Workspaces)
+	slices.SortFunc(byRate, func(a, b routes.Workspace) int {
 		return cmp.Or(cmp.Compare(b.Rate, a.Rate), strings.Compare(a.Name, b.Name))
 	})
 	next := make(map[string]*metrics.Series)
-	for _, w := range ordered[:min(len(ordered), maxWorkspaceSeries)] {
+	for _, w := range byRate[:min(len(byRate), maxWorkspaceSeries)] {
 		next[w.Name] = m.metrics.Series(workspaceSeries, w.Name)
 	}
-	before := m.own.Swap(&next)
-	if before == nil {
+	previous := m.series.Swap(&next)
+	if previous == nil {
 		return
 	}
-	for name := range *before {
+	for name := range *previous {
 		if next[name] == nil {
 			m.metrics.Drop(workspaceSeries, name)
 		}
 	}
 }
 
-// of returns the series that counts a workspace's requests.
-func (m *workspaceMetrics) of(workspace string) *metrics.Series {
-	if own := m.own.Load(); own != nil && (*own)[workspace] != nil {
-		return (*own)[workspace]
+// forWorkspace returns the series that counts the requests of a workspace.
+func (m *workspaceMetrics) forWorkspace(workspace string) *metrics.Series {
+	if series := m.series.Load(); series != nil && (*series)[workspace] != nil {
+		return (*series)[workspace]
 	}
 	return m.metrics.Series(workspaceSeries, otherWorkspaces)
 }
--- a/internal/proxy/workspaceseries_test.go
+++ b/internal/proxy/workspaceseries_test.go
@@ -10,8 +10,8 @@
 	"github.com/galenagrade/galenagrade/internal/routes"
 )
 
-// Guards against thousands of workspaces with metrics of their own, and against those of
-// workspaces that are gone.
+// Guards against memory and metrics that grow with the number of workspaces, and against metrics of
+// removed workspaces.
 func TestMetricsOfWorkspacesAreBounded(t *testing.T) {
 	table := func(from, to int) *routes.Table {
 		c := &routes.Config{Version: 1}
@@ -21,13 +21,13 @@
 		return routes.NewTable(nil, c, 0)
 	}
 	m := &workspaceMetrics{metrics: metrics.New(1)}
-	m.set(table(0, 1000))
-	must.MapLen(t, maxWorkspaceSeries, *m.own.Load())
-	must.True(t, m.of("w1") == m.of("w2"))
-	must.False(t, m.of("w999") == m.of("w998"))
-	largest := m.of("w999")
-	m.set(table(0, 10))
-	must.MapLen(t, 10, *m.own.Load())
-	must.False(t, m.of("w999") == largest)
-	must.True(t, m.of("w999") == m.of("w500"))
+	m.update(table(0, 1000))
+	must.MapLen(t, maxWorkspaceSeries, *m.series.Load())
+	must.True(t, m.forWorkspace("w1") == m.forWorkspace("w2"))
+	must.False(t, m.forWorkspace("w999") == m.forWorkspace("w998"))
+	largest := m.forWorkspace("w999")
+	m.update(table(0, 10))
+	must.MapLen(t, 10, *m.series.Load())
+	must.False(t, m.forWorkspace("w999") == largest)
+	must.True(t, m.forWorkspace("w999") == m.forWorkspace("w500"))
 }
