--- /dev/null
+++ b/internal/proxy/responsetime.go
@@ -0,0 +1,56 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"sync/atomic"
+	"time"
+)
+
+// DialFunc establishes a connection to another node.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
+
+const (
+	// minReattachWait prevents re-attachments, and with them new connections, because of normal
+	// variation of the response time.
+	minReattachWait = 100 * time.Millisecond
+	// maxReattachWait limits the delay that one unresponsive connection causes for a caller.
+	maxReattachWait = 1 * time.Second
+	// Gains of the smoothed response time and its deviation, as in RFC 6298.
+	meanGain        = 8
+	deviationGain   = 4
+	deviationFactor = 4
+)
+
+// responseTimeEstimator estimates the response time and its deviation like a TCP retransmission timer.
+// Concurrent observations may overwrite each other, since an estimate does not have to be exact. The
+// zero value waits for the maximum.
+type responseTimeEstimator struct {
+	mean, deviation atomic.Int64 // nanoseconds
+}
+
+func (e *responseTimeEstimator) observe(d time.Duration) {
+	mean := e.mean.Load()
+	if mean == 0 {
+		e.mean.Store(int64(d))
+		e.deviation.Store(int64(d) / 2)
+		return
+	}
+	diff := int64(d) - mean
+	e.mean.Store(mean + diff/meanGain)
+	deviation := e.deviation.Load()
+	e.deviation.Store(deviation + (max(diff, -diff)-deviation)/deviationGain)
+}
+
+// WaitBounds are the limits of the time to wait before a re-attachment.
+type WaitBounds struct{ Min, Max time.Duration }
+
+// reattachWait returns how long to wait for a response before a re-attachment.
+func (e *responseTimeEstimator) reattachWait(b WaitBounds) time.Duration {
+	mean := e.mean.Load()
+	if mean == 0 {
+		return b.Max
+	}
+	d := time.Duration(mean + deviationFactor*e.deviation.Load())
+	return min(max(d, b.Min), b.Max)
+}
