--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -7,9 +7,11 @@
 	"time"
 )
 
-// maxBytes bounds every size: a node is one small process beside an upstream.
+// maxBytes is the maximum of every size setting. The node shares its VM with an upstream and must
+// stay a small process.
 const maxBytes = 1 << 30
 
+// durationCheck is a duration field with its inclusive bounds.
 type durationCheck struct {
 	field    string
 	value    Duration
@@ -41,16 +43,16 @@
 	return t.validateOrder()
 }
 
-// validateOrder keeps the periods that only work in one order.
+// validateOrder checks pairs of periods of which the first must not exceed the second.
 func (t *Timing) validateOrder() error {
-	orders := []struct {
+	orderedPairs := []struct {
 		lowField, highField string
 		low, high           Duration
 	}{
 		{"timing.drain_notice", "timing.stop_timeout", t.DrainNotice, t.StopTimeout},
 		{"timing.exchange", "timing.authority", t.Exchange, t.Authority},
 	}
-	for _, o := range orders {
+	for _, o := range orderedPairs {
 		if o.low > o.high {
 			return &FieldError{o.lowField, o.low.String(), fmt.Sprintf("at most %s, which is %v", o.highField, o.high)}
 		}
--- a/internal/settings/duration.go
+++ b/internal/settings/duration.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// Duration is written as a string with a unit, such as "250ms" or "1m30s".
+// Duration is a time.Duration whose JSON form is a string with a unit, such as "250ms" or "1m30s".
 type Duration time.Duration
 
-// Std returns d as the standard type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // String returns d with its unit.
@@ -22,8 +22,7 @@
 	return json.Marshal(d.String())
 }
 
-// UnmarshalJSON implements json.Unmarshaler. A number is refused: its unit
-// would have to be guessed.
+// UnmarshalJSON implements json.Unmarshaler. It rejects a JSON number because a number has no unit.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -10,13 +10,13 @@
 	"github.com/pkg/errors"
 )
 
-// MaxFileBytes bounds a settings file.
+// MaxFileBytes is the maximum size of a settings file in bytes.
 const MaxFileBytes = 1 << 20
 
-// Load reads, completes and validates the settings file at path.
+// Load reads the settings file at path, fills in defaults and validates it. Errors name the path.
 func Load(path string) (*Node, error) { return load(path, Parse) }
 
-// load reads the file at path and parses it; every error names the file.
+// load reads the file at path and parses it. Every error names the path.
 func load[T any](path string, parse func([]byte) (*T, error)) (*T, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -37,27 +37,27 @@
 	if err := decode(doc, n); err != nil {
 		return nil, err
 	}
-	n.complete()
+	n.setDerivedDefaults()
 	if err := n.Validate(); err != nil {
 		return nil, err
 	}
 	return n, nil
 }
 
-// decode reads a document into settings that hold the defaults. A field that
-// isn't known, or holds another type, is an error that names it.
+// decode unmarshals a document into settings that already contain the defaults. An unknown field
+// or a value of the wrong type is an error that names the field.
 func decode[T any](doc []byte, into *T) error {
 	if len(doc) > MaxFileBytes {
 		return errors.Errorf("settings: document is %d bytes or more, must be at most %d", len(doc), MaxFileBytes)
 	}
-	if err := checkShape(doc, reflect.TypeFor[T]()); err != nil {
+	if err := checkSchema(doc, reflect.TypeFor[T]()); err != nil {
 		return err
 	}
 	return errors.Wrap(json.Unmarshal(doc, into), "settings")
 }
 
-// Defaults returns settings with every default and nothing else; they don't
-// validate until the names, addresses and log URL are given.
+// Defaults returns settings in which only the defaults are set. They fail validation until the
+// names, addresses and log URL are set.
 func Defaults() *Node {
 	return &Node{
 		SeedPeers: []string{},
@@ -95,8 +95,8 @@
 	}
 }
 
-// complete fills in the defaults that depend on other fields.
-func (n *Node) complete() {
+// setDerivedDefaults sets the defaults that depend on other fields.
+func (n *Node) setDerivedDefaults() {
 	if n.Inner.Advertised == "" {
 		n.Inner.Advertised = n.Inner.Address
 	}
--- a/internal/settings/mesh.go
+++ b/internal/settings/mesh.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// Mesh is the settings file of a node whose requests come by routes.
+// Mesh is the settings file of a node that forwards requests by routes.
 type Mesh struct {
-	// NodeID names the VM; unique over all regions.
+	// NodeID names the VM. It is unique across all regions.
 	NodeID string `json:"node_id"`
+	// Region groups availability zones.
 	Region string `json:"region"`
-	Zone   string `json:"zone"`
-	// Service is what the upstream on this VM serves.
+	// Zone is the availability zone of the VM.
+	Zone string `json:"zone"`
+	// Service is the name of the service that the upstream on this VM provides.
 	Service string `json:"service"`
-	// UpstreamAddress is where the upstream listens, IP:port, until it says
-	// otherwise.
+	// UpstreamAddress is the IP:port of the upstream until the upstream announces another one.
 	UpstreamAddress string `json:"upstream_address"`
 
-	// FirstStart says that the whole deployment starts for the first time: nobody has a
-	// record yet. Default false.
+	// FirstStart marks the first start of the whole deployment, when the store has no record
+	// of any node. Default false.
 	FirstStart bool `json:"first_start"`
 
 	Listen    MeshListen `json:"listen"`
@@ -31,74 +32,76 @@
 	Logging   Logging    `json:"logging"`
 }
 
-// MeshListen are the addresses that the node listens on, IP:port.
+// MeshListen contains the addresses that the node listens on, as IP:port.
 type MeshListen struct {
-	// Callers takes requests of callers and of the local upstream.
+	// Callers accepts requests from callers and from the local upstream.
 	Callers string `json:"callers"`
-	// Inner takes calls of other nodes.
+	// Inner accepts calls from other nodes.
 	Inner string `json:"inner"`
-	// InnerAdvertised is where other nodes reach Inner; empty where that is the
-	// same address.
+	// InnerAdvertised is the address at which other nodes reach Inner. Empty means the address
+	// in Inner.
 	InnerAdvertised string `json:"inner_advertised"`
-	// Ready answers whether the node takes callers.
+	// Ready serves the readiness check: whether the node accepts callers.
 	Ready string `json:"ready"`
-	// Announce takes what the local upstream says of itself.
+	// Announce accepts the announcements of the local upstream.
 	Announce string `json:"announce"`
-	// Metrics serves metrics; empty serves none.
+	// Metrics serves metrics. Empty disables them.
 	Metrics string `json:"metrics"`
 }
 
-// MeshStore is the platform's store.
+// MeshStore configures access to the platform's store.
 type MeshStore struct {
 	// Address is IP:port.
 	Address string `json:"address"`
-	// Name tells one store from another where nodes reach the same one by different
-	// addresses. Default: the address.
+	// Name identifies the store where nodes reach the same store at different addresses.
+	// Default: the address.
 	Name string `json:"name"`
-	// RecordBytes bounds one record. Default 262144.
+	// RecordBytes is the maximum size of one record in bytes. Default 262144.
 	RecordBytes int `json:"record_bytes"`
 }
 
-// Identity is the name, or else the address: nodes with the same one read the same store.
+// Identity returns the name, or the address if there is no name. Nodes with the same identity
+// read the same store.
 func (s MeshStore) Identity() string { return cmp.Or(s.Name, s.Address) }
 
-// Resources are what the VM gives the node.
+// Resources contains the limits that the VM sets for the node process.
 type Resources struct {
-	// MemoryMB is where the process is ended. Default 256.
+	// MemoryMB is the memory size in MB at which the process is killed. Default 256.
 	MemoryMB int `json:"memory_mb"`
-	// Descriptors bounds open files. Default 4096.
+	// Descriptors is the maximum number of open files. Default 4096.
 	Descriptors int `json:"descriptors"`
 }
 
-// MeshStop are the times of a planned stop.
+// MeshStop contains the timeouts of a planned stop.
 type MeshStop struct {
-	// Grace is the time from the signal to the end by force. Default 6s.
+	// Grace is the time from the stop signal until the process is killed. Default 6s.
 	Grace Duration `json:"grace"`
 }
 
-// Retries bound what all nodes together send to a service beyond the first
-// attempt of each request.
+// Retries is the retry budget of a service: it bounds the attempts that all nodes together send
+// beyond the first attempt of each request.
 type Retries struct {
-	// Ratio of repeats to first attempts. Default 0.2.
+	// Ratio is the maximum ratio of retries to first attempts. Default 0.2.
 	Ratio float64 `json:"ratio"`
-	// Floor is how many repeats are allowed in each window besides. Default 0.
+	// Floor is the number of retries allowed in each window in addition to Ratio. Default 0.
 	Floor int `json:"floor"`
-	// Window is the time over which both are counted. Default 10s.
+	// Window is the period over which attempts are counted. Default 10s.
 	Window Duration `json:"window"`
 }
 
-// Quotas are what all nodes together may let through beyond the quota of a workspace in
-// any window: share of what it allows there, and requests.
+// Quotas bounds the requests that all nodes together may admit beyond the quota of a workspace
+// in any window. The bound is the sum of Overage and Slack.
 type Quotas struct {
-	// Window is the time over which requests are counted. Default 5s.
+	// Window is the period over which requests are counted. Default 5s.
 	Window Duration `json:"window"`
-	// Overage is a share of what the quota allows in a window. Default 0.
+	// Overage is a fraction of the quota of one window. Default 0.
 	Overage float64 `json:"overage"`
-	// Slack is in requests. Default 0.
+	// Slack is a number of requests. Default 0.
 	Slack float64 `json:"slack"`
 }
 
-// LoadMesh reads, completes and validates the settings file at path.
+// LoadMesh reads the settings file at path, fills in defaults and validates it. Errors name the
+// path.
 func LoadMesh(path string) (*Mesh, error) { return load(path, ParseMesh) }
 
 // ParseMesh reads a settings document, fills in defaults and validates it.
@@ -113,7 +116,7 @@
 	return m, nil
 }
 
-// MeshDefaults returns settings with every default and nothing else.
+// MeshDefaults returns settings in which only the defaults are set.
 func MeshDefaults() *Mesh {
 	return &Mesh{
 		Store:     MeshStore{RecordBytes: 256 << 10},
@@ -125,9 +128,9 @@
 	}
 }
 
-// Validate reports the first field that is out of bounds as a *FieldError.
+// Validate returns a *FieldError for the first invalid field, or nil.
 func (m *Mesh) Validate() error {
-	for _, check := range []func() error{m.validateNames, m.validateAddresses, m.validateFigures, m.Logging.validate} {
+	for _, check := range []func() error{m.validateNames, m.validateAddresses, m.validateRanges, m.Logging.validate} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -135,8 +138,8 @@
 	return nil
 }
 
-// NeedRestart names the fields of next that differ and can't change while the
-// node runs: who it is, and where it listens.
+// NeedRestart returns the fields that differ in next and take effect only after a restart: the
+// identity of the node, its listen addresses, the record size and the log sampling.
 func (m *Mesh) NeedRestart(next *Mesh) []string {
 	var fields []string
 	for _, x := range []struct {
@@ -201,7 +204,7 @@
 	return nil
 }
 
-func (m *Mesh) validateFigures() error {
+func (m *Mesh) validateRanges() error {
 	for _, x := range []struct {
 		ok    bool
 		field string
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -1,11 +1,11 @@
-// Package settings reads the settings of a node: one strict JSON file. A field
-// that isn't known is an error that names it, durations are strings with a
-// unit, and every error names the field, its value and the bound.
+// Package settings reads the settings file of a node. The file is strict JSON: an unknown field is
+// an error, durations are strings with a unit, and every error names the field, its value and the
+// allowed values.
 package settings
 
-// Node is the whole settings file of one node.
+// Node is the settings file of one node.
 type Node struct {
-	// NodeID names the VM; unique over all regions.
+	// NodeID names the VM. It is unique across all regions.
 	NodeID string `json:"node_id"`
 	// Region groups availability zones.
 	Region string `json:"region"`
@@ -18,10 +18,10 @@
 	Admin    Admin    `json:"admin"`
 	Log      Log      `json:"log"`
 
-	// SeedPeers are inner addresses (IP:port) to ask for state and members
-	// while the log is out. May be empty.
+	// SeedPeers contains inner addresses (IP:port) of nodes from which this node requests state
+	// and members while the log is unavailable. May be empty.
 	SeedPeers []string `json:"seed_peers"`
-	// Tokens are the bearer tokens of callers and operators.
+	// Tokens contains the bearer tokens of callers and operators.
 	Tokens []Token `json:"tokens"`
 
 	Timing  Timing  `json:"timing"`
@@ -29,148 +29,150 @@
 	Logging Logging `json:"logging"`
 }
 
-// Callers is the listener for callers.
+// Callers configures the listener for callers.
 type Callers struct {
 	// Address is IP:port.
 	Address string `json:"address"`
 	TLS     *TLS   `json:"tls"`
-	// RequireToken refuses callers without a token of role "caller" for
-	// their workspace. Default false.
+	// RequireToken rejects callers without a token of role "caller" for their workspace. Default
+	// false.
 	RequireToken bool `json:"require_token"`
 }
 
-// Upstream is the listener for the local upstream.
+// Upstream configures the listener for the local upstream.
 type Upstream struct {
-	// Address is IP:port on loopback.
+	// Address is an IP:port on loopback.
 	Address string `json:"address"`
 }
 
-// Inner is the listener for other nodes.
+// Inner configures the listener for other nodes.
 type Inner struct {
 	// Address is IP:port.
 	Address string `json:"address"`
-	// Advertised is the IP:port that other nodes use. Default Address, which
-	// must then not be unspecified (0.0.0.0).
+	// Advertised is the IP:port that other nodes connect to. Default Address, which must then not
+	// be unspecified (0.0.0.0).
 	Advertised string `json:"advertised"`
-	// TLS with a CAFile demands a certificate of every peer.
+	// TLS with a CAFile requires a certificate from every peer.
 	TLS *TLS `json:"tls"`
 }
 
-// Admin is the listener for operators; /metrics is served there too.
+// Admin configures the listener for operators, which also serves /metrics.
 type Admin struct {
 	// Address is IP:port.
 	Address string `json:"address"`
 	TLS     *TLS   `json:"tls"`
 }
 
-// TLS names the files of a listener's certificate.
+// TLS contains the certificate files of a listener.
 type TLS struct {
 	CertFile string `json:"cert_file"`
 	KeyFile  string `json:"key_file"`
-	// CAFile, when given, demands client certificates signed by it.
+	// CAFile, if set, requires client certificates signed by one of its CAs.
 	CAFile string `json:"ca_file"`
 }
 
-// Log is the platform's log service.
+// Log configures access to the platform's log service.
 type Log struct {
-	// URL is http or https.
+	// URL is an http or https URL.
 	URL string `json:"url"`
-	// AppendTimeout bounds one append. Default 2s.
+	// AppendTimeout is the timeout of one append. Default 2s.
 	AppendTimeout Duration `json:"append_timeout"`
-	// ReadTimeout bounds one read beyond its wait. Default 2s.
+	// ReadTimeout is the timeout of one read, in addition to ReadWait. Default 2s.
 	ReadTimeout Duration `json:"read_timeout"`
-	// ReadWait is how long a read at the head may wait. Default 1s.
+	// ReadWait is the time that a read at the head of the log may wait for new records. Default
+	// 1s.
 	ReadWait Duration `json:"read_wait"`
-	// Retention is how long the log keeps records. Default 24h.
+	// Retention is the time for which the log keeps records. Default 24h.
 	Retention Duration `json:"retention"`
 }
 
-// Role is what a token may be used for.
+// Role is the set of permissions of a token.
 type Role string
 
 const (
-	// RoleCaller may send requests of its workspaces.
+	// RoleCaller permits sending requests for the token's workspaces.
 	RoleCaller Role = "caller"
-	// RoleViewer may read what concerns its workspaces.
+	// RoleViewer permits reading state, configuration and events of the token's workspaces.
 	RoleViewer Role = "viewer"
-	// RoleOperator may also publish, set and drain.
+	// RoleOperator permits reading, publishing templates, setting instances and draining nodes.
 	RoleOperator Role = "operator"
 )
 
-// AllWorkspaces in a token's workspaces covers every one.
+// AllWorkspaces is the entry in a token's workspaces that covers all workspaces.
 const AllWorkspaces = "*"
 
-// Token is one bearer token, known only by its hash.
+// Token is one bearer token. The settings contain only its hash.
 type Token struct {
 	// SHA256 is the lower-case hexadecimal SHA-256 of the token.
 	SHA256 string `json:"sha256"`
-	// Name is what logs and the timeline call the holder.
+	// Name identifies the token's holder in logs and in the timeline.
 	Name string `json:"name"`
 	Role Role   `json:"role"`
-	// Workspaces are those covered; "*" covers all.
+	// Workspaces contains the workspaces that the token covers; "*" covers all.
 	Workspaces []string `json:"workspaces"`
 }
 
-// Timing are the node's periods and timeouts.
+// Timing contains the node's periods and timeouts.
 type Timing struct {
-	// Exchange is the period of the exchange with a relay. Default 1s: with
-	// 2 KB/s for control it leaves 2 KB for each.
+	// Exchange is the period of the control exchange with a relay. Default 1s: at 2 KB/s of
+	// control traffic each exchange may use 2 KB.
 	Exchange Duration `json:"exchange"`
-	// UpstreamSilence is when an upstream that stopped announcing itself is
-	// held for gone. Default 3s, three announcements.
+	// UpstreamSilence is the time without an announcement after which an upstream counts as gone.
+	// Default 3s, three announcements.
 	UpstreamSilence Duration `json:"upstream_silence"`
-	// Authority is how long a proof of key ownership counts; the same on all
-	// nodes of a service. Default 3s.
+	// Authority is the validity period of a head observation for key ownership. It must be the same
+	// on all nodes of a service. Default 3s.
 	Authority Duration `json:"authority"`
-	// DrainNotice is how long a leaving node goes on telling so before it
-	// waits for calls in flight. Default 2s.
+	// DrainNotice is the time for which a draining node announces its departure before it waits for
+	// calls in flight. Default 2s.
 	DrainNotice Duration `json:"drain_notice"`
-	// StopTimeout bounds a planned stop as a whole. Default 60s.
+	// StopTimeout is the timeout of a whole planned stop. Default 60s.
 	StopTimeout Duration `json:"stop_timeout"`
-	// Connect bounds making a connection. Default 250ms.
+	// Connect is the timeout for establishing a connection. Default 250ms.
 	Connect Duration `json:"connect"`
-	// IdleConnection is how long an unused connection to another node is kept
-	// for calls. Default 5s.
+	// IdleConnection is the time after which an idle connection to another node is closed.
+	// Default 5s.
 	IdleConnection Duration `json:"idle_connection"`
 }
 
-// Limits bound what the node holds. Sizes are in bytes.
+// Limits contains the upper bounds of the node's queues, caches and buffers. Sizes are in bytes.
 type Limits struct {
-	// CallerConnections bounds open connections of callers. Default 4096.
+	// CallerConnections is the maximum number of open caller connections. Default 4096.
 	CallerConnections int `json:"caller_connections"`
-	// CallsInFlight bounds calls held by the node in any role. Default 8192.
+	// CallsInFlight is the maximum number of calls that the node handles at once, in any role.
+	// Default 8192.
 	CallsInFlight int `json:"calls_in_flight"`
-	// PeerConnections bounds idle connections kept to one other node.
-	// Default 256.
+	// PeerConnections is the maximum number of idle connections to one other node. Default 256.
 	PeerConnections int `json:"peer_connections"`
-	// Queue bounds the guard's queue, in calls. Default 1024.
+	// Queue is the maximum length of the guard's queue, in calls. Default 1024.
 	Queue int `json:"queue"`
-	// BodyBytes bounds one request's or answer's body held in memory, whatever
-	// a template allows. Default 16 MiB, the most that a template may allow.
+	// BodyBytes is the maximum size of one request or response body in memory, regardless of the
+	// template's limit. Default 16 MiB, the highest limit that a template may set.
 	BodyBytes int `json:"body_bytes"`
-	// HeldBytes bounds all bodies held at once. Default 64 MiB.
+	// HeldBytes is the maximum total size of all bodies in memory. Default 64 MiB.
 	HeldBytes int `json:"held_bytes"`
-	// AnswerBytes bounds the answers kept for resends. Default 16 MiB.
+	// AnswerBytes is the maximum total size of the responses kept for replay. Default 16 MiB.
 	AnswerBytes int `json:"answer_bytes"`
-	// AnswerKeys bounds the idempotency keys remembered. Default 65536.
+	// AnswerKeys is the maximum number of idempotency keys kept. Default 65536.
 	AnswerKeys int `json:"answer_keys"`
-	// HeaderBytes bounds the header of a request. Default 32 KiB.
+	// HeaderBytes is the maximum size of a request header. Default 32 KiB.
 	HeaderBytes int `json:"header_bytes"`
-	// TimelineEvents bounds the ring of events. Default 8192.
+	// TimelineEvents is the capacity of the event ring, in events. Default 8192.
 	TimelineEvents int `json:"timeline_events"`
-	// TimelineSample keeps the events of one good call in so many. Default 64.
+	// TimelineSample is N in "keep the events of 1 in N successful calls". Default 64.
 	TimelineSample int `json:"timeline_sample"`
-	// Suspects bounds the fingerprints of crashing requests. Default 2048.
+	// Suspects is the maximum number of crash records, one for each fingerprint of a request that
+	// crashes upstreams. Default 2048.
 	Suspects int `json:"suspects"`
 }
 
-// Logging is the node's log of JSON lines.
+// Logging configures the node's JSON log.
 type Logging struct {
 	// Level is debug, info, warn or error. Default info.
 	Level string `json:"level"`
-	// Burst is how many lines of one level go out in each second before
-	// sampling starts. Default 100.
+	// Burst is the number of lines of one level written in a second before sampling starts.
+	// Default 100.
 	Burst int `json:"burst"`
-	// Sample keeps one line in so many beyond the burst. Default 100.
+	// Sample is N in "write 1 in N lines beyond the burst". Default 100.
 	Sample int `json:"sample"`
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-const minimal = `{
+const minimalDoc = `{
   "node_id": "kurume-letters-1", "region": "kyushu", "zone": "kurume",
   "callers": {"address": "0.0.0.0:7100"},
   "upstream": {"address": "127.0.0.1:7101"},
@@ -20,8 +20,8 @@
   "log": {"url": "http://10.40.0.10:7000"}
 }`
 
-func TestMinimalGetsDefaults(t *testing.T) {
-	n, err := Parse([]byte(minimal))
+func TestMinimalFileGetsDefaults(t *testing.T) {
+	n, err := Parse([]byte(minimalDoc))
 	must.NoError(t, err)
 	want := Defaults()
 	must.Eq(t, want.Timing, n.Timing)
@@ -31,14 +31,14 @@
 }
 
 func TestAdvertisedDefaultsToInner(t *testing.T) {
-	doc := strings.Replace(minimal, `"0.0.0.0:7102", "advertised": "10.40.1.12:7102"`, `"10.40.1.12:7102"`, 1)
+	doc := strings.Replace(minimalDoc, `"0.0.0.0:7102", "advertised": "10.40.1.12:7102"`, `"10.40.1.12:7102"`, 1)
 	n, err := Parse([]byte(doc))
 	must.NoError(t, err)
 	must.Eq(t, "10.40.1.12:7102", n.Inner.Advertised)
 }
 
-// An operator mistypes one thing. The message must name the field, what was
-// found and what would do, so that no one has to read the source.
+// Guards against errors that an operator cannot act on after a typing mistake. The error must name
+// the field, the value found and the allowed values.
 func TestErrorsNameFieldValueAndBound(t *testing.T) {
 	cases := []struct{ from, to, want string }{
 		{`"zone"`, `"Zone"`, `Zone is unknown, must be one of node_id, region, zone`},
@@ -67,7 +67,7 @@
 		{`"0.0.0.0:7100"`, `"0.0.0.0:7100", "tls": {"cert_file": "c"}`, `callers.tls.key_file is empty`},
 	}
 	for _, c := range cases {
-		doc := strings.Replace(minimal, c.from, c.to, 1)
+		doc := strings.Replace(minimalDoc, c.from, c.to, 1)
 		_, err := Parse([]byte(doc))
 		must.ErrorContains(t, err, c.want, must.Sprintf("%s", c.to))
 		var fe *FieldError
@@ -76,19 +76,19 @@
 }
 
 func TestDataAfterTheDocumentIsRefused(t *testing.T) {
-	_, err := Parse([]byte(minimal + "{}"))
+	_, err := Parse([]byte(minimalDoc + "{}"))
 	must.ErrorContains(t, err, "data after the document")
 }
 
 func TestTokenMustBeListedOnce(t *testing.T) {
 	sum := strings.Repeat("ab", 32)
-	tok := `{"sha256":"` + sum + `","name":"x","role":"viewer","workspaces":["*"]}`
-	doc := strings.Replace(minimal, `"node_id"`, `"tokens":[`+tok+`,`+tok+`],"node_id"`, 1)
+	token := `{"sha256":"` + sum + `","name":"x","role":"viewer","workspaces":["*"]}`
+	doc := strings.Replace(minimalDoc, `"node_id"`, `"tokens":[`+token+`,`+token+`],"node_id"`, 1)
 	_, err := Parse([]byte(doc))
 	must.ErrorContains(t, err, "tokens[1].sha256")
 }
 
-func TestSamplesParse(t *testing.T) {
+func TestExampleFilesParse(t *testing.T) {
 	for _, dir := range []string{"chikugo", "yardstick", "by-hand"} {
 		paths, err := filepath.Glob(filepath.Join("../../examples", dir, "node-*.json"))
 		must.NoError(t, err)
@@ -100,10 +100,9 @@
 	}
 }
 
-// What Parse accepts is valid, and writing it out and reading it back gives
-// the same settings.
+// FuzzParse checks that accepted settings are valid and survive a JSON round trip unchanged.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(minimal))
+	f.Add([]byte(minimalDoc))
 	sample, err := os.ReadFile("../../examples/chikugo/node-letters-saga.json")
 	must.NoError(f, err)
 	f.Add(sample)
@@ -116,8 +115,8 @@
 		must.NoError(t, n.Validate())
 		out, err := json.Marshal(n)
 		must.NoError(t, err)
-		again, err := Parse(out)
+		reparsed, err := Parse(out)
 		must.NoError(t, err)
-		must.Eq(t, n, again)
+		must.Eq(t, n, reparsed)
 	})
 }
--- a/internal/settings/strict.go
+++ b/internal/settings/strict.go
@@ -11,13 +11,13 @@
 	"github.com/pkg/errors"
 )
 
-// FieldError says which field of the settings is at fault.
+// FieldError is the error for an invalid field of a settings file.
 type FieldError struct {
 	// Field is the path, such as "log.url" or "tokens[1].role".
 	Field string
-	// Value is what stands there.
+	// Value is the value found, or a description such as "unknown" or "an object".
 	Value string
-	// Bound is what it must be.
+	// Bound describes the allowed values.
 	Bound string
 }
 
@@ -28,10 +28,10 @@
 
 var durationType = reflect.TypeFor[Duration]()
 
-// checkShape walks a document along a type. encoding/json alone would accept
-// names in another case and repeated names, and names an unknown field
-// without its path.
-func checkShape(doc []byte, t reflect.Type) error {
+// checkSchema checks the fields and value types of a document against a type. encoding/json alone
+// accepts field names in another case and duplicate fields, and reports an unknown field without
+// its path.
+func checkSchema(doc []byte, t reflect.Type) error {
 	dec := json.NewDecoder(bytes.NewReader(doc))
 	dec.UseNumber()
 	if err := walkValue(dec, t, ""); err != nil {
@@ -46,7 +46,7 @@
 func walkValue(dec *json.Decoder, t reflect.Type, path string) error {
 	tok, err := dec.Token()
 	if err != nil {
-		return errors.Wrapf(err, "settings: %s at byte %d is not JSON", nameOf(path), dec.InputOffset())
+		return errors.Wrapf(err, "settings: %s at byte %d is not JSON", displayPath(path), dec.InputOffset())
 	}
 	if t.Kind() == reflect.Pointer {
 		if tok == nil {
@@ -64,22 +64,22 @@
 	case bool:
 		return checkKind(t, path, reflect.Bool, fmt.Sprint(v))
 	default:
-		return &FieldError{nameOf(path), "null", kindName(t)}
+		return &FieldError{displayPath(path), "null", expectedType(t)}
 	}
 }
 
-func walkNested(dec *json.Decoder, t reflect.Type, path string, open json.Delim) error {
-	if open == '{' && t.Kind() == reflect.Struct {
+func walkNested(dec *json.Decoder, t reflect.Type, path string, delim json.Delim) error {
+	if delim == '{' && t.Kind() == reflect.Struct {
 		return walkObject(dec, t, path)
 	}
-	if open == '[' && t.Kind() == reflect.Slice {
+	if delim == '[' && t.Kind() == reflect.Slice {
 		return walkArray(dec, t, path)
 	}
 	found := "an array"
-	if open == '{' {
+	if delim == '{' {
 		found = "an object"
 	}
-	return &FieldError{nameOf(path), found, kindName(t)}
+	return &FieldError{displayPath(path), found, expectedType(t)}
 }
 
 func walkObject(dec *json.Decoder, t reflect.Type, path string) error {
@@ -88,23 +88,23 @@
 	for dec.More() {
 		tok, err := dec.Token()
 		if err != nil {
-			return errors.Wrapf(err, "settings: %s at byte %d is not JSON", nameOf(path), dec.InputOffset())
+			return errors.Wrapf(err, "settings: %s at byte %d is not JSON", displayPath(path), dec.InputOffset())
 		}
 		name, _ := tok.(string)
-		ft, ok := fields[name]
-		at := join(path, name)
+		fieldType, ok := fields[name]
+		fieldPath := joinPath(path, name)
 		if !ok {
-			return &FieldError{at, "unknown", "one of " + strings.Join(fieldNames(t), ", ")}
+			return &FieldError{fieldPath, "unknown", "one of " + strings.Join(fieldNames(t), ", ")}
 		}
 		if seen[name] {
-			return &FieldError{at, "given twice", "given once"}
+			return &FieldError{fieldPath, "given twice", "given once"}
 		}
 		seen[name] = true
-		if err := walkValue(dec, ft, at); err != nil {
+		if err := walkValue(dec, fieldType, fieldPath); err != nil {
 			return err
 		}
 	}
-	return closeNested(dec, path)
+	return readClosingDelim(dec, path)
 }
 
 func walkArray(dec *json.Decoder, t reflect.Type, path string) error {
@@ -113,12 +113,12 @@
 			return err
 		}
 	}
-	return closeNested(dec, path)
+	return readClosingDelim(dec, path)
 }
 
-func closeNested(dec *json.Decoder, path string) error {
+func readClosingDelim(dec *json.Decoder, path string) error {
 	if _, err := dec.Token(); err != nil {
-		return errors.Wrapf(err, "settings: %s at byte %d is not JSON", nameOf(path), dec.InputOffset())
+		return errors.Wrapf(err, "settings: %s at byte %d is not JSON", displayPath(path), dec.InputOffset())
 	}
 	return nil
 }
@@ -128,14 +128,14 @@
 		return checkKind(t, path, reflect.String, fmt.Sprintf("%q", v))
 	}
 	if _, err := parseDuration(v); err != nil {
-		return &FieldError{path, fmt.Sprintf("%q", v), kindName(t)}
+		return &FieldError{path, fmt.Sprintf("%q", v), expectedType(t)}
 	}
 	return nil
 }
 
 func checkNumber(t reflect.Type, path string, v json.Number) error {
 	if t == durationType {
-		return &FieldError{path, v.String(), kindName(t)}
+		return &FieldError{path, v.String(), expectedType(t)}
 	}
 	if t.Kind() == reflect.Float64 {
 		return nil
@@ -149,14 +149,14 @@
 	return nil
 }
 
-func checkKind(t reflect.Type, path string, k reflect.Kind, value string) error {
-	if t.Kind() != k {
-		return &FieldError{nameOf(path), value, kindName(t)}
+func checkKind(t reflect.Type, path string, want reflect.Kind, value string) error {
+	if t.Kind() != want {
+		return &FieldError{displayPath(path), value, expectedType(t)}
 	}
 	return nil
 }
 
-func kindName(t reflect.Type) string {
+func expectedType(t reflect.Type) string {
 	if t == durationType {
 		return `a string with a unit such as "250ms"`
 	}
@@ -192,14 +192,14 @@
 	return names
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func nameOf(path string) string {
+func displayPath(path string) string {
 	if path == "" {
 		return "document"
 	}
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// MaxNameLen bounds the names of nodes, regions, zones and workspaces.
+// MaxNameLen is the maximum length of names of nodes, regions, zones and workspaces.
 const MaxNameLen = 64
 
 const (
@@ -23,7 +23,7 @@
 
 const nameBound = "1 to 64 of a-z, 0-9, '.', '_', '-', beginning and ending with a letter or digit"
 
-// Validate reports the first field that is out of bounds as a *FieldError.
+// Validate returns a *FieldError for the first invalid field, or nil.
 func (n *Node) Validate() error {
 	checks := []func() error{
 		n.validateNames,
@@ -62,21 +62,21 @@
 	if _, err := checkAddr("callers.address", n.Callers.Address, true); err != nil {
 		return err
 	}
-	up, err := checkAddr("upstream.address", n.Upstream.Address, true)
+	upstream, err := checkAddr("upstream.address", n.Upstream.Address, true)
 	if err != nil {
 		return err
 	}
-	if !up.Addr().IsLoopback() {
+	if !upstream.Addr().IsLoopback() {
 		return &FieldError{"upstream.address", quote(n.Upstream.Address), "a loopback address: the local upstream's port trusts whoever connects"}
 	}
 	if _, err := checkAddr("inner.address", n.Inner.Address, true); err != nil {
 		return err
 	}
-	adv, err := checkAddr("inner.advertised", n.Inner.Advertised, true)
+	advertised, err := checkAddr("inner.advertised", n.Inner.Advertised, true)
 	if err != nil {
 		return err
 	}
-	if adv.Addr().IsUnspecified() {
+	if advertised.Addr().IsUnspecified() {
 		return &FieldError{"inner.advertised", quote(n.Inner.Advertised), "an address that other nodes can reach"}
 	}
 	if _, err := checkAddr("admin.address", n.Admin.Address, true); err != nil {
@@ -85,7 +85,8 @@
 	return n.validateDistinct()
 }
 
-// validateDistinct refuses two listeners on one address. Port 0 is any port.
+// validateDistinct rejects two listeners with the same address. Addresses with port 0 never
+// conflict: the operating system assigns the port.
 func (n *Node) validateDistinct() error {
 	seen := map[string]string{}
 	listeners := []struct{ field, addr string }{
@@ -98,8 +99,8 @@
 		if strings.HasSuffix(l.addr, ":0") {
 			continue
 		}
-		if other, ok := seen[l.addr]; ok {
-			return &FieldError{l.field, quote(l.addr), "other than " + other}
+		if otherField, ok := seen[l.addr]; ok {
+			return &FieldError{l.field, quote(l.addr), "other than " + otherField}
 		}
 		seen[l.addr] = l.field
 	}
@@ -174,8 +175,8 @@
 }
 
 func (t *Token) validate(path string) error {
-	raw, err := hex.DecodeString(t.SHA256)
-	if err != nil || len(raw) != 32 || t.SHA256 != strings.ToLower(t.SHA256) {
+	sum, err := hex.DecodeString(t.SHA256)
+	if err != nil || len(sum) != 32 || t.SHA256 != strings.ToLower(t.SHA256) {
 		return &FieldError{path + ".sha256", quote(t.SHA256), "64 lower-case hexadecimal digits"}
 	}
 	if err := checkName(path+".name", t.Name); err != nil {
@@ -205,11 +206,11 @@
 	return nil
 }
 
-// checkAddr accepts IP:port; host names would need a resolver that may be cut
-// off together with the platform.
-func checkAddr(field, v string, portZero bool) (netip.AddrPort, error) {
+// checkAddr parses an IP:port. Host names are rejected because the resolver may be unreachable
+// while the platform is.
+func checkAddr(field, v string, allowPortZero bool) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(v)
-	if err != nil || (a.Port() == 0 && !portZero) {
+	if err != nil || (a.Port() == 0 && !allowPortZero) {
 		return a, &FieldError{field, quote(v), "IP:port"}
 	}
 	return a, nil
