--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -6,11 +6,10 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// Kind names what happened.
+// Kind is the type of an event.
 type Kind string
 
-// The kinds of events. Their names are part of the output of
-// `galenactl timeline`.
+// The kinds of events. The values are part of the output of `galenactl timeline`.
 const (
 	CallReceived   Kind = "call_received"
 	CallRouted     Kind = "call_routed"
@@ -62,42 +61,42 @@
 	NodeStopped Kind = "node_stopped"
 )
 
-// Event is one thing that happened at one process. Fields that don't apply
-// are empty.
+// Event is one occurrence in one process. Fields that don't apply are empty.
 type Event struct {
 	HLC HLC `json:"hlc"`
-	// Node is filled in by Ring.Add when empty.
+	// Node is the ID of the node. Ring.Add and Ring.Put set it if it is empty.
 	Node      string `json:"node"`
 	Kind      Kind   `json:"kind"`
 	CallID    string `json:"call_id,omitempty"`
 	RequestID string `json:"request_id,omitempty"`
 	Workspace string `json:"workspace,omitempty"`
 	Service   string `json:"service,omitempty"`
-	// Upstream is the node ID or address of the upstream concerned.
+	// Upstream is the node ID or address of the upstream that the event is about.
 	Upstream string      `json:"upstream,omitempty"`
 	Code     result.Code `json:"code,omitempty"`
 	Detail   string      `json:"detail,omitempty"`
-	// Cause is what a failed call comes down to, where a call made for it failed.
+	// Cause is the root cause of a failed call: the failure of a call further down its call tree.
+	// Nil if no such call failed.
 	Cause *result.Cause `json:"cause,omitempty"`
 }
 
-// Time is the physical time of the event, to the millisecond.
+// Time returns the physical time of the event, with millisecond precision.
 func (e *Event) Time() time.Time { return e.HLC.Time() }
 
-// Filter picks events; an empty field accepts all.
+// Filter selects events. An empty field matches all events.
 type Filter struct {
-	// CallID accepts the events of that call, and, where it names a root
-	// request, those of every call made for it.
+	// CallID matches the events of that call and, if it is the ID of a root request, the events of
+	// every call in its call tree.
 	CallID    string
 	RequestID string
 	Workspace string
 	Upstream  string
 	Kinds     []Kind
-	// After accepts only later timestamps.
+	// After matches only events with a later timestamp.
 	After HLC
 }
 
-// Match reports whether e passes.
+// Match reports whether e satisfies all conditions of the filter.
 func (f *Filter) Match(e *Event) bool {
 	return e.HLC > f.After &&
 		(accepts(f.CallID, e.CallID) || f.CallID == e.RequestID) &&
--- a/internal/timeline/hlc.go
+++ b/internal/timeline/hlc.go
@@ -1,5 +1,5 @@
-// Package timeline records what a process did as typed events with a hybrid
-// logical clock, and merges the events of several processes into one order.
+// Package timeline records typed events of a process with timestamps of a hybrid logical clock,
+// and merges the events of several processes into one order.
 package timeline
 
 import (
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// HLC is a hybrid logical timestamp: milliseconds since the Unix epoch in the
-// upper 48 bits, a counter in the lower 16. Comparing two as numbers orders
-// an event after everything that its process had heard of.
+// HLC is a timestamp of a hybrid logical clock: milliseconds since the Unix epoch in the upper 48
+// bits, a counter in the lower 16. An event compares greater than every event that its process had
+// recorded or learned of by a message before.
 type HLC uint64
 
 const counterBits = 16
 
-// MaxAhead bounds how far a received timestamp may run ahead of the local
-// clock. One node with a broken clock would otherwise drag all others along.
+// MaxAhead is the maximum lead of a received timestamp over the local clock. Timestamps further
+// ahead are ignored; otherwise one node with a wrong clock would advance the clocks of all nodes.
 const MaxAhead = time.Minute
 
-// HLCAt returns the first timestamp of the millisecond of t.
+// HLCAt returns the lowest timestamp in the millisecond of t.
 func HLCAt(t time.Time) HLC { return HLC(max(0, t.UnixMilli())) << counterBits }
 
-// Time returns the physical part, to the millisecond.
+// Time returns the physical part, with millisecond precision.
 func (h HLC) Time() time.Time { return time.UnixMilli(int64(h >> counterBits)).UTC() }
 
 // Counter returns the logical part.
 func (h HLC) Counter() uint16 { return uint16(h) }
 
-// Next returns the timestamp of a local event at now after last. A counter
-// that runs over moves the millisecond on by one, so order is kept.
+// Next returns the timestamp of a local event at now that follows h. A counter overflow carries
+// into the milliseconds, so the order is kept.
 func (h HLC) Next(now time.Time) HLC { return max(h+1, HLCAt(now)) }
 
-// Merge returns the timestamp of receiving remote at now after h.
+// Merge returns the timestamp, following h, for the receipt of remote at now.
 func (h HLC) Merge(remote HLC, now time.Time) HLC {
 	if remote > HLCAt(now.Add(MaxAhead)) {
 		return h.Next(now)
@@ -39,18 +39,19 @@
 	return max(h, remote).Next(now)
 }
 
-// Clock is the hybrid clock of one process. Its zero value is ready; it reads
-// no clock itself.
+// Clock is the hybrid logical clock of one process. The zero value is ready to use. Callers pass in
+// the physical time. Safe for concurrent use.
 type Clock struct {
 	last atomic.Uint64
 }
 
-// Now returns the timestamp of a local event or of a message sent at now.
+// Now returns the timestamp for a local event or a message sent at now.
 func (c *Clock) Now(now time.Time) HLC {
 	return c.update(func(last HLC) HLC { return last.Next(now) })
 }
 
-// Receive takes a message's timestamp in and returns that of its receipt.
+// Receive merges the timestamp of a received message into the clock and returns the timestamp of
+// the receipt.
 func (c *Clock) Receive(remote HLC, now time.Time) HLC {
 	return c.update(func(last HLC) HLC { return last.Merge(remote, now) })
 }
--- a/internal/timeline/jsonlines.go
+++ b/internal/timeline/jsonlines.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// MaxLineBytes bounds one line of JSON lines.
+// MaxLineBytes is the maximum length of a line that ReadJSONLines accepts.
 const MaxLineBytes = 16 << 10
 
-// WriteJSONLines writes one document an event.
+// WriteJSONLines writes one JSON object per line for each event.
 func WriteJSONLines(w io.Writer, events []Event) error {
 	enc := json.NewEncoder(w)
 	enc.SetEscapeHTML(false)
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// ReadJSONLines reads at most limit events; more is an error, as is a line
-// that isn't an event.
+// ReadJSONLines reads events in the format of WriteJSONLines and skips empty lines. More than limit
+// events or an invalid line is an error.
 func ReadJSONLines(r io.Reader, limit int) ([]Event, error) {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(make([]byte, 0, 4096), MaxLineBytes)
--- a/internal/timeline/layout.go
+++ b/internal/timeline/layout.go
@@ -6,38 +6,43 @@
 	"time"
 )
 
-// Sizes of the picture in pixels.
+// Sizes in the picture, in pixels unless stated otherwise.
 const (
-	pictureWidth = 1600
-	laneLabel    = 190
-	marginRight  = 30
-	marginTop    = 64
-	rowHeight    = 13
-	maxRows      = 12
-	lanePad      = 14
-	axisHeight   = 34
-	// charWidth is that of the monospaced 10 px font, rounded up.
-	charWidth  = 6.1
-	labelGap   = 5
-	clumpWidth = 3
-	maxLabel   = 46
+	pictureWidth   = 1600
+	laneLabelWidth = 190
+	marginRight    = 30
+	marginTop      = 64
+	rowHeight      = 13
+	maxRows        = 12
+	lanePad        = 14
+	axisHeight     = 34
+	// charWidth is the width of a character of the monospaced 10 px font, rounded up.
+	charWidth = 6.1
+	labelGap  = 5
+	// mergeDistance is the distance below which repeated events share one mark.
+	mergeDistance = 3
+	// maxLabelLen is the maximum length of a label in characters.
+	maxLabelLen = 46
 )
 
-// MaxPictureEvents bounds the events drawn; more can't be told apart.
+// MaxPictureEvents is the maximum number of events drawn. With more, the marks are
+// indistinguishable.
 const MaxPictureEvents = 5000
 
-// mark is one drawn event, or several of one kind too close to tell apart.
+// mark is the drawing of one event, or of several events of one kind and code that are closer than
+// mergeDistance.
 type mark struct {
 	x     float64
 	first *Event
 	count int
-	// row counts upwards from the lane's line; -1 means that no label fits.
+	// row is the row of the label, counted upwards from the lane's line. -1 means that there is no
+	// room for a label.
 	row    int
 	labelX float64
 	label  string
 }
 
-// lane is one process.
+// lane is the horizontal strip with the marks of one process.
 type lane struct {
 	node  string
 	marks []mark
@@ -46,26 +51,31 @@
 	baseline int
 }
 
-// drawing is a picture worked out but not yet written.
-type drawing struct {
+// layout contains the positions of all elements of a picture.
+type layout struct {
 	lanes []lane
-	// at is the x of every event drawn, in merged order.
-	at         []float64
-	events     []Event
-	from, to   float64
-	height     int
+	// eventX contains the x coordinate of each element of events.
+	eventX []float64
+	// events contains the events drawn, in merged order.
+	events []Event
+	// fromMs and toMs are the ends of the time axis, in milliseconds since the Unix epoch.
+	fromMs, toMs float64
+	height       int
+	// unlabelled is the number of marks without a label.
 	unlabelled int
-	omitted    int
+	// omitted is the number of events beyond MaxPictureEvents.
+	omitted int
 }
 
-func layOut(events []Event) *drawing {
-	d := &drawing{events: events}
+// newLayout computes the layout of the last MaxPictureEvents of the events, which must be merged.
+func newLayout(events []Event) *layout {
+	d := &layout{events: events}
 	if len(events) > MaxPictureEvents {
 		d.omitted = len(events) - MaxPictureEvents
 		d.events = events[d.omitted:]
 	}
-	d.placeInTime()
-	d.makeLanes()
+	d.placeEvents()
+	d.buildLanes()
 	y := marginTop
 	for i := range d.lanes {
 		l := &d.lanes[i]
@@ -78,9 +88,9 @@
 	return d
 }
 
-// placeInTime spreads events of one millisecond evenly over it in their
-// order, since a timestamp knows no finer time.
-func (d *drawing) placeInTime() {
+// placeEvents computes eventX. It spreads the events of one millisecond evenly over the
+// millisecond, in their order, because timestamps have no finer resolution.
+func (d *layout) placeEvents() {
 	ms := make([]float64, len(d.events))
 	for i := 0; i < len(d.events); {
 		j := i
@@ -93,17 +103,17 @@
 		i = j
 	}
 	if len(ms) > 0 {
-		d.from = ms[0]
-		d.to = max(ms[len(ms)-1], ms[0]+1)
+		d.fromMs = ms[0]
+		d.toMs = max(ms[len(ms)-1], ms[0]+1)
 	}
-	d.at = ms
+	d.eventX = ms
 	for i := range ms {
-		d.at[i] = d.xOf(ms[i])
+		d.eventX[i] = d.xOf(ms[i])
 	}
 }
 
-// requests counts the requests that the events name.
-func (d *drawing) requests() int {
+// requestCount returns the number of distinct request IDs in the events.
+func (d *layout) requestCount() int {
 	seen := map[string]bool{}
 	for i := range d.events {
 		if id := d.events[i].RequestID; id != "" {
@@ -113,12 +123,12 @@
 	return len(seen)
 }
 
-func (d *drawing) xOf(ms float64) float64 {
-	const span = pictureWidth - laneLabel - marginRight
-	return laneLabel + (ms-d.from)/(d.to-d.from)*span
+func (d *layout) xOf(ms float64) float64 {
+	const span = pictureWidth - laneLabelWidth - marginRight
+	return laneLabelWidth + (ms-d.fromMs)/(d.toMs-d.fromMs)*span
 }
 
-func (d *drawing) makeLanes() {
+func (d *layout) buildLanes() {
 	index := map[string]int{}
 	for i := range d.events {
 		node := d.events[i].Node
@@ -132,15 +142,16 @@
 		index[d.lanes[i].node] = i
 	}
 	for i := range d.events {
-		d.lanes[index[d.events[i].Node]].add(&d.events[i], d.at[i])
+		d.lanes[index[d.events[i].Node]].add(&d.events[i], d.eventX[i])
 	}
 }
 
-// add draws e as a mark of its own, unless it repeats the one before.
+// add appends a mark for e, or counts e in the previous mark if that has the same kind and code
+// and is closer than mergeDistance.
 func (l *lane) add(e *Event, x float64) {
 	if n := len(l.marks); n > 0 {
 		last := &l.marks[n-1]
-		if last.first.Kind == e.Kind && last.first.Code == e.Code && x-last.x < clumpWidth {
+		if last.first.Kind == e.Kind && last.first.Code == e.Code && x-last.x < mergeDistance {
 			last.count++
 			return
 		}
@@ -148,41 +159,41 @@
 	l.marks = append(l.marks, mark{x: x, first: e, count: 1})
 }
 
-// placeLabels gives each mark a row and returns how many found none. It goes
-// from right to left and prefers the row above every later label that begins
-// under this one: so no line from a mark to its label crosses another label.
-// Where that would need too many rows, the lowest free one has to do.
+// placeLabels assigns a label row to each mark and returns the number of marks without a row. It
+// goes from right to left and prefers the row above all later labels that start within the
+// horizontal extent of this label, so that no line from a mark to its label crosses another label.
+// If that row does not exist, it uses the lowest free row.
 func (l *lane) placeLabels() (unlabelled int) {
-	starts := slices.Repeat([]float64{pictureWidth}, maxRows)
+	rowStarts := slices.Repeat([]float64{pictureWidth}, maxRows)
 	for i := len(l.marks) - 1; i >= 0; i-- {
 		m := &l.marks[i]
 		m.label = labelOf(m)
 		width := float64(len(m.label)) * charWidth
 		m.labelX = min(m.x, pictureWidth-labelGap-width)
 		end := m.labelX + width + labelGap
-		m.row = rowAbove(starts, end)
+		m.row = rowAbove(rowStarts, end)
 		if m.row < 0 {
-			m.row = slices.IndexFunc(starts, func(start float64) bool { return start >= end })
+			m.row = slices.IndexFunc(rowStarts, func(start float64) bool { return start >= end })
 		}
 		if m.row < 0 {
 			unlabelled++
 			continue
 		}
-		starts[m.row] = m.labelX
+		rowStarts[m.row] = m.labelX
 		l.rows = max(l.rows, m.row+1)
 	}
 	l.rows = max(1, l.rows)
 	return unlabelled
 }
 
-// rowAbove returns the row above the highest one whose leftmost label begins
-// before end, or -1 when there is none left.
-func rowAbove(starts []float64, end float64) int {
-	for row := len(starts) - 1; row >= 0; row-- {
-		if starts[row] >= end {
+// rowAbove returns the row above the highest row whose leftmost label starts before end, or -1 if
+// that is the top row.
+func rowAbove(rowStarts []float64, end float64) int {
+	for row := len(rowStarts) - 1; row >= 0; row-- {
+		if rowStarts[row] >= end {
 			continue
 		}
-		if row == len(starts)-1 {
+		if row == len(rowStarts)-1 {
 			return -1
 		}
 		return row + 1
@@ -202,11 +213,12 @@
 	if m.count > 1 {
 		s += fmt.Sprintf(" x%d", m.count)
 	}
-	return cut(s, maxLabel)
+	return truncateASCII(s, maxLabelLen)
 }
 
-// cut keeps ASCII, so that a width in bytes is one in characters.
-func cut(s string, n int) string {
+// truncateASCII returns the first n bytes of s with non-printable and non-ASCII bytes replaced by
+// "?", so that the length in bytes is the length in characters.
+func truncateASCII(s string, n int) string {
 	b := []byte(s)
 	for i := range b {
 		if b[i] < ' ' || b[i] > '~' {
@@ -229,12 +241,13 @@
 	return 0
 }
 
-// tickStep returns the smallest usual step that gives at most want ticks.
-func tickStep(span time.Duration, want int) time.Duration {
+// tickStep returns the smallest step of the form 1, 2 or 5 times a power of ten that divides span
+// into at most maxCount intervals.
+func tickStep(span time.Duration, maxCount int) time.Duration {
 	for unit := time.Millisecond; ; unit *= 10 {
-		for _, k := range []time.Duration{1, 2, 5} {
-			if span/(k*unit) <= time.Duration(want) {
-				return k * unit
+		for _, factor := range []time.Duration{1, 2, 5} {
+			if span/(factor*unit) <= time.Duration(maxCount) {
+				return factor * unit
 			}
 		}
 	}
--- a/internal/timeline/merge.go
+++ b/internal/timeline/merge.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Merge puts the events of several processes into one order: by timestamp,
-// then by node. An event that came twice, through two peers, is kept once.
+// Merge returns the events of several processes in one order: by timestamp, then by node. Events
+// received more than once, through different peers, appear once.
 func Merge(streams ...[]Event) []Event {
 	total := 0
 	for _, s := range streams {
@@ -16,22 +16,22 @@
 	for _, s := range streams {
 		all = append(all, s...)
 	}
-	slices.SortStableFunc(all, compare)
+	slices.SortStableFunc(all, compareEvents)
 	return slices.CompactFunc(all, func(a, b Event) bool { return a == b })
 }
 
-// Select returns the events that pass the filter.
+// Select returns the events that match the filter.
 func Select(events []Event, f Filter) []Event {
-	var picked []Event
+	var matching []Event
 	for i := range events {
 		if f.Match(&events[i]) {
-			picked = append(picked, events[i])
+			matching = append(matching, events[i])
 		}
 	}
-	return picked
+	return matching
 }
 
-func compare(a, b Event) int {
+func compareEvents(a, b Event) int {
 	if c := cmp.Compare(a.HLC, b.HLC); c != 0 {
 		return c
 	}
--- a/internal/timeline/palette.go
+++ b/internal/timeline/palette.go
@@ -1,33 +1,33 @@
 package timeline
 
-// group gathers kinds that share a colour in the picture.
-type group struct {
+// kindGroup is a group of kinds that share a colour in the picture.
+type kindGroup struct {
 	name   string
 	colour string
 }
 
 var (
-	groupCall      = group{"call", "#1f6fb4"}
-	groupAnswer    = group{"answer", "#2a8f3c"}
-	groupRefusal   = group{"refusal", "#c62828"}
-	groupRetry     = group{"retry", "#e07b00"}
-	groupMember    = group{"membership", "#00838f"}
-	groupDrain     = group{"drain", "#8d6e00"}
-	groupConfig    = group{"configuration", "#6a3fb0"}
-	groupOwnership = group{"ownership", "#ad1b78"}
-	groupCrash     = group{"crash", "#7a0f0f"}
-	groupPlatform  = group{"log and peers", "#455a64"}
-	groupLoad      = group{"load", "#9e5b2f"}
-	groupProcess   = group{"process", "#212121"}
+	groupCall      = kindGroup{"call", "#1f6fb4"}
+	groupAnswer    = kindGroup{"answer", "#2a8f3c"}
+	groupRefusal   = kindGroup{"refusal", "#c62828"}
+	groupRetry     = kindGroup{"retry", "#e07b00"}
+	groupMember    = kindGroup{"membership", "#00838f"}
+	groupDrain     = kindGroup{"drain", "#8d6e00"}
+	groupConfig    = kindGroup{"configuration", "#6a3fb0"}
+	groupOwnership = kindGroup{"ownership", "#ad1b78"}
+	groupCrash     = kindGroup{"crash", "#7a0f0f"}
+	groupPlatform  = kindGroup{"log and peers", "#455a64"}
+	groupLoad      = kindGroup{"load", "#9e5b2f"}
+	groupProcess   = kindGroup{"process", "#212121"}
 )
 
-// groups is the order of the legend.
-var groups = []group{
+// groups contains all groups in the order of the legend.
+var groups = []kindGroup{
 	groupCall, groupAnswer, groupRefusal, groupRetry, groupMember, groupDrain,
 	groupConfig, groupOwnership, groupCrash, groupPlatform, groupLoad, groupProcess,
 }
 
-var groupOf = map[Kind]group{
+var groupByKind = map[Kind]kindGroup{
 	CallReceived: groupCall, CallRouted: groupCall, CallAdmitted: groupCall,
 	CallQueued: groupCall, CallStarted: groupCall, CallJoined: groupCall,
 	CallAnswered: groupAnswer,
@@ -49,18 +49,19 @@
 	NodeStarted: groupProcess, NodeStopped: groupProcess,
 }
 
-// groupFor returns the group of a kind; kinds of newer nodes count as process.
-func groupFor(k Kind) group {
-	if g, ok := groupOf[k]; ok {
+// groupFor returns the group of a kind. Unknown kinds, sent by nodes of a newer version, belong to
+// groupProcess.
+func groupFor(k Kind) kindGroup {
+	if g, ok := groupByKind[k]; ok {
 		return g
 	}
 	return groupProcess
 }
 
-// Kinds returns every kind that this version knows, in no order.
+// Kinds returns all kinds of this version in unspecified order.
 func Kinds() []Kind {
-	kinds := make([]Kind, 0, len(groupOf))
-	for k := range groupOf {
+	kinds := make([]Kind, 0, len(groupByKind))
+	for k := range groupByKind {
 		kinds = append(kinds, k)
 	}
 	return kinds
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Ring keeps the latest events of one process in a bounded buffer. All methods
-// may be called from several goroutines.
+// Ring stores the latest events of one process in a bounded ring buffer. Safe for concurrent use.
 type Ring struct {
 	node  string
 	clock *Clock
@@ -14,13 +13,14 @@
 	mu    sync.Mutex
 	buf   []Event
 	added uint64
-	// wake is closed and replaced when a follower waits and an event comes.
-	wake    chan struct{}
+	// wake is closed and replaced when an event is added while waiting is set.
+	wake chan struct{}
+	// waiting reports whether Wait returned wake since it was last replaced.
 	waiting bool
 }
 
-// NewRing returns a ring of size events for a process. The clock is shared
-// with whatever sends and receives timestamps.
+// NewRing returns a ring with a capacity of size events for a process. The clock must be the one
+// that the process uses for the timestamps of its messages.
 func NewRing(node string, size int, clock *Clock) *Ring {
 	return &Ring{
 		node:  node,
@@ -30,11 +30,11 @@
 	}
 }
 
-// Add stamps e at now and keeps it, pushing out the oldest when full. The
-// lock is held for one copy.
+// Add sets the timestamp of e and stores it. A full ring evicts the oldest event. The lock is held
+// only for the copy of one event.
 func (r *Ring) Add(now time.Time, e Event) { r.Put(now, e) }
 
-// Put is Add; it returns the event as it was stored.
+// Put is Add and returns the stored event.
 func (r *Ring) Put(now time.Time, e Event) Event {
 	if e.Node == "" {
 		e.Node = r.node
@@ -52,34 +52,34 @@
 	return e
 }
 
-// Clock returns the clock that stamps the events.
+// Clock returns the clock that supplies the timestamps of the events.
 func (r *Ring) Clock() *Clock { return r.clock }
 
-// Cap is the number of events kept.
+// Cap returns the capacity of the ring in events.
 func (r *Ring) Cap() int { return len(r.buf) }
 
-// Len is the number of events in the ring.
+// Len returns the number of events in the ring.
 func (r *Ring) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return int(min(r.added, uint64(len(r.buf))))
 }
 
-// Forgotten is the number of events pushed out so far.
+// Forgotten returns the number of events evicted so far.
 func (r *Ring) Forgotten() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.oldestLocked()
 }
 
-// Events returns those that pass the filter, oldest first.
+// Events returns the stored events that match the filter, oldest first.
 func (r *Ring) Events(f Filter) []Event {
 	events, _, _ := r.Since(0, f)
 	return events
 }
 
-// Since returns the events from position on that pass the filter, the position
-// to go on from, and how many were pushed out before they could be read.
+// Since returns the events at position and later that match the filter, the position for the next
+// call, and the number of events from position on that were evicted before this call.
 func (r *Ring) Since(position uint64, f Filter) (events []Event, next, missed uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,15 +93,14 @@
 	return events, r.added, from - position
 }
 
-// Position is where Since starts to return only events yet to come.
+// Position returns the position of the next event to be added.
 func (r *Ring) Position() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.added
 }
 
-// Wait returns a channel that is closed once there is an event at position or
-// later.
+// Wait returns a channel that is closed once the ring has received an event at position or later.
 func (r *Ring) Wait(position uint64) <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,6 +113,7 @@
 	return r.wake
 }
 
+// oldestLocked returns the position of the oldest stored event.
 func (r *Ring) oldestLocked() uint64 {
 	if r.added <= uint64(len(r.buf)) {
 		return 0
--- a/internal/timeline/sample.go
+++ b/internal/timeline/sample.go
@@ -2,35 +2,35 @@
 
 import "strings"
 
-// Sampler chooses which good calls leave events. All processes of a chain
-// choose alike, since the choice depends on the root request alone: a sampled
-// request is seen whole.
+// Sampler selects the successful calls whose events are recorded. The decision depends only on the
+// ID of the root request, so all processes of a call chain decide alike and the events of a sampled
+// request are complete.
 type Sampler struct {
-	every uint32
+	oneIn uint32
 }
 
-// NewSampler keeps one request in every; 0 and 1 keep all.
-func NewSampler(every int) Sampler {
-	return Sampler{every: uint32(max(1, every))}
+// NewSampler returns a sampler that keeps 1 in oneIn requests. Values up to 1 keep all requests.
+func NewSampler(oneIn int) Sampler {
+	return Sampler{oneIn: uint32(max(1, oneIn))}
 }
 
-// Keep reports whether the events of a good call are kept. Refused, retried
-// and failed calls are always worth keeping: don't ask for them.
+// Keep reports whether to record the events of a successful call. Callers record the events of
+// refused, retried and failed calls without calling Keep.
 func (s Sampler) Keep(requestID string) bool {
-	if s.every <= 1 {
+	if s.oneIn <= 1 {
 		return true
 	}
-	return hash(requestID)%s.every == 0
+	return hash(requestID)%s.oneIn == 0
 }
 
-// RootOf returns the ID of the request that a call was made for: the ID of a call
-// begins with it, a dot between.
+// RootOf returns the ID of the root request of a call. The ID of a call starts with the ID of its
+// root request and a dot.
 func RootOf(requestID string) string {
 	root, _, _ := strings.Cut(requestID, ".")
 	return root
 }
 
-// hash is FNV-1a; it is written out because the library's form allocates.
+// hash returns the 32-bit FNV-1a hash of s. It does not use hash/fnv, which allocates.
 func hash(s string) uint32 {
 	const (
 		offset = 2166136261
--- a/internal/timeline/svg.go
+++ b/internal/timeline/svg.go
@@ -14,23 +14,23 @@
 const (
 	fontFamily = "DejaVu Sans Mono, Menlo, Consolas, monospace"
 	maxTicks   = 12
-	// maxTitle bounds the tooltip of a mark.
-	maxTitle = 400
-	// maxLinked bounds the requests whose events are joined by lines: more
-	// would hide the labels.
-	maxLinked = 12
-	// halo keeps a label readable where a line passes behind it.
-	halo = `paint-order="stroke" stroke="#ffffff" stroke-width="3" stroke-linejoin="round"`
+	// maxTooltipLen is the maximum length of a mark's tooltip in characters.
+	maxTooltipLen = 400
+	// maxLinkedRequests is the maximum number of requests for which lines connect the events. The
+	// lines of more requests would cover the labels.
+	maxLinkedRequests = 12
+	// labelOutline is a white outline that keeps a label readable where a line passes behind it.
+	labelOutline = `paint-order="stroke" stroke="#ffffff" stroke-width="3" stroke-linejoin="round"`
 )
 
-// WriteSVG draws the events, which must be merged: one lane a process, a time
-// axis, a colour for each group of kinds and a legend. Every mark has a
-// tooltip with the whole event, also where its label found no room.
+// WriteSVG writes a picture of the events, which must be merged: one lane per process, a time axis,
+// a colour for each group of kinds and a legend. Every mark has a tooltip with the whole event, even
+// if there is no room for its label.
 func WriteSVG(w io.Writer, title string, events []Event) error {
-	d := layOut(events)
+	d := newLayout(events)
 	b := bufio.NewWriter(w)
-	s := &svg{b: b, d: d}
-	s.open(title)
+	s := &svgWriter{b: b, d: d}
+	s.header(title)
 	s.legend()
 	s.axis()
 	s.links()
@@ -42,20 +42,20 @@
 	return errors.Wrap(b.Flush(), "timeline: write picture")
 }
 
-type svg struct {
+type svgWriter struct {
 	b *bufio.Writer
-	d *drawing
+	d *layout
 }
 
-func (s *svg) open(title string) {
+func (s *svgWriter) header(title string) {
 	fmt.Fprintf(s.b, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" viewBox="0 0 %d %d" font-family="%s" font-size="10">`+"\n",
 		pictureWidth, s.d.height, pictureWidth, s.d.height, fontFamily)
 	fmt.Fprintf(s.b, `<rect width="%d" height="%d" fill="#ffffff"/>`+"\n", pictureWidth, s.d.height)
-	s.text(10, 20, 14, "#212121", "bold", cut(title, 160))
+	s.text(10, 20, 14, "#212121", "bold", truncateASCII(title, 160))
 }
 
-// legend lists the groups that occur.
-func (s *svg) legend() {
+// legend draws the groups of the kinds that occur in the events.
+func (s *svgWriter) legend() {
 	used := map[string]bool{}
 	for i := range s.d.events {
 		used[groupFor(s.d.events[i].Kind).name] = true
@@ -71,30 +71,30 @@
 	}
 }
 
-func (s *svg) axis() {
+func (s *svgWriter) axis() {
 	if len(s.d.events) == 0 {
 		return
 	}
 	bottom := s.d.height - axisHeight - 12
-	span := time.Duration((s.d.to - s.d.from) * float64(time.Millisecond))
+	span := time.Duration((s.d.toMs - s.d.fromMs) * float64(time.Millisecond))
 	step := tickStep(span, maxTicks)
-	for at := time.Duration(0); at <= span; at += step {
-		x := s.d.xOf(s.d.from + float64(at)/float64(time.Millisecond))
+	for offset := time.Duration(0); offset <= span; offset += step {
+		x := s.d.xOf(s.d.fromMs + float64(offset)/float64(time.Millisecond))
 		fmt.Fprintf(s.b, `<line x1="%.1f" y1="%d" x2="%.1f" y2="%d" stroke="#e0e0e0"/>`+"\n", x, marginTop-10, x, bottom)
-		s.text(x+2, float64(bottom+12), 10, "#616161", "normal", "+"+at.String())
+		s.text(x+2, float64(bottom+12), 10, "#616161", "normal", "+"+offset.String())
 	}
 	start := s.d.events[0].Time().Format("2006-01-02 15:04:05.000 UTC")
 	s.text(10, float64(bottom+12), 10, "#616161", "normal", start)
 }
 
-// links joins events of one request that follow each other on two processes,
-// when there are few requests.
-func (s *svg) links() {
+// links draws a line between consecutive events of one request that occurred in different
+// processes. It draws nothing if there are more than maxLinkedRequests requests.
+func (s *svgWriter) links() {
 	type point struct {
 		x float64
 		y int
 	}
-	if s.d.requests() > maxLinked {
+	if s.d.requestCount() > maxLinkedRequests {
 		return
 	}
 	baseline := map[string]int{}
@@ -107,7 +107,7 @@
 		if e.RequestID == "" {
 			continue
 		}
-		p := point{s.d.at[i], baseline[e.Node]}
+		p := point{s.d.eventX[i], baseline[e.Node]}
 		if q, ok := last[e.RequestID]; ok && q.y != p.y {
 			fmt.Fprintf(s.b, `<line x1="%.1f" y1="%d" x2="%.1f" y2="%d" stroke="#b0bec5" stroke-width="0.8"/>`+"\n", q.x, q.y, p.x, p.y)
 		}
@@ -115,29 +115,30 @@
 	}
 }
 
-func (s *svg) lane(l *lane) {
-	s.text(10, float64(l.baseline+4), 12, "#212121", "bold", cut(l.node, 24))
+func (s *svgWriter) lane(l *lane) {
+	s.text(10, float64(l.baseline+4), 12, "#212121", "bold", truncateASCII(l.node, 24))
 	fmt.Fprintf(s.b, `<line x1="%d" y1="%d" x2="%d" y2="%d" stroke="#9e9e9e"/>`+"\n",
-		laneLabel, l.baseline, pictureWidth-marginRight, l.baseline)
+		laneLabelWidth, l.baseline, pictureWidth-marginRight, l.baseline)
 	for i := range l.marks {
 		s.mark(l, &l.marks[i])
 	}
 }
 
-func (s *svg) mark(l *lane, m *mark) {
+func (s *svgWriter) mark(l *lane, m *mark) {
 	colour := groupFor(m.first.Kind).colour
-	fmt.Fprintf(s.b, "<g><title>%s</title>", escape(titleOf(m)))
+	fmt.Fprintf(s.b, "<g><title>%s</title>", escape(tooltipOf(m)))
 	s.dot(m.x, float64(l.baseline), colour)
 	if m.row >= 0 {
 		y := l.baseline - 9 - m.row*rowHeight
 		fmt.Fprintf(s.b, `<line x1="%.1f" y1="%d" x2="%.1f" y2="%d" stroke="%s" stroke-width="0.5" opacity="0.5"/>`,
 			m.x, l.baseline, m.x, y+1, colour)
-		fmt.Fprintf(s.b, `<text x="%.1f" y="%d" fill="%s" %s>%s</text>`, m.labelX, y, colour, halo, escape(m.label))
+		fmt.Fprintf(s.b, `<text x="%.1f" y="%d" fill="%s" %s>%s</text>`, m.labelX, y, colour, labelOutline, escape(m.label))
 	}
 	fmt.Fprintln(s.b, "</g>")
 }
 
-func (s *svg) notes() {
+// notes draws a line of text below the picture about omitted events and labels.
+func (s *svgWriter) notes() {
 	var notes []string
 	if len(s.d.events) == 0 {
 		notes = append(notes, "no events")
@@ -153,16 +154,16 @@
 	}
 }
 
-func (s *svg) dot(x, y float64, colour string) {
+func (s *svgWriter) dot(x, y float64, colour string) {
 	fmt.Fprintf(s.b, `<circle cx="%.1f" cy="%.1f" r="3" fill="%s"/>`, x, y, colour)
 }
 
-func (s *svg) text(x, y float64, size int, colour, weight, v string) {
+func (s *svgWriter) text(x, y float64, size int, colour, weight, v string) {
 	fmt.Fprintf(s.b, `<text x="%.1f" y="%.1f" font-size="%d" fill="%s" font-weight="%s">%s</text>`+"\n",
 		x, y, size, colour, weight, escape(v))
 }
 
-func titleOf(m *mark) string {
+func tooltipOf(m *mark) string {
 	e := m.first
 	parts := []string{e.HLC.String(), e.Node, string(e.Kind)}
 	for _, p := range []struct{ name, value string }{
@@ -182,7 +183,7 @@
 	if m.count > 1 {
 		parts = append(parts, fmt.Sprintf("and %d more", m.count-1))
 	}
-	return cut(strings.Join(parts, " "), maxTitle)
+	return truncateASCII(strings.Join(parts, " "), maxTooltipLen)
 }
 
 func escape(v string) string {
--- a/internal/timeline/text.go
+++ b/internal/timeline/text.go
@@ -9,16 +9,16 @@
 	"github.com/pkg/errors"
 )
 
-// textLayout is the physical part in the written form. Number readers of
-// JSON lose the low bits of 64-bit integers, hence text; its order as text is
-// the order of the timestamps.
-const textLayout = "2006-01-02T15:04:05.000Z"
+// hlcTimeLayout is the layout of the physical part in the text form. The JSON form of HLC is text
+// because JSON readers that parse numbers as floating point lose the low bits of 64-bit integers.
+// The text form sorts in timestamp order.
+const hlcTimeLayout = "2006-01-02T15:04:05.000Z"
 
 const counterDigits = 5
 
-// String returns the written form, such as 2026-05-01T09:00:00.250Z+00003.
+// String returns the text form, such as 2026-05-01T09:00:00.250Z+00003.
 func (h HLC) String() string {
-	return fmt.Sprintf("%s+%0*d", h.Time().Format(textLayout), counterDigits, h.Counter())
+	return fmt.Sprintf("%s+%0*d", h.Time().Format(hlcTimeLayout), counterDigits, h.Counter())
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -34,23 +34,23 @@
 	return nil
 }
 
-// ParseHLC reads the written form.
+// ParseHLC parses the text form of a timestamp.
 func ParseHLC(s string) (HLC, error) {
-	stamp, count, ok := strings.Cut(s, "+")
-	if !ok || len(count) != counterDigits {
-		return 0, badHLC(s)
+	physical, counter, ok := strings.Cut(s, "+")
+	if !ok || len(counter) != counterDigits {
+		return 0, invalidHLC(s)
 	}
-	t, err := time.Parse(textLayout, stamp)
+	t, err := time.Parse(hlcTimeLayout, physical)
 	if err != nil || t.UnixMilli() < 0 {
-		return 0, badHLC(s)
+		return 0, invalidHLC(s)
 	}
-	n, err := strconv.ParseUint(count, 10, counterBits)
+	n, err := strconv.ParseUint(counter, 10, counterBits)
 	if err != nil {
-		return 0, badHLC(s)
+		return 0, invalidHLC(s)
 	}
 	return HLCAt(t) + HLC(n), nil
 }
 
-func badHLC(s string) error {
+func invalidHLC(s string) error {
 	return errors.Errorf("timeline: hlc is %q, must be like 2026-05-01T09:00:00.250Z+00003", s)
 }
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -22,8 +22,9 @@
 
 var t0 = time.Date(2026, 5, 1, 9, 0, 0, 0, time.UTC)
 
-// Guards against a merged time line that shows an answer before its call when clocks differ.
-func TestMergedOrderKeepsCauseBeforeEffect(t *testing.T) {
+// Guards against a merged timeline in which, due to clock skew, the receipt of a message precedes
+// its sending.
+func TestMergeOrdersSendBeforeReceive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := []string{"a", "b", "c"}
 		clocks := make([]Clock, len(nodes))
@@ -50,13 +51,13 @@
 			must.Eq(t, CallRouted, pair[0].Kind)
 			must.Eq(t, CallStarted, pair[1].Kind)
 		}
-		must.Eq(t, merged, Merge(merged, streams[0]), must.Sprint("an event that came twice is kept once"))
+		must.Eq(t, merged, Merge(merged, streams[0]), must.Sprint("duplicate events must be merged into one"))
 	})
 }
 
-// One node's clock is an hour ahead. The others must not take its time over,
-// or every later event everywhere would carry it.
-func TestBrokenClockIsNotFollowed(t *testing.T) {
+// Guards against adopting the time of a node whose clock is an hour ahead: all later events of all
+// nodes would carry that time.
+func TestReceiveIgnoresTimestampTooFarAhead(t *testing.T) {
 	var c Clock
 	c.Now(t0)
 	got := c.Receive(HLCAt(t0.Add(time.Hour)), t0)
@@ -67,10 +68,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := HLC(rapid.Uint64Range(0, uint64(HLCAt(time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)))).Draw(t, "a"))
 		b := a.Next(t0)
-		back, err := ParseHLC(a.String())
+		parsed, err := ParseHLC(a.String())
 		must.NoError(t, err)
-		must.Eq(t, a, back)
-		must.True(t, a.String() < b.String(), must.Sprint("text sorts as the timestamps do"))
+		must.Eq(t, a, parsed)
+		must.True(t, a.String() < b.String(), must.Sprint("text must sort in timestamp order"))
 	})
 	for _, bad := range []string{"", "2026-05-01T09:00:00.250Z", "2026-05-01T09:00:00.250Z+99999", "x+00001"} {
 		_, err := ParseHLC(bad)
@@ -78,8 +79,8 @@
 	}
 }
 
-// Against a plain slice: the ring returns the latest events in order and says
-// how many a reader missed.
+// Compares the ring with a plain slice: the ring returns the latest events in order and the correct
+// number of events that a reader missed.
 func TestRingKeepsTheLatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
@@ -122,7 +123,7 @@
 	<-r.Wait(0)
 }
 
-func TestRingTakesEventsOfSeveralGoroutines(t *testing.T) {
+func TestRingConcurrentAdd(t *testing.T) {
 	r := NewRing("n", 1000, &Clock{})
 	var wg sync.WaitGroup
 	for range 4 {
@@ -135,8 +136,8 @@
 	wg.Wait()
 	events := r.Events(Filter{})
 	must.Len(t, 800, events)
-	must.True(t, slices.IsSortedFunc(events, compare))
-	must.Len(t, 800, Merge(events), must.Sprint("no timestamp was given twice"))
+	must.True(t, slices.IsSortedFunc(events, compareEvents))
+	must.Len(t, 800, Merge(events), must.Sprint("timestamps must be unique"))
 }
 
 func TestFilter(t *testing.T) {
@@ -155,7 +156,7 @@
 	}
 }
 
-func TestSamplerKeepsItsShare(t *testing.T) {
+func TestSamplerKeepsConfiguredShare(t *testing.T) {
 	s := NewSampler(16)
 	kept := 0
 	for i := range 16_000 {
@@ -184,8 +185,8 @@
 	must.ErrorContains(t, err, "line 2")
 }
 
-// Whatever the events hold, the picture is well-formed XML, no two labels of
-// a lane overlap, and every label ends inside the picture.
+// Guards against events whose texts produce malformed XML, overlapping labels in a lane or labels
+// beyond the edge of the picture.
 func TestPictureIsReadable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 12, 40)
@@ -208,7 +209,7 @@
 			}
 			must.NoError(t, err)
 		}
-		for _, l := range layOut(events).lanes {
+		for _, l := range newLayout(events).lanes {
 			checkLabels(t, l.marks)
 		}
 	})
@@ -229,8 +230,8 @@
 	}
 }
 
-// A kind that is declared and not in the palette would be drawn as a process
-// event and be missing from the documented list.
+// Guards against a declared kind without a palette entry: it would be drawn as a process event and
+// be missing from Kinds.
 func TestEveryKindHasAColour(t *testing.T) {
 	f, err := parser.ParseFile(token.NewFileSet(), "event.go", nil, 0)
 	must.NoError(t, err)
@@ -245,7 +246,7 @@
 		}
 		v, err := strconv.Unquote(spec.Values[0].(*ast.BasicLit).Value)
 		must.NoError(t, err)
-		must.MapContainsKey(t, groupOf, Kind(v))
+		must.MapContainsKey(t, groupByKind, Kind(v))
 		declared++
 		return true
 	})
@@ -271,8 +272,9 @@
 	}
 }
 
-// The page's table of kinds is what operators filter by.
-func TestDocumentedKindsAreTheCode(t *testing.T) {
+// Guards against an operations page whose table of kinds differs from the code. Operators choose
+// filters from that table.
+func TestDocumentedKindsMatchCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operations/timeline.md")
 	must.NoError(t, err)
 	documented := map[Kind]string{}
--- a/internal/timeline/treesampler_test.go
+++ b/internal/timeline/treesampler_test.go
@@ -9,38 +9,39 @@
 	"pgregory.net/rapid"
 )
 
-var floodBegins = time.Date(2026, 3, 6, 8, 0, 0, 0, time.UTC)
+var floodStart = time.Date(2026, 3, 6, 8, 0, 0, 0, time.UTC)
 
-// Guards against lines left out one by one, so that a failure has no line at its entry.
-func TestFloodLeavesWholeTrees(t *testing.T) {
-	const budget, entries, deep, seconds, perSecond = 100, 14, 3, 20, 2800
-	atEntries, atDeep := samplers(entries, budget), samplers(deep, budget)
+// Guards against dropping single lines during a burst, so that a failure logged by a deep node has
+// no line at its entry node.
+func TestTreeSamplerKeepsWholeTreesUnderFlood(t *testing.T) {
+	const budget, entryNodes, deepNodes, seconds, perSecond = 100, 14, 3, 20, 2800
+	entrySamplers, deepSamplers := newTreeSamplers(entryNodes, budget), newTreeSamplers(deepNodes, budget)
 	type logged struct{ entry, deep bool }
 	trees := map[string]*logged{}
 	for second := range seconds {
 		for i := range perSecond {
-			at := floodBegins.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
+			at := floodStart.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
 			root := fmt.Sprintf("%016x", uint64(second*perSecond+i)*0x9e3779b97f4a7c15)
 			tree := &logged{}
-			tree.deep, _ = atDeep[i%deep].Keep(at, root+".1.4.2")
-			tree.entry, _ = atEntries[i%entries].Keep(at.Add(30*time.Millisecond), root)
+			tree.deep, _ = deepSamplers[i%deepNodes].Keep(at, root+".1.4.2")
+			tree.entry, _ = entrySamplers[i%entryNodes].Keep(at.Add(30*time.Millisecond), root)
 			trees[root] = tree
 		}
 	}
-	deepest, whole := 0, 0
+	loggedDeep, loggedBoth := 0, 0
 	for _, tree := range trees {
 		if tree.deep {
-			deepest++
+			loggedDeep++
 		}
 		if tree.deep && tree.entry {
-			whole++
+			loggedBoth++
 		}
 	}
-	must.Greater(t, seconds*deep*budget/8, deepest, must.Sprint("the budget is left unused"))
-	must.GreaterEq(t, 0.9, float64(whole)/float64(deepest))
+	must.Greater(t, seconds*deepNodes*budget/8, loggedDeep, must.Sprint("the budget is left unused"))
+	must.GreaterEq(t, 0.9, float64(loggedBoth)/float64(loggedDeep))
 }
 
-func samplers(n, budget int) []*TreeSampler {
+func newTreeSamplers(n, budget int) []*TreeSampler {
 	out := make([]*TreeSampler, n)
 	for i := range out {
 		out[i] = &TreeSampler{Budget: budget}
@@ -48,18 +49,19 @@
 	return out
 }
 
-// Guards against more lines a second than the budget, or trees kept by some nodes alone.
-func TestTreeSamplerKeepsToItsBudget(t *testing.T) {
+// Guards against writing more lines per second than the budget, and against keeping a tree whose
+// hash does not match the reported share, which other nodes may drop.
+func TestTreeSamplerStaysWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.IntRange(1, 200).Draw(t, "budget")
-		s, calm := &TreeSampler{Budget: budget}, true
+		s, withinHalfBudget := &TreeSampler{Budget: budget}, true
 		for second := range rapid.IntRange(1, 8).Draw(t, "seconds") {
 			written := 0
 			lines := rapid.IntRange(0, 4*budget).Draw(t, "lines")
-			calm = calm && lines <= budget/2
+			withinHalfBudget = withinHalfBudget && lines <= budget/2
 			for i := range lines {
-				keep, oneIn := s.Keep(floodBegins.Add(time.Duration(second)*time.Second), fmt.Sprint(second, "-", i))
-				must.True(t, keep || !calm)
+				keep, oneIn := s.Keep(floodStart.Add(time.Duration(second)*time.Second), fmt.Sprint(second, "-", i))
+				must.True(t, keep || !withinHalfBudget)
 				if keep {
 					written++
 					must.EqOp(t, 0, hash(fmt.Sprint(second, "-", i))&uint32(oneIn-1))
@@ -70,17 +72,17 @@
 	})
 }
 
-// A flood ends. Some seconds later each failure is logged again.
+// Guards against a sampler that still drops lines seconds after a burst has ended.
 func TestTreeSamplerRecovers(t *testing.T) {
 	s := &TreeSampler{Budget: 100}
 	for i := range 1_000_000 {
-		s.Keep(floodBegins, fmt.Sprint(i))
+		s.Keep(floodStart, fmt.Sprint(i))
 	}
-	must.Positive(t, s.halvings)
+	must.Positive(t, s.maskBits)
 	var oneIn int
-	for second := range maxHalvings + 1 {
+	for second := range maxMaskBits + 1 {
 		for i := range 10 {
-			_, oneIn = s.Keep(floodBegins.Add(time.Duration(second+1)*time.Second), fmt.Sprint(i))
+			_, oneIn = s.Keep(floodStart.Add(time.Duration(second+1)*time.Second), fmt.Sprint(i))
 		}
 	}
 	must.EqOp(t, 1, oneIn)
