--- a/internal/metrics/async.go
+++ b/internal/metrics/async.go
@@ -9,37 +9,36 @@
 )
 
 const (
-	// asyncLines bounds the lines that wait for the writer: at 300 bytes each
-	// they hold 0.6 MB.
-	asyncLines = 2048
-	// asyncBatch bounds one write in bytes.
-	asyncBatch = 32 << 10
-	// asyncGather is how long the first of some lines waits for more: one write
-	// for many lines costs a busy node a tenth of the system calls.
-	asyncGather = 50 * time.Millisecond
+	// asyncQueueLines is the maximum number of queued lines. At 300 bytes each they use 0.6 MB.
+	asyncQueueLines = 2048
+	// asyncBatchBytes is the size in bytes at which a batch is written without adding more lines.
+	asyncBatchBytes = 32 << 10
+	// asyncBatchDelay is the time for which the first line of a batch waits for more lines. On a
+	// busy node, batching reduces the number of write system calls to a tenth.
+	asyncBatchDelay = 50 * time.Millisecond
 )
 
-// AsyncWriter hands lines to a goroutine that writes them. No caller ever waits:
-// when the reader of a pipe has stopped, lines are dropped and counted, and the
-// count is written once the reader goes on. Safe for concurrent use.
+// AsyncWriter queues lines for a goroutine that writes them. Write never blocks: while the reader
+// of a pipe is stopped and the queue is full, lines are dropped and counted. The count is written
+// once the reader continues. Safe for concurrent use.
 type AsyncWriter struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	stop    chan struct{}
-	done    sync.WaitGroup
-	once    sync.Once
+	out       io.Writer
+	lines     chan []byte
+	dropped   atomic.Int64
+	stop      chan struct{}
+	done      sync.WaitGroup
+	closeOnce sync.Once
 }
 
-// NewAsyncWriter starts the writer; Close must follow.
+// NewAsyncWriter returns an AsyncWriter to out and starts its goroutine. The caller must call Close.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	w := &AsyncWriter{out: out, lines: make(chan []byte, asyncLines), stop: make(chan struct{})}
+	w := &AsyncWriter{out: out, lines: make(chan []byte, asyncQueueLines), stop: make(chan struct{})}
 	w.done.Add(1)
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer; it keeps a copy and never fails.
+// Write implements io.Writer. It queues a copy of line and never returns an error.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -49,47 +48,47 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (w *AsyncWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits, for at most the given time: a stopped reader must not
-// hold up the end of the process.
-func (w *AsyncWriter) Close(within time.Duration) {
-	w.once.Do(func() { close(w.stop) })
-	ended := make(chan struct{})
+// Close writes the queued lines and stops the goroutine. It returns after timeout at the latest, so
+// that a stopped reader cannot delay the exit of the process.
+func (w *AsyncWriter) Close(timeout time.Duration) {
+	w.closeOnce.Do(func() { close(w.stop) })
+	drained := make(chan struct{})
 	go func() {
 		w.done.Wait()
-		close(ended)
+		close(drained)
 	}()
-	t := time.NewTimer(within)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
-	case <-ended:
+	case <-drained:
 	case <-t.C:
 	}
 }
 
 func (w *AsyncWriter) run() {
 	defer w.done.Done()
-	var reported int64
-	buf := make([]byte, 0, asyncBatch)
+	var reportedDropped int64
+	buf := make([]byte, 0, asyncBatchBytes)
 	for {
 		stopping := false
 		select {
 		case line := <-w.lines:
 			buf = append(buf[:0], line...)
-			w.gather()
+			w.waitForBatch()
 		case <-w.stop:
 			stopping = true
 			buf = buf[:0]
 		}
-		buf = w.collect(buf)
-		if dropped := w.dropped.Load(); dropped > reported {
+		buf = w.appendQueued(buf)
+		if dropped := w.dropped.Load(); dropped > reportedDropped {
 			buf = fmt.Appendf(buf, "{\"level\":\"warn\",\"dropped_total\":%d,\"message\":\"log lines dropped\"}\n", dropped)
-			reported = dropped
+			reportedDropped = dropped
 		}
 		if len(buf) > 0 {
-			// A failed write has nowhere to be told: this is where errors go.
+			// A write error is ignored: this writer is the destination of error logs.
 			_, _ = w.out.Write(buf)
 		}
 		if stopping && len(w.lines) == 0 {
@@ -98,9 +97,9 @@
 	}
 }
 
-// gather waits for more lines, unless the writer is to end.
-func (w *AsyncWriter) gather() {
-	t := time.NewTimer(asyncGather)
+// waitForBatch waits for asyncBatchDelay or until Close is called.
+func (w *AsyncWriter) waitForBatch() {
+	t := time.NewTimer(asyncBatchDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -108,8 +107,10 @@
 	}
 }
 
-func (w *AsyncWriter) collect(buf []byte) []byte {
-	for len(buf) < asyncBatch {
+// appendQueued appends queued lines to buf until the queue is empty or buf has reached
+// asyncBatchBytes.
+func (w *AsyncWriter) appendQueued(buf []byte) []byte {
+	for len(buf) < asyncBatchBytes {
 		select {
 		case line := <-w.lines:
 			buf = append(buf, line...)
--- a/internal/metrics/async_test.go
+++ b/internal/metrics/async_test.go
@@ -21,26 +21,26 @@
 	must.EqOp(t, "a\nb\nc\n", out.String())
 }
 
-// The reader of standard output stops. Calls go on logging; none of them may
-// wait, and once the reader goes on it is told how much it missed.
-func TestStoppedReaderHoldsUpNobody(t *testing.T) {
+// Guards against calls that block on logging while the reader of standard output is stopped, and
+// against dropped lines that are not reported once the reader continues.
+func TestStoppedReaderDoesNotBlockWrite(t *testing.T) {
 	r, pipe := io.Pipe()
 	w := NewAsyncWriter(pipe)
-	const lines = 2 * asyncLines
+	const lines = 2 * asyncQueueLines
 	for range lines {
 		_, err := w.Write([]byte("line\n"))
 		must.NoError(t, err)
 	}
 	must.Greater(t, 0, w.Dropped())
 	var out bytes.Buffer
-	read := make(chan struct{})
+	copied := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(copied)
 		_, _ = io.Copy(&out, r)
 	}()
 	w.Close(time.Minute)
 	must.NoError(t, pipe.Close())
-	<-read
+	<-copied
 	must.StrContains(t, out.String(), "dropped_total")
 	must.EqOp(t, lines-int(w.Dropped()), strings.Count(out.String(), "line\n"))
 }
--- a/internal/metrics/doc_test.go
+++ b/internal/metrics/doc_test.go
@@ -13,8 +13,8 @@
 	quotedName = regexp.MustCompile("`([a-z]+\\.[a-z_]+)`")
 )
 
-// The page names metrics that operators alert on: each must exist, and each
-// bound must be on the page.
+// Guards against an operations page that names metrics that don't exist, or lacks a bound.
+// Operators define alerts by that page.
 func TestDocumentedMetricsExist(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operations/metrics-and-logs.md")
 	must.NoError(t, err)
--- a/internal/metrics/handler.go
+++ b/internal/metrics/handler.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// Path is where the admin listener serves the metrics.
+// Path is the URL path at which the admin listener serves the metrics.
 const Path = "/metrics"
 
-// Handler serves all metrics as one JSON object, sorted by name. The query
-// parameter prefix picks those whose name begins with it.
+// Handler returns a handler that serves all metrics as one JSON object, sorted by name. The query
+// parameter prefix selects the metrics whose name starts with it.
 func (s *Set) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet && r.Method != http.MethodHead {
--- a/internal/metrics/logger.go
+++ b/internal/metrics/logger.go
@@ -11,16 +11,17 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// setFormat runs once: zerolog keeps the format of times in globals.
+// setFormat sets the time format of zerolog. It runs once because zerolog stores the format in
+// global variables.
 var setFormat = sync.OnceFunc(func() {
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
 	zerolog.TimestampFunc = func() time.Time { return time.Now().UTC() }
 	zerolog.DurationFieldUnit = time.Millisecond
 })
 
-// NewLogger returns a logger of JSON lines for one node. Each level may write
-// Burst lines a second; beyond that one line in Sample goes out, so that a
-// storm of failures neither fills a pipe nor hides the other levels.
+// NewLogger returns the JSON logger of a node. Each level writes up to Burst lines per second and
+// 1 in Sample lines beyond that, so that many failures at once neither fill a pipe nor suppress
+// lines of other levels.
 func NewLogger(w io.Writer, node string, c settings.Logging) (zerolog.Logger, error) {
 	setFormat()
 	level, err := zerolog.ParseLevel(c.Level)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -25,7 +25,7 @@
 	return got
 }
 
-func TestDocumentShowsEverything(t *testing.T) {
+func TestHandlerServesAllMetrics(t *testing.T) {
 	s := New(1)
 	s.Inc(CallsReceived, 3)
 	s.SetGauge(ConfigVersion, 12)
@@ -48,9 +48,9 @@
 	must.MapLen(t, len(result.Codes())+1, get(t, s, "/metrics?prefix=results."))
 }
 
-// A name left out of its table would be empty, and a doubled one would
-// silently take the other's place in the registry.
-func TestNamesAreGivenAndUnique(t *testing.T) {
+// Guards against a metric that is missing in its table of names, which would have an empty name, and
+// against a duplicate name, which would silently replace the other metric in the registry.
+func TestNamesAreNonEmptyAndUnique(t *testing.T) {
 	seen := map[string]bool{}
 	check := func(name string) {
 		must.NotEq(t, "", name)
@@ -78,7 +78,7 @@
 	must.SliceNotContains(t, s.UnwatchedBounds(), "timeline.events")
 }
 
-func TestTimersOffTheRequestPathTakeAll(t *testing.T) {
+func TestTimersOffRequestPathAreNotSampled(t *testing.T) {
 	s := New(1 << 30)
 	for range 50 {
 		s.Observe(CallTime, time.Millisecond)
@@ -88,15 +88,15 @@
 	must.Less(t, 50, get(t, s, "/metrics")["calls.total_us"]["count"])
 }
 
-func TestOnlyGet(t *testing.T) {
+func TestHandlerRejectsPost(t *testing.T) {
 	w := httptest.NewRecorder()
 	New(1).Handler().ServeHTTP(w, httptest.NewRequest("POST", "/metrics", nil))
 	must.Eq(t, 405, w.Code)
 }
 
-// A peer is down and each of a thousand calls logs a warning in one second.
-// The warnings are sampled; an error in the same second still gets through.
-func TestLoggerSamplesEachLevelApart(t *testing.T) {
+// Guards against warnings that suppress an error: with a peer down, a thousand calls log a warning
+// in one second. The warnings are sampled, and an error in the same second must still be written.
+func TestLoggerSamplesLevelsIndependently(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var buf bytes.Buffer
 		log, err := NewLogger(&buf, "kurume-1", settings.Logging{Level: "info", Burst: 10, Sample: 100})
--- a/internal/metrics/names.go
+++ b/internal/metrics/names.go
@@ -1,6 +1,6 @@
 package metrics
 
-// Counter names a number that only grows.
+// Counter identifies a metric that only increases.
 type Counter uint8
 
 // The counters of a node.
@@ -74,7 +74,7 @@
 // String returns the name in the JSON document.
 func (c Counter) String() string { return counterNames[c] }
 
-// Gauge names a number that goes up and down.
+// Gauge identifies a metric that increases and decreases.
 type Gauge uint8
 
 // The gauges of a node.
@@ -124,7 +124,7 @@
 // String returns the name in the JSON document.
 func (g Gauge) String() string { return gaugeNames[g] }
 
-// Bound names something held that has a limit: a queue, a map or a buffer.
+// Bound identifies a queue, map or buffer with a limited size.
 type Bound uint8
 
 // The bounds of a node.
@@ -161,11 +161,10 @@
 	BoundFollowers:         "admin.followers",
 }
 
-// String returns the name in the JSON document, without .size, .limit and
-// .turned_away.
+// String returns the name in the JSON document, without the suffix .size, .limit or .turned_away.
 func (b Bound) String() string { return boundNames[b] }
 
-// Timer names a distribution of durations, in microseconds.
+// Timer identifies a distribution of durations, in microseconds.
 type Timer uint8
 
 // The timers of a node.
@@ -195,8 +194,8 @@
 // String returns the name in the JSON document.
 func (t Timer) String() string { return timerNames[t] }
 
-// onRequestPath says which timers are sampled; the others are rare enough to
-// take every value.
+// onRequestPath marks the timers that record a sample. The other timers are updated rarely and
+// record every value.
 var onRequestPath = [numTimers]bool{
 	CallTime: true, AddedTime: true, QueueTime: true, UpstreamTime: true, InnerTime: true,
 }
--- a/internal/metrics/process.go
+++ b/internal/metrics/process.go
@@ -7,8 +7,8 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// Names of the process's own numbers. cpu_ms is an estimate by the runtime,
-// brought up to date at each garbage collection.
+// Names of the process metrics. process.cpu_ms is an estimate by the Go runtime, which updates it at
+// each garbage collection.
 const (
 	processGoroutines = "process.goroutines"
 	processMemory     = "process.memory_bytes"
@@ -18,21 +18,21 @@
 )
 
 func (s *Set) registerProcess() {
-	functions := map[string]func() int64{
+	gauges := map[string]func() int64{
 		processGoroutines: func() int64 { return int64(runtime.NumGoroutine()) },
-		processMemory:     func() int64 { return read("/memory/classes/total:bytes") },
-		processHeapLive:   func() int64 { return read("/gc/heap/live:bytes") },
-		processCPU:        func() int64 { return read("/cpu/classes/user:cpu-seconds") },
-		processGCs:        func() int64 { return read("/gc/cycles/total:gc-cycles") },
+		processMemory:     func() int64 { return readRuntimeMetric("/memory/classes/total:bytes") },
+		processHeapLive:   func() int64 { return readRuntimeMetric("/gc/heap/live:bytes") },
+		processCPU:        func() int64 { return readRuntimeMetric("/cpu/classes/user:cpu-seconds") },
+		processGCs:        func() int64 { return readRuntimeMetric("/gc/cycles/total:gc-cycles") },
 	}
-	for name, f := range functions {
-		// The registry is new, so that no name can be taken.
+	for name, f := range gauges {
+		// Register fails only on a duplicate name, and the registry is new.
 		_ = s.registry.Register(name, gometrics.NewFunctionalGauge(f))
 	}
 }
 
-// read returns a number of the runtime; seconds come as milliseconds.
-func read(name string) int64 {
+// readRuntimeMetric returns a metric of the Go runtime. It converts seconds to milliseconds.
+func readRuntimeMetric(name string) int64 {
 	sample := []rtmetrics.Sample{{Name: name}}
 	rtmetrics.Read(sample)
 	switch sample[0].Value.Kind() {
--- a/internal/metrics/series.go
+++ b/internal/metrics/series.go
@@ -9,71 +9,72 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// seriesReservoir is how many values the latency of one series keeps: 1.5 KB, so
-// that 1,700 routes take 2.6 MB.
-const seriesReservoir = 64
+// seriesReservoirSize is the number of latency values that one series keeps. They use 1.5 KB, so
+// that 1,700 routes use 2.6 MB.
+const seriesReservoirSize = 64
 
-// Series counts what became of the requests of one route or for one service. All
-// methods may be called concurrently.
+// Series counts the requests of one label, such as a route, by outcome and records their latency.
+// Safe for concurrent use.
 type Series struct {
-	set     *Set
-	kind    string
-	label   string
-	offered gometrics.Counter
-	good    gometrics.Counter
-	latency gometrics.Histogram
-	// ends is by result name.
-	ends sync.Map
+	set      *Set
+	kind     string
+	label    string
+	offered  gometrics.Counter
+	answered gometrics.Counter
+	latency  gometrics.Histogram
+	// endedByCode maps a result.Code to the counter of requests that ended with it.
+	endedByCode sync.Map
 }
 
-// Series returns the series of a kind, like route or service, with that label; it
-// is made when it is first asked for.
+// Series returns the series of the given kind, such as route or service, and label. It creates the
+// series on the first call.
 func (s *Set) Series(kind, label string) *Series {
 	key := kind + "{" + label + "}"
 	if got, ok := s.series.Load(key); ok {
 		return got.(*Series)
 	}
-	sample := gometrics.NewExpDecaySample(seriesReservoir, decay)
+	sample := gometrics.NewExpDecaySample(seriesReservoirSize, reservoirAlpha)
 	got, loaded := s.series.LoadOrStore(key, &Series{
 		set: s, kind: kind, label: label,
-		offered: gometrics.NewCounter(), good: gometrics.NewCounter(), latency: gometrics.NewHistogram(sample),
+		offered: gometrics.NewCounter(), answered: gometrics.NewCounter(), latency: gometrics.NewHistogram(sample),
 	})
 	series := got.(*Series)
 	if !loaded {
-		series.register("offered", series.offered)
-		series.register("answered", series.good)
-		series.register("latency_us", series.latency)
+		series.registerMetric("offered", series.offered)
+		series.registerMetric("answered", series.answered)
+		series.registerMetric("latency_us", series.latency)
 	}
 	return series
 }
 
-func (x *Series) register(name string, metric any) {
-	// Another series of this name can't be there: LoadOrStore let one through.
-	_ = x.set.registry.Register(x.kind+"."+name+"{"+x.label+"}", metric)
+func (s *Series) registerMetric(name string, metric any) {
+	// Register fails only on a duplicate name, and LoadOrStore guarantees a single caller per name.
+	_ = s.set.registry.Register(s.kind+"."+name+"{"+s.label+"}", metric)
 }
 
-// Offered counts a request that came.
-func (x *Series) Offered() { x.offered.Inc(1) }
+// Offered counts a received request.
+func (s *Series) Offered() { s.offered.Inc(1) }
 
-// Ended counts how a request ended and, for a good answer, how long it took.
-func (x *Series) Ended(code result.Code, took time.Duration) {
+// Ended counts a request that ended with code. For a successful response, it also records the
+// latency.
+func (s *Series) Ended(code result.Code, took time.Duration) {
 	if code == result.OK || code == result.Replayed {
-		x.good.Inc(1)
-		x.latency.Update(took.Microseconds())
+		s.answered.Inc(1)
+		s.latency.Update(took.Microseconds())
 		return
 	}
-	got, ok := x.ends.Load(code)
+	counter, ok := s.endedByCode.Load(code)
 	if !ok {
 		var loaded bool
-		got, loaded = x.ends.LoadOrStore(code, gometrics.NewCounter())
+		counter, loaded = s.endedByCode.LoadOrStore(code, gometrics.NewCounter())
 		if !loaded {
-			x.register("ended."+code.String(), got)
+			s.registerMetric("ended."+code.String(), counter)
 		}
 	}
-	got.(gometrics.Counter).Inc(1)
+	counter.(gometrics.Counter).Inc(1)
 }
 
-// Drop forgets the series, of a route that is gone.
+// Drop removes a series and its metrics, for example of a deleted route.
 func (s *Set) Drop(kind, label string) {
 	got, ok := s.series.LoadAndDelete(kind + "{" + label + "}")
 	if !ok {
@@ -83,7 +84,7 @@
 	for _, name := range []string{"offered", "answered", "latency_us"} {
 		s.registry.Unregister(kind + "." + name + "{" + label + "}")
 	}
-	series.ends.Range(func(code, _ any) bool {
+	series.endedByCode.Range(func(code, _ any) bool {
 		s.registry.Unregister(kind + ".ended." + code.(result.Code).String() + "{" + label + "}")
 		return true
 	})
--- a/internal/metrics/series_test.go
+++ b/internal/metrics/series_test.go
@@ -11,9 +11,9 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// A route's requests are counted by what became of them, and shown as text. When
-// the route is gone its numbers are, too.
-func TestSeriesOfARoute(t *testing.T) {
+// Guards against a route whose requests are not counted by outcome in the text form, and against
+// metrics that remain after the route was deleted.
+func TestRouteSeries(t *testing.T) {
 	s := New(1)
 	route := s.Series("route", "h/a/")
 	must.True(t, route == s.Series("route", "h/a/"))
@@ -39,7 +39,7 @@
 	must.StrNotContains(t, read(), "h/a/")
 }
 
-// BenchmarkSeries is what the metrics of its route cost a request.
+// BenchmarkSeries measures the cost per request of the metrics of its route.
 func BenchmarkSeries(b *testing.B) {
 	s := New(8)
 	b.RunParallel(func(pb *testing.PB) {
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestTextIsOnlyRead(t *testing.T) {
+func TestTextHandlerRejectsPost(t *testing.T) {
 	w := httptest.NewRecorder()
 	New(1).TextHandler(func() {}).ServeHTTP(w, httptest.NewRequest("POST", "/metrics", strings.NewReader("")))
 	must.EqOp(t, 405, w.Code)
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// TextHandler serves the numbers as text, a line "name value" for each, in the
-// order of the names; a number with several fields has a line for each. refresh is
-// called before, for gauges that are set at reading.
+// TextHandler returns a handler that serves the metrics as text, one line "name value" per metric,
+// sorted by name. A metric with several fields has one line per field. The handler calls refresh
+// before it reads the metrics, to update gauges that are set on demand.
 func (s *Set) TextHandler(refresh func()) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet && r.Method != http.MethodHead {
@@ -31,15 +31,14 @@
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		fields := values[name]
 		for _, field := range slices.Sorted(maps.Keys(fields)) {
-			fmt.Fprintf(&out, "%s %v\n", fieldName(name, field), fields[field])
+			fmt.Fprintf(&out, "%s %v\n", lineName(name, field), fields[field])
 		}
 	}
 	return out.String()
 }
 
-// fieldName puts the field before the label. Counters and gauges have one field,
-// which goes without saying.
-func fieldName(name, field string) string {
+// lineName inserts the field name before the label. The only field of a counter or gauge is omitted.
+func lineName(name, field string) string {
 	if field == "value" || field == "count" {
 		return name
 	}
--- a/internal/timeline/sample.go
+++ b/internal/timeline/sample.go
@@ -9,7 +9,7 @@
 	oneIn uint32
 }
 
-// NewSampler returns a sampler that keeps 1 in oneIn requests. Values up to 1 keep all requests.
+// NewSampler returns a sampler that keeps 1 in oneIn requests; 0 and 1 keep all.
 func NewSampler(oneIn int) Sampler {
 	return Sampler{oneIn: uint32(max(1, oneIn))}
 }
