--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -6,8 +6,7 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// Check returns every violation in h, by property and then in the order of the
-// records.
+// Check returns all violations in h, ordered by property and then by record.
 func Check(h *History) []Violation {
 	var all []Violation
 	for _, check := range []func(*History) []Violation{
@@ -23,7 +22,7 @@
 	return all
 }
 
-// Count returns how many of the violations are of a property.
+// Count returns the number of violations of a property.
 func Count(violations []Violation, p Property) int {
 	n := 0
 	for _, v := range violations {
@@ -34,8 +33,8 @@
 	return n
 }
 
-// operation is what must run once: the key alone would miss a key that was
-// changed on the way.
+// operation identifies an operation that must run at most once. It does not contain the idempotency
+// key, so that a second execution under a key that was changed in transit is also found.
 type operation struct{ request, service, path string }
 
 // checkAtMostOnce reports each execution beyond the first.
@@ -47,20 +46,20 @@
 			continue
 		}
 		op := operation{r.Request, r.Service, r.Path}
-		before, ran := first[op]
-		if !ran {
+		earlier, hasRun := first[op]
+		if !hasRun {
 			first[op] = r
 			continue
 		}
 		found = append(found, Violation{AtMostOnce, r.Request, fmt.Sprintf(
-			"key %q ran %s at %s for sending %s, and before at %s for sending %s",
-			r.Key, r.Service+r.Path, r.Upstream, r.Attempt, before.Upstream, before.Attempt)})
+			"key %q ran %s at %s for attempt %s, and earlier at %s for attempt %s",
+			r.Key, r.Service+r.Path, r.Upstream, r.Attempt, earlier.Upstream, earlier.Attempt)})
 	}
 	return found
 }
 
-// checkRefusals looks for executions of sendings whose answer promised none.
-// Their order doesn't matter: a run after the refusal breaks it as well.
+// checkRefusals reports attempts that were executed although their response says `ran: no`. An
+// execution after the refusal is a violation as well, so the order of records is irrelevant.
 func checkRefusals(h *History) []Violation {
 	ran := map[string]Run{}
 	for _, r := range h.Runs {
@@ -75,7 +74,7 @@
 		}
 		if r, ok := ran[s.Attempt]; ok {
 			found = append(found, Violation{TrueRefusal, s.Attempt, fmt.Sprintf(
-				"answered %d %s (ran: no), and ran %s at %s", int(s.Code), s.Code, r.Service+r.Path, r.Upstream)})
+				"result %d %s (ran: no), but %s ran at %s", int(s.Code), s.Code, r.Service+r.Path, r.Upstream)})
 		}
 	}
 	return found
@@ -89,18 +88,18 @@
 		}
 		switch {
 		case !s.Whole:
-			found = append(found, Violation{RightAnswer, s.Attempt, "a success with an incomplete body"})
+			found = append(found, Violation{RightAnswer, s.Attempt, "successful response with an incomplete body"})
 		case s.AnswerTo != s.Request:
-			found = append(found, Violation{RightAnswer, s.Attempt, fmt.Sprintf("got the answer to request %q", s.AnswerTo)})
+			found = append(found, Violation{RightAnswer, s.Attempt, fmt.Sprintf("received the response to request %q", s.AnswerTo)})
 		case s.AnswerFrom != s.Service:
-			found = append(found, Violation{RightAnswer, s.Attempt, fmt.Sprintf("got the answer of service %q, asked %q", s.AnswerFrom, s.Service)})
+			found = append(found, Violation{RightAnswer, s.Attempt, fmt.Sprintf("received the response of service %q instead of %q", s.AnswerFrom, s.Service)})
 		}
 	}
 	return found
 }
 
-// checkRetries adds up the records of a root: each entry and exit node reports
-// its own.
+// checkRetries compares the sum of retries of a root request with its allowance. Each entry and exit
+// node reports its own retries.
 func checkRetries(h *History) []Violation {
 	total := map[string]int{}
 	reported := map[string]bool{}
@@ -125,14 +124,14 @@
 		}
 		deaths[r.Request]++
 		if deaths[r.Request] > MaxDeaths {
-			found = append(found, Violation{BoundedDeaths, r.Request, fmt.Sprintf("death %d, of %s", deaths[r.Request], r.Upstream)})
+			found = append(found, Violation{BoundedDeaths, r.Request, fmt.Sprintf("crash %d, of upstream %s", deaths[r.Request], r.Upstream)})
 		}
 	}
 	return found
 }
 
-// checkVersions compares each version with the newest before it at the same
-// node, restarts included. A node that has none yet serves by none.
+// checkVersions compares each version with the newest earlier version at the same node, also across
+// restarts. It skips version 0, at which a node has no configuration in force.
 func checkVersions(h *History) []Violation {
 	newest := map[string]int64{}
 	var found []Violation
--- a/internal/history/doc.go
+++ b/internal/history/doc.go
@@ -1,5 +1,5 @@
-// Package history records what callers sent and got, what upstreams ran by
-// their own account, and which configuration nodes had in force, and decides
-// whether such a history keeps the system's promises. The check needs no
-// knowledge of how the nodes work: it compares the two ends only.
+// Package history records the requests and responses seen by callers, the executions recorded by
+// upstreams, and the configuration versions in force at nodes. It checks whether such a history
+// satisfies the guarantees of the system. The check compares callers with upstreams only and does
+// not depend on how the nodes work.
 package history
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -4,64 +4,63 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// Send is one sending of a request by a caller, and its end as the caller saw
-// it.
+// Send is one attempt of a caller to send a request, and its outcome as seen by the caller.
 type Send struct {
-	// Request names the logical request; all its sendings share it.
+	// Request is the ID of the logical request, which all its attempts share.
 	Request string `json:"request"`
-	// Attempt names this sending, once in a history.
+	// Attempt is the ID of this attempt, unique within a history.
 	Attempt string `json:"attempt"`
 	Service string `json:"service"`
-	// Code is the numbered result; 0 when no answer of the system arrived.
+	// Code is the result code, or 0 if no response of the system arrived.
 	Code result.Code `json:"code"`
-	// Success says that the caller took the answer for a good one: a good
-	// status, and a body that ended where it was announced to.
+	// Success reports whether the caller accepted the response: a successful status, and a body of
+	// the announced length.
 	Success bool `json:"success,omitempty"`
-	// Whole says that the body of a success was complete in itself.
+	// Whole reports whether the content of a successful response's body was complete.
 	Whole bool `json:"whole,omitempty"`
-	// AnswerTo and AnswerFrom are the request and the service that the body of
-	// a success names.
+	// AnswerTo and AnswerFrom are the request ID and the service contained in the body of a
+	// successful response.
 	AnswerTo   string `json:"answer_to,omitempty"`
 	AnswerFrom string `json:"answer_from,omitempty"`
-	// Err is what ended a sending without a success.
+	// Err is the error of an unsuccessful attempt.
 	Err string `json:"err,omitempty"`
 }
 
-// Run is one execution that an upstream began, by its own ledger.
+// Run is one execution started by an upstream, as recorded by the upstream.
 type Run struct {
 	Upstream string `json:"upstream"`
 	Service  string `json:"service"`
 	Path     string `json:"path"`
 	Request  string `json:"request"`
-	// Attempt is the caller's sending on whose behalf it ran.
+	// Attempt is the ID of the caller's attempt that caused the execution.
 	Attempt string `json:"attempt"`
-	// Key is the idempotency key; empty when running twice does no harm.
+	// Key is the idempotency key. It is empty if the operation is idempotent.
 	Key string `json:"key,omitempty"`
-	// Killed says that the upstream died by it.
+	// Killed reports whether the execution crashed the upstream.
 	Killed bool `json:"killed,omitempty"`
-	// Done says that it ran to its end.
+	// Done reports whether the execution completed.
 	Done bool `json:"done,omitempty"`
 }
 
-// Unbounded as the allowance of a root means that nothing bounds its retries.
+// Unbounded is the allowance of a root request whose number of retries is unlimited.
 const Unbounded = -1
 
-// Retries counts the retries that were made for one root request over its
-// whole tree.
+// Retries is a number of retries in the call tree of one root request. A history may contain several
+// records per root request; their sum counts.
 type Retries struct {
 	Root      string `json:"root"`
 	Count     int    `json:"count"`
 	Allowance int    `json:"allowance"`
 }
 
-// Version is the configuration version that a node had in force, in the order
-// in which it was seen there. Version 0 is a node that has none yet.
+// Version is an observation of the configuration version in force at a node. The observations of a
+// node are in chronological order. Version 0 means that the node has no configuration yet.
 type Version struct {
 	Node    string `json:"node"`
 	Version int64  `json:"version"`
 }
 
-// History is all that was recorded of one run.
+// History contains all records of one test run.
 type History struct {
 	Sends    []Send
 	Runs     []Run
@@ -69,38 +68,39 @@
 	Versions []Version
 }
 
-// Property is one promise.
+// Property is the name of a guarantee of the system.
 type Property string
 
-// The promises that are checked.
+// The properties that Check verifies.
 const (
-	// AtMostOnce: an operation under a key runs at most once.
+	// AtMostOnce requires that an operation with an idempotency key runs at most once.
 	AtMostOnce Property = "at_most_once"
-	// TrueRefusal: a sending that was answered `ran: no` ran nowhere.
+	// TrueRefusal requires that an attempt whose response says `ran: no` was not executed by any
+	// upstream.
 	TrueRefusal Property = "true_refusal"
-	// RightAnswer: every success is whole and answers its own request.
+	// RightAnswer requires that every successful response is complete and belongs to its request.
 	RightAnswer Property = "right_answer"
-	// BoundedRetries: the retries of a root stay within its allowance.
+	// BoundedRetries requires that the retries of a root request do not exceed its allowance.
 	BoundedRetries Property = "bounded_retries"
-	// BoundedDeaths: one request kills at most MaxDeaths upstreams.
+	// BoundedDeaths requires that one request crashes at most MaxDeaths upstreams.
 	BoundedDeaths Property = "bounded_deaths"
-	// RisingVersions: the configuration in force at a node never goes back.
+	// RisingVersions requires that the configuration version in force at a node never decreases.
 	RisingVersions Property = "rising_versions"
 )
 
-// MaxDeaths is how many upstreams one request may kill: after the second death
-// it is quarantined.
+// MaxDeaths is the maximum number of upstreams that one request may crash. The request is
+// quarantined after the second crash.
 const MaxDeaths = 2
 
-// Properties returns all properties in the order in which they are checked.
+// Properties returns all properties in the order in which Check verifies them.
 func Properties() []Property {
 	return []Property{AtMostOnce, TrueRefusal, RightAnswer, BoundedRetries, BoundedDeaths, RisingVersions}
 }
 
-// Violation is one break of a promise.
+// Violation is a violation of a property.
 type Violation struct {
 	Property Property `json:"property"`
-	// Subject is the request, sending, root or node concerned.
+	// Subject is the ID of the request, attempt, root request or node that violates the property.
 	Subject string `json:"subject"`
 	Detail  string `json:"detail"`
 }
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -11,9 +11,9 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// good is a history of two requests that keeps every promise: a letter whose
-// first answer was lost, and a request that killed two upstreams.
-func good() *history.History {
+// validHistory returns a history without violations. It includes a letter whose first response was
+// lost and a request that crashed two upstreams.
+func validHistory() *history.History {
 	return &history.History{
 		Sends: []history.Send{
 			{Request: "a", Attempt: "a.0", Service: "letters", Code: result.LostAnswer},
@@ -33,16 +33,16 @@
 	}
 }
 
-func TestCheckTakesAGoodHistory(t *testing.T) {
-	must.SliceEmpty(t, history.Check(good()))
+func TestCheckAcceptsValidHistory(t *testing.T) {
+	must.SliceEmpty(t, history.Check(validHistory()))
 }
 
-// Each history differs from the good one by one fault that callers or
-// upstreams would see; the check must name just the promise that it breaks.
-func TestCheckFindsEachFault(t *testing.T) {
+// Guards against a violation that Check misses or attributes to another property. Each case adds one
+// fault to the valid history.
+func TestCheckReportsEachViolation(t *testing.T) {
 	cases := map[string]struct {
-		breaks history.Property
-		spoil  func(h *history.History)
+		want   history.Property
+		mutate func(h *history.History)
 	}{
 		"a resend of a letter ran it again": {history.AtMostOnce, func(h *history.History) {
 			h.Runs = append(h.Runs, history.Run{Upstream: "l2", Service: "letters", Path: "/issue", Request: "a", Attempt: "a.1", Key: "a"})
@@ -62,17 +62,18 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			h := good()
-			c.spoil(h)
+			h := validHistory()
+			c.mutate(h)
 			violations := history.Check(h)
 			must.Len(t, 1, violations)
-			must.EqOp(t, c.breaks, violations[0].Property)
-			must.EqOp(t, 1, history.Count(violations, c.breaks))
+			must.EqOp(t, c.want, violations[0].Property)
+			must.EqOp(t, 1, history.Count(violations, c.want))
 		})
 	}
 }
 
-// Without an allowance, as under the plain chain, no count is too high.
+// Guards against violations reported for root requests with an unlimited number of retries, as in
+// a run of the baseline.
 func TestUnboundedRetries(t *testing.T) {
 	h := &history.History{Retries: []history.Retries{{Root: "x", Count: 99, Allowance: history.Unbounded}}}
 	must.SliceEmpty(t, history.Check(h))
@@ -80,24 +81,24 @@
 
 func TestJSONLinesRoundTrip(t *testing.T) {
 	var buf bytes.Buffer
-	must.NoError(t, history.Write(&buf, good()))
+	must.NoError(t, history.Write(&buf, validHistory()))
 	got, err := history.Read(&buf)
 	must.NoError(t, err)
-	must.Eq(t, good(), got)
+	must.Eq(t, validHistory(), got)
 }
 
-func TestReadWantsTheEnd(t *testing.T) {
+func TestReadRequiresEndRecord(t *testing.T) {
 	var buf bytes.Buffer
-	must.NoError(t, history.Write(&buf, good()))
+	must.NoError(t, history.Write(&buf, validHistory()))
 	lines := strings.SplitAfter(strings.TrimSuffix(buf.String(), "\n"), "\n")
 	_, err := history.Read(strings.NewReader(strings.Join(lines[:len(lines)-1], "")))
-	must.ErrorContains(t, err, "end is missing")
+	must.ErrorContains(t, err, "end record is missing")
 	_, err = history.Read(strings.NewReader(strings.Join(lines[1:], "")))
-	must.ErrorContains(t, err, "the end counts")
+	must.ErrorContains(t, err, "the end record counts")
 }
 
-// A broken line, or a record of a newer kind, must not pass for a
-// history without violations.
+// Guards against accepting a history with a malformed line or a record of a newer kind as free of
+// violations.
 func TestReadNamesTheBadLine(t *testing.T) {
 	for _, bad := range []string{`{"send":{"request":`, `{"other":{}}`, `{}`, `{"run":{"color":1}}`} {
 		_, err := history.Read(strings.NewReader("{\"version\":{\"node\":\"n\",\"version\":1}}\n" + bad + "\n"))
