--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs serves and dials TLS with certificates from files, and takes
-// up new files without a restart.
+// Package certs provides TLS for servers and clients with certificates from files, and reloads
+// changed files without a restart.
 package certs
 
 import (
@@ -16,86 +16,87 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// checkEvery is how often, at most, files are looked at: a handshake a second
-// pays for three calls of stat.
-const checkEvery = time.Second
+// recheckInterval is the minimum time between checks for changed files. A check costs three stat
+// calls, at most once per second.
+const recheckInterval = time.Second
 
-// Files are the certificate, key and CA of one listener. Safe for concurrent
-// use.
+// Files contains the certificate, key and CA of one listener and reloads them from their files.
+// Safe for concurrent use.
 type Files struct {
-	names settings.TLS
-	// onError hears of new files that can't be used; the old ones stay.
+	config settings.TLS
+	// onError is called if changed files cannot be loaded. The previous credentials stay in use.
 	onError func(error)
 	now     func() time.Time
 
-	mu      sync.Mutex
-	checked time.Time
-	stamps  [3]stamp
-	loaded  loaded
+	mu        sync.Mutex
+	lastCheck time.Time
+	versions  [3]fileVersion
+	creds     credentials
 }
 
-// loaded is what the files held when they were last good.
-type loaded struct {
+// credentials contains the content of the files when they were last loaded without an error.
+type credentials struct {
 	cert *tls.Certificate
 	pool *x509.CertPool // nil without a CA file
 }
 
-// stamp tells one content of a file from the next.
-type stamp struct {
-	modified time.Time
-	size     int64
+// fileVersion identifies the content of a file.
+type fileVersion struct {
+	modTime time.Time
+	size    int64
 }
 
-// Load reads the files; onError may be nil.
-func Load(names settings.TLS, onError func(error)) (*Files, error) {
-	f := &Files{names: names, onError: onError, now: time.Now}
-	stamps, err := f.stampAll()
+// Load reads the files. onError is called if changed files cannot be loaded later; it may be nil.
+func Load(config settings.TLS, onError func(error)) (*Files, error) {
+	f := &Files{config: config, onError: onError, now: time.Now}
+	versions, err := f.statFiles()
 	if err != nil {
 		return nil, err
 	}
-	if f.loaded, err = f.read(); err != nil {
+	if f.creds, err = f.readFiles(); err != nil {
 		return nil, err
 	}
-	f.stamps = stamps
-	f.checked = f.now()
+	f.versions = versions
+	f.lastCheck = f.now()
 	return f, nil
 }
 
 func (f *Files) paths() []string {
-	list := []string{f.names.CertFile, f.names.KeyFile}
-	if f.names.CAFile != "" {
-		list = append(list, f.names.CAFile)
+	paths := []string{f.config.CertFile, f.config.KeyFile}
+	if f.config.CAFile != "" {
+		paths = append(paths, f.config.CAFile)
 	}
-	return list
+	return paths
 }
 
-func (f *Files) stampAll() (stamps [3]stamp, err error) {
+// statFiles returns the versions of the files in the order of paths.
+func (f *Files) statFiles() (versions [3]fileVersion, err error) {
 	for i, path := range f.paths() {
 		info, err := os.Stat(path)
 		if err != nil {
-			return stamps, errors.Wrap(err, "certificate file")
+			return versions, errors.Wrap(err, "certificate file")
 		}
-		stamps[i] = stamp{info.ModTime(), info.Size()}
+		versions[i] = fileVersion{info.ModTime(), info.Size()}
 	}
-	return stamps, nil
+	return versions, nil
 }
 
-func (f *Files) read() (loaded, error) {
-	cert, err := tls.LoadX509KeyPair(f.names.CertFile, f.names.KeyFile)
+func (f *Files) readFiles() (credentials, error) {
+	cert, err := tls.LoadX509KeyPair(f.config.CertFile, f.config.KeyFile)
 	if err != nil {
-		return loaded{}, errors.Wrapf(err, "cert_file %s with key_file %s", f.names.CertFile, f.names.KeyFile)
+		return credentials{}, errors.Wrapf(err, "cert_file %s with key_file %s", f.config.CertFile, f.config.KeyFile)
 	}
-	l := loaded{cert: &cert}
-	if f.names.CAFile == "" {
-		return l, nil
+	creds := credentials{cert: &cert}
+	if f.config.CAFile == "" {
+		return creds, nil
 	}
-	if l.pool, err = Pool(f.names.CAFile); err != nil {
-		return loaded{}, err
+	if creds.pool, err = Pool(f.config.CAFile); err != nil {
+		return credentials{}, err
 	}
-	return l, nil
+	return creds, nil
 }
 
-// Pool reads a CA file.
+// Pool reads the certificates of a CA file in PEM format.
 func Pool(path string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(path)
 	if err != nil {
@@ -108,64 +109,64 @@
 	return pool, nil
 }
 
-// current returns what is in force, after a look at the files. A certificate
-// and its key are replaced one after the other: between the two they don't
-// match, and the old pair stays until they do.
-func (f *Files) current() loaded {
+// current returns the current credentials. It first reloads the files if they have changed, at most
+// once per recheckInterval. A certificate and its key are replaced one after the other. Until both
+// files match, loading fails and the old pair stays in use.
+func (f *Files) current() credentials {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	if now.Sub(f.checked) < checkEvery {
-		return f.loaded
+	if now.Sub(f.lastCheck) < recheckInterval {
+		return f.creds
 	}
-	f.checked = now
-	stamps, err := f.stampAll()
-	if err == nil && stamps == f.stamps {
-		return f.loaded
+	f.lastCheck = now
+	versions, err := f.statFiles()
+	if err == nil && versions == f.versions {
+		return f.creds
 	}
 	if err == nil {
-		var fresh loaded
-		if fresh, err = f.read(); err == nil {
-			f.loaded, f.stamps = fresh, stamps
+		var renewed credentials
+		if renewed, err = f.readFiles(); err == nil {
+			f.creds, f.versions = renewed, versions
 		}
 	}
 	if err != nil && f.onError != nil {
 		f.onError(err)
 	}
-	return f.loaded
+	return f.creds
 }
 
-// Server returns the configuration of a listener. With a CA file clients must
-// show a certificate that it signed.
+// Server returns the TLS configuration of a listener. With a CA file, it requires a client
+// certificate signed by a CA of that file.
 func (f *Files) Server(protocols ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: protocols,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			l := f.current()
+			creds := f.current()
 			c := &tls.Config{
 				MinVersion:   tls.VersionTLS12,
 				NextProtos:   protocols,
-				Certificates: []tls.Certificate{*l.cert},
+				Certificates: []tls.Certificate{*creds.cert},
 			}
-			if l.pool != nil {
+			if creds.pool != nil {
 				c.ClientAuth = tls.RequireAndVerifyClientCert
-				c.ClientCAs = l.pool
+				c.ClientCAs = creds.pool
 			}
 			return c, nil
 		},
 	}
 }
 
-// Dial makes connections.
+// Dial is the type of a function that establishes connections, as net.Dialer.DialContext.
 type Dial = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Client returns dial with a handshake that shows the certificate and checks
-// the other side's against the CA file, or the system's CAs without one. The
-// certificate must name the host or IP dialled.
+// Client returns a Dial that connects with dial and performs a TLS handshake. It presents the
+// client certificate and verifies the server's certificate against the CA file, or against the
+// system's CAs if there is no CA file. The server's certificate must contain the dialled host or IP.
 //
-// A failed handshake is reported as a failed dial: nothing of a request was
-// sent, so that a call which met it provably did not run.
+// A failed handshake is returned as a *net.OpError of a failed dial. No part of the request was sent
+// at that point, so the call was certainly not executed.
 func (f *Files) Client(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		host, _, err := net.SplitHostPort(addr)
@@ -176,12 +177,12 @@
 		if err != nil {
 			return nil, err
 		}
-		l := f.current()
+		creds := f.current()
 		conn := tls.Client(raw, &tls.Config{
 			MinVersion:   tls.VersionTLS12,
 			ServerName:   host,
-			RootCAs:      l.pool,
-			Certificates: []tls.Certificate{*l.cert},
+			RootCAs:      creds.pool,
+			Certificates: []tls.Certificate{*creds.cert},
 		})
 		if err := conn.HandshakeContext(ctx); err != nil {
 			_ = raw.Close()
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -15,8 +15,7 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// handshake connects a client of one set of files to a server of another and
-// returns the serial number that the server showed.
+// handshake connects a client to a server and returns the serial number of the server's certificate.
 func handshake(t *testing.T, server, client *Files) (int64, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -56,14 +55,15 @@
 	return f
 }
 
-// Guards against a renewed certificate that needs a restart, or breaks connections beside its old key.
-func TestNewFilesAreTakenUp(t *testing.T) {
+// Guards against a renewed certificate that takes effect only after a restart, and against failing
+// handshakes while the new certificate is in place but its key file is still the old one.
+func TestRenewedFilesAreReloaded(t *testing.T) {
 	ca := certstest.New(t, t.TempDir(), "inner")
 	names := ca.Issue("node", 10)
-	var faults []error
-	server := load(t, names, func(err error) { faults = append(faults, err) })
-	at := time.Now()
-	server.now = func() time.Time { return at }
+	var loadErrors []error
+	server := load(t, names, func(err error) { loadErrors = append(loadErrors, err) })
+	now := time.Now()
+	server.now = func() time.Time { return now }
 	client := load(t, ca.Issue("peer", 11), nil)
 	serial, err := handshake(t, server, client)
 	must.NoError(t, err)
@@ -75,36 +75,36 @@
 	newKey, err := os.ReadFile(names.KeyFile)
 	must.NoError(t, err)
 	must.NoError(t, os.WriteFile(names.KeyFile, oldKey, 0o600))
-	at = at.Add(2 * checkEvery)
+	now = now.Add(2 * recheckInterval)
 	serial, err = handshake(t, server, client)
 	must.NoError(t, err)
 	must.Eq(t, 10, serial)
-	must.Len(t, 1, faults)
+	must.Len(t, 1, loadErrors)
 
 	must.NoError(t, os.WriteFile(names.KeyFile, newKey, 0o600))
-	at = at.Add(2 * checkEvery)
+	now = now.Add(2 * recheckInterval)
 	serial, err = handshake(t, server, client)
 	must.NoError(t, err)
 	must.Eq(t, 20, serial)
 }
 
-// Guards against a stranger's certificate being let in on either side of a connection.
-func TestAnotherCAIsRefusedOnBothSides(t *testing.T) {
+// Guards against accepting a certificate of a foreign CA on the client or on the server side.
+func TestCertificateOfOtherCAIsRejectedOnBothSides(t *testing.T) {
 	dir := t.TempDir()
 	ours, theirs := certstest.New(t, dir, "ours"), certstest.New(t, dir, "theirs")
-	good := load(t, ours.Issue("node", 1), nil)
-	bad := load(t, theirs.Issue("other", 2), nil)
-	_, err := handshake(t, bad, good)
+	ourNode := load(t, ours.Issue("node", 1), nil)
+	theirNode := load(t, theirs.Issue("other", 2), nil)
+	_, err := handshake(t, theirNode, ourNode)
 	var op *net.OpError
 	must.True(t, errors.As(err, &op))
 	must.Eq(t, "dial", op.Op)
-	trusting := theirs.Issue("stranger", 3)
-	trusting.CAFile = ours.File
-	_, err = handshake(t, good, load(t, trusting, nil))
+	foreignClient := theirs.Issue("stranger", 3)
+	foreignClient.CAFile = ours.File
+	_, err = handshake(t, ourNode, load(t, foreignClient, nil))
 	must.Error(t, err)
 }
 
-func TestFaultyFilesAreNamed(t *testing.T) {
+func TestLoadErrorNamesFaultyFile(t *testing.T) {
 	dir := t.TempDir()
 	names := certstest.New(t, dir, "x").Issue("node", 1)
 	missing := names
--- a/internal/certs/certstest/certstest.go
+++ b/internal/certs/certstest/certstest.go
@@ -1,4 +1,4 @@
-// Package certstest makes certificates for tests.
+// Package certstest creates certificates for tests.
 package certstest
 
 import (
@@ -20,16 +20,16 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// CA signs certificates for 127.0.0.1.
+// CA is a certificate authority that issues certificates for 127.0.0.1.
 type CA struct {
 	t    testing.TB
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
-	// File holds its certificate.
+	// File is the path of the CA certificate.
 	File string
 }
 
-// New makes a CA with its file in dir.
+// New creates a CA with the given common name and writes its certificate to dir.
 func New(t testing.TB, dir, name string) *CA {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must.NoError(t, err)
@@ -43,12 +43,13 @@
 	cert, err := x509.ParseCertificate(der)
 	must.NoError(t, err)
 	ca := &CA{t: t, cert: cert, key: key, File: filepath.Join(dir, name+"-ca.pem")}
-	write(t, ca.File, "CERTIFICATE", der)
+	writePEM(t, ca.File, "CERTIFICATE", der)
 	return ca
 }
 
-// Issue writes a certificate with that serial number and its key over
-// name.pem and name-key.pem beside the CA, and names the files with the CA's.
+// Issue creates a certificate with the given serial number. It writes certificate and key to
+// name.pem and name-key.pem in the directory of the CA, replacing existing files, and returns the
+// paths of these files and of the CA.
 func (ca *CA) Issue(name string, serial int64) settings.TLS {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must.NoError(ca.t, err)
@@ -69,12 +70,12 @@
 		KeyFile:  filepath.Join(dir, name+"-key.pem"),
 		CAFile:   ca.File,
 	}
-	write(ca.t, names.CertFile, "CERTIFICATE", der)
-	write(ca.t, names.KeyFile, "EC PRIVATE KEY", raw)
+	writePEM(ca.t, names.CertFile, "CERTIFICATE", der)
+	writePEM(ca.t, names.KeyFile, "EC PRIVATE KEY", raw)
 	return names
 }
 
-func write(t testing.TB, path, kind string, der []byte) {
-	block := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
+func writePEM(t testing.TB, path, blockType string, der []byte) {
+	block := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
 	must.NoError(t, os.WriteFile(path, block, 0o600))
 }
