--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -20,8 +20,8 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// bench is a server over a fake backend and what it refused.
-type bench struct {
+// fixture is a server with a fake backend and the calls that it refused.
+type fixture struct {
 	fake    *admintest.Fake
 	srv     *httptest.Server
 	mu      sync.Mutex
@@ -33,8 +33,8 @@
 	return settings.Token{SHA256: hex.EncodeToString(sum[:]), Name: name, Role: role, Workspaces: workspaces}
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{fake: admintest.New()}
+func newFixture(t *testing.T) *fixture {
+	b := &fixture{fake: admintest.New()}
 	tokens, err := admin.NewTokens([]settings.Token{
 		token("all", "platform", settings.RoleOperator, "*"),
 		token("chi-op", "chikugo-op", settings.RoleOperator, "chikugo"),
@@ -52,11 +52,11 @@
 	return b
 }
 
-func (b *bench) as(secret string) adminpbconnect.AdminClient {
+func (b *fixture) client(secret string) adminpbconnect.AdminClient {
 	return admin.NewClient(b.srv.Client(), b.srv.URL, secret)
 }
 
-func set(c adminpbconnect.AdminClient, workspace, change string, basedOn uint64) (*adminpb.Publication, error) {
+func setInstance(c adminpbconnect.AdminClient, workspace, change string, basedOn uint64) (*adminpb.Publication, error) {
 	resp, err := c.SetInstance(context.Background(), connect.NewRequest(&adminpb.SetInstanceRequest{
 		Workspace: workspace, Service: "letters", Template: "guarded",
 		ValuesJson: `{"retries":2}`, ChangeId: change, BasedOn: basedOn,
@@ -67,12 +67,13 @@
 	return resp.Msg.Publication, nil
 }
 
-// Guards against operators who change the settings of a workspace that is not theirs.
+// Guards against operators who change an instance of a workspace that their token doesn't cover, and
+// against refused calls that are not reported.
 func TestForeignWorkspaceIsRefusedAndRecorded(t *testing.T) {
-	b := newBench(t)
-	_, err := set(b.as("chi-op"), "yardstick", "c1", 0)
+	b := newFixture(t)
+	_, err := setInstance(b.client("chi-op"), "yardstick", "c1", 0)
 	must.Eq(t, connect.CodePermissionDenied, connect.CodeOf(err))
-	list, err := b.as("all").ListInstances(t.Context(), connect.NewRequest(&adminpb.ListInstancesRequest{}))
+	list, err := b.client("all").ListInstances(t.Context(), connect.NewRequest(&adminpb.ListInstancesRequest{}))
 	must.NoError(t, err)
 	must.SliceEmpty(t, list.Msg.Instances)
 	must.Len(t, 1, b.refused)
@@ -81,8 +82,10 @@
 	must.StrHasSuffix(t, "/SetInstance", b.refused[0].Procedure)
 }
 
-func TestWhoMayDoWhat(t *testing.T) {
-	b := newBench(t)
+// Guards against calls that are permitted without a token, the required role or access to all
+// affected workspaces, and against permitted calls that are refused.
+func TestAuthorizationByRoleAndWorkspace(t *testing.T) {
+	b := newFixture(t)
 	b.fake.Nodes["kurume-1"] = []string{"chikugo"}
 	b.fake.Nodes["mixed-1"] = []string{"chikugo", "yardstick"}
 	b.fake.Nodes["bare-1"] = nil
@@ -105,7 +108,7 @@
 			return err
 		},
 		"set": func(c adminpbconnect.AdminClient) error {
-			_, err := set(c, "chikugo", "c1", 0)
+			_, err := setInstance(c, "chikugo", "c1", 0)
 			return err
 		},
 		"drain own":   drain("kurume-1"),
@@ -124,7 +127,7 @@
 	for secret, want := range cases {
 		for name, code := range want {
 			got := connect.Code(0)
-			if err := calls[name](b.as(secret)); err != nil {
+			if err := calls[name](b.client(secret)); err != nil {
 				got = connect.CodeOf(err)
 			}
 			must.Eq(t, code, got, must.Sprintf("%q calls %s", secret, name))
@@ -132,25 +135,28 @@
 	}
 }
 
-// Two operators change the same instance from the same version. The second
-// learns what it lost to; sending the first again isn't a second change.
-func TestSecondOfTwoOperatorsIsToldWhatItLostTo(t *testing.T) {
-	b := newBench(t)
-	first, err := set(b.as("chi-op"), "chikugo", "c1", 0)
+// Guards against lost updates when two operators change an instance based on the same version. The
+// second change is rejected and the response names the first one. A resend of the first change
+// doesn't create a new version.
+func TestVersionConflictReportsAcceptedChange(t *testing.T) {
+	b := newFixture(t)
+	first, err := setInstance(b.client("chi-op"), "chikugo", "c1", 0)
 	must.NoError(t, err)
 	must.True(t, first.Accepted)
-	second, err := set(b.as("all"), "chikugo", "c2", 0)
+	second, err := setInstance(b.client("all"), "chikugo", "c2", 0)
 	must.NoError(t, err)
 	must.False(t, second.Accepted)
 	must.Eq(t, "chikugo-op", second.LostToOperator)
 	must.Eq(t, "c1", second.LostToChangeId)
-	again, err := set(b.as("chi-op"), "chikugo", "c1", 0)
+	again, err := setInstance(b.client("chi-op"), "chikugo", "c1", 0)
 	must.NoError(t, err)
 	must.Eq(t, first.Version, again.Version)
 }
 
-func TestListsShowOnlyWhatTheTokenCovers(t *testing.T) {
-	b := newBench(t)
+// Guards against lists, timelines and event streams that contain data of workspaces that the token
+// doesn't cover, or events that have no workspace.
+func TestListsAreLimitedToCoveredWorkspaces(t *testing.T) {
+	b := newFixture(t)
 	b.fake.MemberList = []*adminpb.Member{{NodeId: "k", Workspace: "chikugo"}, {NodeId: "l", Workspace: "yardstick"}}
 	b.fake.EventList = []string{
 		`{"kind":"call_refused","workspace":"chikugo"}`,
@@ -159,13 +165,13 @@
 		`no json`,
 	}
 	for secret, want := range map[string]int{"all": 2, "chi-view": 1} {
-		m, err := b.as(secret).Members(t.Context(), connect.NewRequest(&adminpb.MembersRequest{}))
+		m, err := b.client(secret).Members(t.Context(), connect.NewRequest(&adminpb.MembersRequest{}))
 		must.NoError(t, err)
 		must.Len(t, want, m.Msg.Members)
-		tl, err := b.as(secret).Timeline(t.Context(), connect.NewRequest(&adminpb.TimelineRequest{}))
+		tl, err := b.client(secret).Timeline(t.Context(), connect.NewRequest(&adminpb.TimelineRequest{}))
 		must.NoError(t, err)
 		must.Len(t, want*want, tl.Msg.EventsJson)
-		stream, err := b.as(secret).Events(t.Context(), connect.NewRequest(&adminpb.EventsRequest{}))
+		stream, err := b.client(secret).Events(t.Context(), connect.NewRequest(&adminpb.EventsRequest{}))
 		must.NoError(t, err)
 		got := 0
 		for stream.Receive() {
@@ -176,25 +182,27 @@
 	}
 }
 
+// Guards against an unlimited number of open event streams.
 func TestEventStreamsAreBounded(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.fake.EventList = []string{`{}`}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	for range admin.MaxFollowers {
-		s, err := b.as("all").Events(ctx, connect.NewRequest(&adminpb.EventsRequest{Follow: true}))
+		s, err := b.client("all").Events(ctx, connect.NewRequest(&adminpb.EventsRequest{Follow: true}))
 		must.NoError(t, err)
 		must.True(t, s.Receive())
 	}
-	s, err := b.as("all").Events(ctx, connect.NewRequest(&adminpb.EventsRequest{Follow: true}))
+	s, err := b.client("all").Events(ctx, connect.NewRequest(&adminpb.EventsRequest{Follow: true}))
 	must.NoError(t, err)
 	must.False(t, s.Receive())
 	must.Eq(t, connect.CodeResourceExhausted, connect.CodeOf(s.Err()))
 }
 
+// Guards against errors of invalid requests that don't name the invalid field.
 func TestBadRequestsNameTheField(t *testing.T) {
-	b := newBench(t)
-	c := b.as("all")
+	b := newFixture(t)
+	c := b.client("all")
 	cases := []struct {
 		field string
 		r     *adminpb.SetInstanceRequest
@@ -202,7 +210,7 @@
 		{"workspace is empty", &adminpb.SetInstanceRequest{Service: "s"}},
 		{"service is", &adminpb.SetInstanceRequest{Workspace: "w", Service: strings.Repeat("s", 200)}},
 		{"change_id is empty", &adminpb.SetInstanceRequest{Workspace: "w", Service: "s"}},
-		{"values_json is no JSON", &adminpb.SetInstanceRequest{Workspace: "w", Service: "s", ChangeId: "c", ValuesJson: "[]"}},
+		{"values_json is not a JSON object", &adminpb.SetInstanceRequest{Workspace: "w", Service: "s", ChangeId: "c", ValuesJson: "[]"}},
 		{"wait_percent is 101", &adminpb.SetInstanceRequest{Workspace: "w", Service: "s", ChangeId: "c", ValuesJson: "{}", WaitPercent: 101}},
 		{"wait_ms is -1", &adminpb.SetInstanceRequest{Workspace: "w", Service: "s", ChangeId: "c", ValuesJson: "{}", WaitMs: -1}},
 	}
@@ -213,8 +221,10 @@
 	}
 }
 
-func TestBackendErrorsKeepTheirKind(t *testing.T) {
-	b := newBench(t)
+// Guards against RPC status codes that don't match the kind of a Backend error. The operator's
+// command derives its exit code from them.
+func TestBackendErrorKindsMapToCodes(t *testing.T) {
+	b := newFixture(t)
 	for want, err := range map[connect.Code]error{
 		connect.CodeNotFound:        admin.NotFound("x"),
 		connect.CodeInvalidArgument: admin.Invalid("x"),
@@ -223,11 +233,12 @@
 		connect.CodeInternal:        http.ErrBodyNotAllowed,
 	} {
 		b.fake.Fail = err
-		_, got := b.as("all").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
+		_, got := b.client("all").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
 		must.Eq(t, want, connect.CodeOf(got))
 	}
 }
 
+// Guards against parsing other authorization schemes or overlong tokens as bearer tokens.
 func TestBearer(t *testing.T) {
 	must.Eq(t, "x", admin.Bearer("Bearer x"))
 	must.Eq(t, "x", admin.Bearer("bearer  x "))
--- a/internal/admin/admintest/fake.go
+++ b/internal/admin/admintest/fake.go
@@ -1,5 +1,4 @@
-// Package admintest has an admin.Backend in memory for tests of the API and of
-// its clients.
+// Package admintest provides an in-memory admin.Backend for tests of the API and of its clients.
 package admintest
 
 import (
@@ -11,27 +10,33 @@
 	"github.com/galenagrade/galenagrade/internal/admin/adminpb"
 )
 
-// Fake keeps templates and instances, and answers the rest from its fields.
-// Set the fields before it is used.
+// Fake is an admin.Backend that stores templates and instances in memory and returns the values of
+// its exported fields otherwise. The fields must be set before the first call.
 type Fake struct {
+	// StatusAnswer is the response of Status.
 	StatusAnswer *adminpb.StatusResponse
-	MemberList   []*adminpb.Member
-	// Nodes maps a node to the workspaces that it serves.
+	// MemberList is the response of Members.
+	MemberList []*adminpb.Member
+	// Nodes maps the ID of a node to the workspaces that the node serves.
 	Nodes map[string][]string
-	// EventList holds JSON documents; Events sends them all.
+	// EventList contains the events, as JSON, that Timeline and Events return.
 	EventList []string
-	// Fail, when set, is returned by every call.
+	// Fail, if set, is the error of every call.
 	Fail error
 
 	mu        sync.Mutex
 	templates map[string]*adminpb.ShowTemplateResponse
+	// instances is keyed by "workspace/service".
 	instances map[string]*adminpb.ShowInstanceResponse
-	last      map[string]change
-	templated map[string]string
-	Drained   []string
+	// latest is keyed by "template/name" or "workspace/service".
+	latest map[string]change
+	// templateOf maps "workspace/service" to the name of the instance's template.
+	templateOf map[string]string
+	// Drained contains the node IDs of all Drain calls.
+	Drained []string
 }
 
-// change is the latest accepted change of one name.
+// change is the latest accepted change of a template or instance.
 type change struct {
 	operator, id string
 	version      uint64
@@ -40,11 +45,11 @@
 // New returns an empty Fake.
 func New() *Fake {
 	return &Fake{
-		Nodes:     map[string][]string{},
-		templates: map[string]*adminpb.ShowTemplateResponse{},
-		instances: map[string]*adminpb.ShowInstanceResponse{},
-		last:      map[string]change{},
-		templated: map[string]string{},
+		Nodes:      map[string][]string{},
+		templates:  map[string]*adminpb.ShowTemplateResponse{},
+		instances:  map[string]*adminpb.ShowInstanceResponse{},
+		latest:     map[string]change{},
+		templateOf: map[string]string{},
 	}
 }
 
@@ -81,9 +86,10 @@
 	return pub, f.Fail
 }
 
-// decideLocked accepts a change that is based on the version in force.
+// decideLocked accepts a change if it is based on the latest version, or if it is a resend of the
+// latest change.
 func (f *Fake) decideLocked(name, operator, id string, basedOn uint64) *adminpb.Publication {
-	last := f.last[name]
+	last := f.latest[name]
 	if last.id == id && id != "" {
 		return &adminpb.Publication{Accepted: true, Version: last.version, ChangeId: id, NodesKnown: 3, NodesInForce: 3}
 	}
@@ -93,7 +99,7 @@
 			LostToOperator: last.operator, LostToChangeId: last.id, ChangeId: id,
 		}
 	}
-	f.last[name] = change{operator, id, last.version + 1}
+	f.latest[name] = change{operator, id, last.version + 1}
 	return &adminpb.Publication{Accepted: true, Version: last.version + 1, ChangeId: id, NodesKnown: 3, NodesInForce: 3}
 }
 
@@ -105,7 +111,7 @@
 	for _, i := range f.instances {
 		list = append(list, &adminpb.InstanceSummary{
 			Workspace: i.Workspace, Service: i.Service, Version: i.Version,
-			Template: f.templated[i.Workspace+"/"+i.Service],
+			Template: f.templateOf[i.Workspace+"/"+i.Service],
 		})
 	}
 	return list, f.Fail
@@ -133,12 +139,12 @@
 			Workspace: r.Workspace, Service: r.Service, Version: pub.Version,
 			DocumentJson: r.ValuesJson, EffectiveJson: r.ValuesJson,
 		}
-		f.templated[name] = r.Template
+		f.templateOf[name] = r.Template
 	}
 	return pub, f.Fail
 }
 
-// DiffInstance implements admin.Backend: it compares the top level.
+// DiffInstance implements admin.Backend. It compares the top-level fields only.
 func (f *Fake) DiffInstance(_ context.Context, r *adminpb.DiffInstanceRequest) (*adminpb.DiffInstanceResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -191,8 +197,7 @@
 	return &adminpb.TimelineResponse{EventsJson: f.EventList}, f.Fail
 }
 
-// Events implements admin.Backend. With follow it waits for the caller to
-// leave after the last event.
+// Events implements admin.Backend. With follow, it blocks after the last event until ctx is done.
 func (f *Fake) Events(ctx context.Context, r *adminpb.EventsRequest, send func(*adminpb.EventsResponse) error) error {
 	for _, e := range f.EventList {
 		if err := send(&adminpb.EventsResponse{EventJson: e}); err != nil {
--- a/internal/admin/auth.go
+++ b/internal/admin/auth.go
@@ -10,19 +10,19 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// RefusedAccess describes a refused call, for the timeline (auth_refused).
+// RefusedAccess describes a refused call for an auth_refused event of the timeline.
 type RefusedAccess struct {
-	// Name is whom the token stands for; empty when it isn't known.
+	// Name is the name of the token's identity. It is empty if the token is missing or unknown.
 	Name      string
 	Procedure string
-	// Workspace is the one asked for; empty when the call concerns all.
+	// Workspace is the requested workspace. It is empty if the call concerns all workspaces.
 	Workspace string
 	Reason    string
 	Peer      string
 }
 
-// caller is what the interceptor learned of who calls.
-type caller struct {
+// callerInfo contains the identity and origin of a call, as determined by the interceptor.
+type callerInfo struct {
 	identity  Identity
 	procedure string
 	peer      string
@@ -30,7 +30,8 @@
 
 type callerKey struct{}
 
-// authenticator puts the caller into the context or refuses the call.
+// authenticator is the interceptor that authenticates each call and stores the caller in its context.
+// It also authorizes calls and reports refused ones.
 type authenticator struct {
 	tokens    *Tokens
 	onRefused func(RefusedAccess)
@@ -39,7 +40,7 @@
 // WrapUnary implements connect.Interceptor.
 func (a *authenticator) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
-		ctx, err := a.admit(ctx, req.Spec(), req.Peer(), req.Header())
+		ctx, err := a.authenticate(ctx, req.Spec(), req.Peer(), req.Header())
 		if err != nil {
 			return nil, err
 		}
@@ -55,7 +56,7 @@
 // WrapStreamingHandler implements connect.Interceptor.
 func (a *authenticator) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, conn connect.StreamingHandlerConn) error {
-		ctx, err := a.admit(ctx, conn.Spec(), conn.Peer(), conn.RequestHeader())
+		ctx, err := a.authenticate(ctx, conn.Spec(), conn.Peer(), conn.RequestHeader())
 		if err != nil {
 			return err
 		}
@@ -63,9 +64,11 @@
 	}
 }
 
-func (a *authenticator) admit(ctx context.Context, spec connect.Spec, peer connect.Peer, h http.Header) (context.Context, error) {
-	c := caller{procedure: spec.Procedure, peer: peer.Addr}
-	token := Bearer(h.Get("Authorization"))
+// authenticate returns ctx with the caller. It refuses calls without a known token and tokens whose
+// role has no access to the API.
+func (a *authenticator) authenticate(ctx context.Context, spec connect.Spec, peer connect.Peer, header http.Header) (context.Context, error) {
+	c := callerInfo{procedure: spec.Procedure, peer: peer.Addr}
+	token := Bearer(header.Get("Authorization"))
 	if token == "" {
 		return nil, a.refuse(c, connect.CodeUnauthenticated, "", "no bearer token")
 	}
@@ -80,7 +83,8 @@
 	return context.WithValue(ctx, callerKey{}, c), nil
 }
 
-func (a *authenticator) refuse(c caller, code connect.Code, workspace, reason string) error {
+// refuse reports a refused call to onRefused and returns the error for the caller.
+func (a *authenticator) refuse(c callerInfo, code connect.Code, workspace, reason string) error {
 	a.onRefused(RefusedAccess{
 		Name: c.identity.Name, Procedure: c.procedure, Workspace: workspace,
 		Reason: reason, Peer: c.peer,
@@ -88,27 +92,27 @@
 	return connect.NewError(code, errors.New(reason))
 }
 
-// callerOf returns who calls. Every handler runs behind the interceptor; a
-// context without a caller covers nothing.
-func callerOf(ctx context.Context) caller {
-	c, _ := ctx.Value(callerKey{}).(caller)
+// callerFromContext returns the caller of a call. Every handler runs behind the interceptor, which
+// sets it. A context without a caller yields an identity that covers no workspace.
+func callerFromContext(ctx context.Context) callerInfo {
+	c, _ := ctx.Value(callerKey{}).(callerInfo)
 	return c
 }
 
-// allowRole refuses a caller without the role.
-func (a *authenticator) allowRole(ctx context.Context, role settings.Role, workspace string) error {
-	c := callerOf(ctx)
+// authorizeRole refuses the call if the caller lacks the role.
+func (a *authenticator) authorizeRole(ctx context.Context, role settings.Role, workspace string) error {
+	c := callerFromContext(ctx)
 	if role == settings.RoleOperator && c.identity.Role != settings.RoleOperator {
 		return a.refuse(c, connect.CodePermissionDenied, workspace, "needs the role operator")
 	}
 	return nil
 }
 
-// allow refuses a caller without the role or the workspace. An empty
-// workspace stands for all of them.
-func (a *authenticator) allow(ctx context.Context, role settings.Role, workspace string) (Identity, error) {
-	c := callerOf(ctx)
-	if err := a.allowRole(ctx, role, workspace); err != nil {
+// authorize refuses the call if the caller lacks the role or access to the workspace. An empty
+// workspace means all workspaces.
+func (a *authenticator) authorize(ctx context.Context, role settings.Role, workspace string) (Identity, error) {
+	c := callerFromContext(ctx)
+	if err := a.authorizeRole(ctx, role, workspace); err != nil {
 		return c.identity, err
 	}
 	if workspace == "" && !c.identity.CoversAll() {
@@ -120,11 +124,11 @@
 	return c.identity, nil
 }
 
-// allowListed is allow for reading: without a workspace the caller gets what
-// the token covers.
-func (a *authenticator) allowListed(ctx context.Context, workspace string) (Identity, error) {
+// authorizeRead authorizes a read. Without a workspace it permits every authenticated caller; the
+// handler then limits the response to the workspaces that the token covers.
+func (a *authenticator) authorizeRead(ctx context.Context, workspace string) (Identity, error) {
 	if workspace == "" {
-		return callerOf(ctx).identity, nil
+		return callerFromContext(ctx).identity, nil
 	}
-	return a.allow(ctx, settings.RoleViewer, workspace)
+	return a.authorize(ctx, settings.RoleViewer, workspace)
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -8,20 +8,20 @@
 	"github.com/galenagrade/galenagrade/internal/admin/adminpb/adminpbconnect"
 )
 
-// NewClient returns a client of the API at baseURL that sends token with every
-// call. Nothing is sent as Authorization when token is empty.
+// NewClient returns a client of the API at baseURL that sends token with every call. If token is
+// empty, calls have no Authorization header.
 func NewClient(c connect.HTTPClient, baseURL, token string) adminpbconnect.AdminClient {
 	return adminpbconnect.NewAdminClient(c, baseURL,
 		connect.WithReadMaxBytes(MaxMessageBytes),
-		connect.WithInterceptors(bearer(token)),
+		connect.WithInterceptors(bearerToken(token)),
 	)
 }
 
-// bearer adds the Authorization header.
-type bearer string
+// bearerToken is an interceptor that sets the Authorization header.
+type bearerToken string
 
 // WrapUnary implements connect.Interceptor.
-func (b bearer) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
+func (b bearerToken) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		if b != "" {
 			req.Header().Set("Authorization", "Bearer "+string(b))
@@ -31,7 +31,7 @@
 }
 
 // WrapStreamingClient implements connect.Interceptor.
-func (b bearer) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
+func (b bearerToken) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return func(ctx context.Context, spec connect.Spec) connect.StreamingClientConn {
 		conn := next(ctx, spec)
 		if b != "" {
@@ -42,6 +42,6 @@
 }
 
 // WrapStreamingHandler implements connect.Interceptor.
-func (b bearer) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
+func (b bearerToken) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return next
 }
--- a/internal/admin/events.go
+++ b/internal/admin/events.go
@@ -10,44 +10,45 @@
 	"github.com/galenagrade/galenagrade/internal/admin/adminpb"
 )
 
-// Timeline implements the service. A token for some workspaces gets their
-// events alone: the events of a node as a whole may name other customers.
+// Timeline implements the service. A token for some workspaces receives only the events of these
+// workspaces. It receives no events without a workspace, because they may contain names of other
+// customers.
 func (s *server) Timeline(ctx context.Context, r *connect.Request[adminpb.TimelineRequest]) (*connect.Response[adminpb.TimelineResponse], error) {
-	id, err := s.auth.allowListed(ctx, r.Msg.Filter.GetWorkspace())
+	id, err := s.auth.authorizeRead(ctx, r.Msg.Filter.GetWorkspace())
 	if err != nil {
 		return nil, err
 	}
-	var p problems
-	p.filter(r.Msg.Filter)
-	p.events(r.Msg.MaxEvents)
-	if p.err != nil {
-		return nil, p.err
+	var check requestValidator
+	check.filter(r.Msg.Filter)
+	check.events(r.Msg.MaxEvents)
+	if check.err != nil {
+		return nil, check.err
 	}
 	resp, err := s.backend.Timeline(ctx, r.Msg)
 	if err == nil && resp != nil {
-		resp.EventsJson = covered(id, resp.EventsJson, eventWorkspace)
+		resp.EventsJson = filterCovered(id, resp.EventsJson, eventWorkspace)
 	}
-	return answer(resp, err)
+	return toResponse(resp, err)
 }
 
 // Events implements the service.
 func (s *server) Events(ctx context.Context, r *connect.Request[adminpb.EventsRequest], stream *connect.ServerStream[adminpb.EventsResponse]) error {
-	id, err := s.auth.allowListed(ctx, r.Msg.Filter.GetWorkspace())
+	id, err := s.auth.authorizeRead(ctx, r.Msg.Filter.GetWorkspace())
 	if err != nil {
 		return err
 	}
-	var p problems
-	p.filter(r.Msg.Filter)
-	p.events(r.Msg.MaxEvents)
-	if p.err != nil {
-		return p.err
+	var check requestValidator
+	check.filter(r.Msg.Filter)
+	check.events(r.Msg.MaxEvents)
+	if check.err != nil {
+		return check.err
 	}
 	select {
-	case s.followers <- struct{}{}:
-		defer func() { <-s.followers }()
+	case s.streamSlots <- struct{}{}:
+		defer func() { <-s.streamSlots }()
 	default:
 		return connect.NewError(connect.CodeResourceExhausted,
-			errors.Errorf("%d event streams are open, which is the bound of a node", MaxFollowers))
+			errors.Errorf("%d event streams are open, the maximum of a node", MaxFollowers))
 	}
 	return connectError(s.backend.Events(ctx, r.Msg, func(m *adminpb.EventsResponse) error {
 		if !id.Covers(eventWorkspace(m.EventJson)) {
@@ -57,8 +58,8 @@
 	}))
 }
 
-// eventWorkspace reads an event's workspace. An event that can't be read
-// belongs to no workspace, so that only a token for all sees it.
+// eventWorkspace returns the workspace of an event. For an invalid document it returns "", so that
+// only a token for all workspaces receives the event.
 func eventWorkspace(doc string) string {
 	var e struct {
 		Workspace string `json:"workspace"`
--- a/internal/admin/tokens.go
+++ b/internal/admin/tokens.go
@@ -12,24 +12,24 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// Tokens recognises bearer tokens by their hashes. It is immutable.
+// Tokens maps bearer tokens, stored as hashes, to identities. It is immutable.
 type Tokens struct {
 	entries []tokenEntry
 }
 
 type tokenEntry struct {
-	sum      [sha256.Size]byte
+	hash     [sha256.Size]byte
 	identity Identity
 }
 
-// Identity is whom a token stands for.
+// Identity is the name, role and workspaces that a bearer token grants.
 type Identity struct {
 	Name       string
 	Role       settings.Role
 	workspaces []string
 }
 
-// NewTokens takes the tokens of validated settings.
+// NewTokens returns the Tokens for the token list of the settings.
 func NewTokens(list []settings.Token) (*Tokens, error) {
 	t := &Tokens{entries: make([]tokenEntry, 0, len(list))}
 	for i, s := range list {
@@ -38,19 +38,19 @@
 			return nil, errors.Errorf("tokens[%d].sha256 is %q, must be 64 hexadecimal digits", i, s.SHA256)
 		}
 		e := tokenEntry{identity: Identity{Name: s.Name, Role: s.Role, workspaces: slices.Clone(s.Workspaces)}}
-		copy(e.sum[:], raw)
+		copy(e.hash[:], raw)
 		t.entries = append(t.entries, e)
 	}
 	return t, nil
 }
 
-// Lookup returns whom token stands for. It compares with every entry in
-// constant time, so that the time taken says nothing of a near miss.
+// Lookup returns the identity of token. It compares the hash with every entry in constant time, so
+// that the response time reveals nothing about partial matches.
 func (t *Tokens) Lookup(token string) (Identity, bool) {
 	sum := sha256.Sum256([]byte(token))
 	found := -1
 	for i := range t.entries {
-		equal := subtle.ConstantTimeCompare(sum[:], t.entries[i].sum[:])
+		equal := subtle.ConstantTimeCompare(sum[:], t.entries[i].hash[:])
 		found = subtle.ConstantTimeSelect(equal, i, found)
 	}
 	if found < 0 {
@@ -59,18 +59,20 @@
 	return t.entries[found].identity, true
 }
 
-// Covers reports whether the identity may act for a workspace.
+// Covers reports whether the identity has access to a workspace.
 func (i Identity) Covers(workspace string) bool {
 	return i.CoversAll() || slices.Contains(i.workspaces, workspace)
 }
 
-// CoversAll reports whether the identity may act for every workspace.
+// CoversAll reports whether the identity has access to all workspaces.
 func (i Identity) CoversAll() bool { return slices.Contains(i.workspaces, settings.AllWorkspaces) }
 
-// maxTokenLen bounds a token before it is hashed.
+// maxTokenLen is the maximum length of a token in bytes. Longer tokens are rejected without being
+// hashed.
 const maxTokenLen = 512
 
-// Bearer returns the token of an Authorization header, or "".
+// Bearer returns the token of an Authorization header, or "" if it has no bearer token or the token
+// is too long.
 func Bearer(header string) string {
 	const scheme = "Bearer "
 	if len(header) < len(scheme) || !strings.EqualFold(header[:len(scheme)], scheme) {
