--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -104,6 +104,7 @@
 	must.Error(t, err)
 }
 
+// Guards against load errors that don't name the missing or invalid file.
 func TestLoadErrorNamesFaultyFile(t *testing.T) {
 	dir := t.TempDir()
 	names := certstest.New(t, dir, "x").Issue("node", 1)
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -33,6 +33,7 @@
 	}
 }
 
+// Guards against violations reported for a valid history.
 func TestCheckAcceptsValidHistory(t *testing.T) {
 	must.SliceEmpty(t, history.Check(validHistory()))
 }
@@ -79,6 +80,7 @@
 	must.SliceEmpty(t, history.Check(h))
 }
 
+// Guards against records that are lost or changed when a history is written and read.
 func TestJSONLinesRoundTrip(t *testing.T) {
 	var buf bytes.Buffer
 	must.NoError(t, history.Write(&buf, validHistory()))
@@ -87,6 +89,7 @@
 	must.Eq(t, validHistory(), got)
 }
 
+// Guards against accepting a file whose last or first line is missing.
 func TestReadRequiresEndRecord(t *testing.T) {
 	var buf bytes.Buffer
 	must.NoError(t, history.Write(&buf, validHistory()))
--- a/internal/metrics/async_test.go
+++ b/internal/metrics/async_test.go
@@ -10,6 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
+// Guards against lines that are reordered or lost when the writer is closed.
 func TestAsyncWriterKeepsOrder(t *testing.T) {
 	var out bytes.Buffer
 	w := NewAsyncWriter(&out)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -25,6 +25,7 @@
 	return got
 }
 
+// Guards against metrics that are missing in the JSON document or appear under another name.
 func TestHandlerServesAllMetrics(t *testing.T) {
 	s := New(1)
 	s.Inc(CallsReceived, 3)
@@ -71,6 +72,7 @@
 	}
 }
 
+// Guards against UnwatchedBounds missing a bound, which would hide a queue without exported size.
 func TestUnwatchedBoundsAreNamed(t *testing.T) {
 	s := New(1)
 	must.Len(t, int(numBounds), s.UnwatchedBounds())
@@ -78,6 +80,8 @@
 	must.SliceNotContains(t, s.UnwatchedBounds(), "timeline.events")
 }
 
+// Guards against sampling of rarely updated timers, and against recording every value on the request
+// path.
 func TestTimersOffRequestPathAreNotSampled(t *testing.T) {
 	s := New(1 << 30)
 	for range 50 {
@@ -88,6 +92,7 @@
 	must.Less(t, 50, get(t, s, "/metrics")["calls.total_us"]["count"])
 }
 
+// Guards against requests other than GET and HEAD to the JSON handler.
 func TestHandlerRejectsPost(t *testing.T) {
 	w := httptest.NewRecorder()
 	New(1).Handler().ServeHTTP(w, httptest.NewRequest("POST", "/metrics", nil))
--- a/internal/metrics/series_test.go
+++ b/internal/metrics/series_test.go
@@ -51,6 +51,7 @@
 	})
 }
 
+// Guards against requests other than GET and HEAD to the text handler.
 func TestTextHandlerRejectsPost(t *testing.T) {
 	w := httptest.NewRecorder()
 	New(1).TextHandler(func() {}).ServeHTTP(w, httptest.NewRequest("POST", "/metrics", strings.NewReader("")))
--- a/internal/settings/mesh_test.go
+++ b/internal/settings/mesh_test.go
@@ -12,6 +12,7 @@
 "listen":{"callers":"10.0.0.1:1","inner":"10.0.0.1:2","ready":"10.0.0.1:3","announce":"10.0.0.1:4"},
 "store":{"address":"10.0.0.2:9"}}`
 
+// Guards against defaults that are lost when a settings file omits the fields.
 func TestMeshDefaults(t *testing.T) {
 	m, err := ParseMesh([]byte(minimalMeshDoc))
 	must.NoError(t, err)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,6 +20,7 @@
   "log": {"url": "http://10.40.0.10:7000"}
 }`
 
+// Guards against defaults that are lost when a settings file omits the fields.
 func TestMinimalFileGetsDefaults(t *testing.T) {
 	n, err := Parse([]byte(minimalDoc))
 	must.NoError(t, err)
@@ -30,6 +31,7 @@
 	must.Eq(t, 2*time.Second, n.Log.AppendTimeout.Std())
 }
 
+// Guards against an empty advertised address, which other nodes could not reach.
 func TestAdvertisedDefaultsToInner(t *testing.T) {
 	doc := strings.Replace(minimalDoc, `"0.0.0.0:7102", "advertised": "10.40.1.12:7102"`, `"10.40.1.12:7102"`, 1)
 	n, err := Parse([]byte(doc))
@@ -75,11 +77,13 @@
 	}
 }
 
+// Guards against silently ignoring data after the JSON document.
 func TestDataAfterTheDocumentIsRefused(t *testing.T) {
 	_, err := Parse([]byte(minimalDoc + "{}"))
 	must.ErrorContains(t, err, "data after the document")
 }
 
+// Guards against two entries for one token, whose roles and workspaces may differ.
 func TestTokenMustBeListedOnce(t *testing.T) {
 	sum := strings.Repeat("ab", 32)
 	token := `{"sha256":"` + sum + `","name":"x","role":"viewer","workspaces":["*"]}`
@@ -88,6 +92,7 @@
 	must.ErrorContains(t, err, "tokens[1].sha256")
 }
 
+// Guards against example files that are not valid settings.
 func TestExampleFilesParse(t *testing.T) {
 	for _, dir := range []string{"chikugo", "yardstick", "by-hand"} {
 		paths, err := filepath.Glob(filepath.Join("../../examples", dir, "node-*.json"))
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -64,6 +64,8 @@
 	must.Less(t, HLCAt(t0.Add(time.Millisecond)), got)
 }
 
+// Guards against a text form that loses precision or does not sort in timestamp order, and against
+// accepting malformed text.
 func TestHLCText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := HLC(rapid.Uint64Range(0, uint64(HLCAt(time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)))).Draw(t, "a"))
@@ -110,6 +112,8 @@
 	})
 }
 
+// Guards against followers that are not woken by a new event, or that wait for an event that the ring
+// already has.
 func TestRingWakesFollowers(t *testing.T) {
 	r := NewRing("n", 4, &Clock{})
 	woken := r.Wait(r.Position())
@@ -123,6 +127,7 @@
 	<-r.Wait(0)
 }
 
+// Guards against lost events and duplicate timestamps when several goroutines add events.
 func TestRingConcurrentAdd(t *testing.T) {
 	r := NewRing("n", 1000, &Clock{})
 	var wg sync.WaitGroup
@@ -140,6 +145,7 @@
 	must.Len(t, 800, Merge(events), must.Sprint("timestamps must be unique"))
 }
 
+// Guards against a filter that ignores a condition or rejects a matching event.
 func TestFilter(t *testing.T) {
 	e := Event{HLC: 5, Kind: CallRefused, CallID: "c", RequestID: "r", Workspace: "w", Upstream: "u"}
 	for _, f := range []Filter{
@@ -156,6 +162,7 @@
 	}
 }
 
+// Guards against a sampler that keeps far more or fewer requests than configured.
 func TestSamplerKeepsConfiguredShare(t *testing.T) {
 	s := NewSampler(16)
 	kept := 0
@@ -168,6 +175,8 @@
 	must.True(t, NewSampler(0).Keep("any"))
 }
 
+// Guards against events that change when written and read, and against accepting malformed lines or
+// more events than the limit.
 func TestJSONLinesRoundTrip(t *testing.T) {
 	events := []Event{
 		{HLC: HLCAt(t0), Node: "a", Kind: CallReceived, CallID: "c1", Workspace: "chikugo"},
