--- a/internal/admin/auth.go
+++ b/internal/admin/auth.go
@@ -13,12 +13,15 @@
 // RefusedAccess describes a refused call for an auth_refused event of the timeline.
 type RefusedAccess struct {
 	// Name is the name of the token's identity. It is empty if the token is missing or unknown.
-	Name      string
+	Name string
+	// Procedure is the path of the RPC method.
 	Procedure string
 	// Workspace is the requested workspace. It is empty if the call concerns all workspaces.
 	Workspace string
-	Reason    string
-	Peer      string
+	// Reason is the text of the error returned to the caller.
+	Reason string
+	// Peer is the network address of the caller.
+	Peer string
 }
 
 // callerInfo contains the identity and origin of a call, as determined by the interceptor.
@@ -28,6 +31,7 @@
 	peer      string
 }
 
+// callerKey is the context key of callerInfo.
 type callerKey struct{}
 
 // authenticator is the interceptor that authenticates each call and stores the caller in its context.
--- a/internal/admin/backend.go
+++ b/internal/admin/backend.go
@@ -12,7 +12,9 @@
 // removes what the token doesn't cover. Backends should create errors with the functions of this
 // package, so that the operator's command exits with the right code.
 type Backend interface {
+	// ListTemplates returns all templates.
 	ListTemplates(ctx context.Context) ([]*adminpb.TemplateSummary, error)
+	// ShowTemplate returns a version of a template. Version 0 means the version in force.
 	ShowTemplate(ctx context.Context, name string, version uint64) (*adminpb.ShowTemplateResponse, error)
 	// PublishTemplate returns once the record has been read back from the log and decided. A version
 	// conflict with another change is reported in the Publication, not as an error.
@@ -20,16 +22,23 @@
 
 	// ListInstances returns the instances of a workspace, or of all workspaces if it is empty.
 	ListInstances(ctx context.Context, workspace string) ([]*adminpb.InstanceSummary, error)
+	// ShowInstance returns an instance as published and with all defaults filled in.
 	ShowInstance(ctx context.Context, r *adminpb.ShowInstanceRequest) (*adminpb.ShowInstanceResponse, error)
+	// SetInstance publishes an instance. It returns under the same conditions as PublishTemplate.
 	SetInstance(ctx context.Context, operator string, r *adminpb.SetInstanceRequest) (*adminpb.Publication, error)
+	// DiffInstance compares proposed values with the instance in force, without a change.
 	DiffInstance(ctx context.Context, r *adminpb.DiffInstanceRequest) (*adminpb.DiffInstanceResponse, error)
 
+	// Status returns the state of the known nodes.
 	Status(ctx context.Context, r *adminpb.StatusRequest) (*adminpb.StatusResponse, error)
+	// Members returns the known members.
 	Members(ctx context.Context, r *adminpb.MembersRequest) ([]*adminpb.Member, error)
 	// NodeWorkspaces returns the workspaces of the upstreams that a node serves.
 	NodeWorkspaces(ctx context.Context, nodeID string) ([]string, error)
+	// Drain starts draining a node and optionally waits for its calls in flight.
 	Drain(ctx context.Context, operator string, r *adminpb.DrainRequest) (*adminpb.DrainResponse, error)
 
+	// Timeline returns stored events, oldest first.
 	Timeline(ctx context.Context, r *adminpb.TimelineRequest) (*adminpb.TimelineResponse, error)
 	// Events sends the stored events. With follow, it also sends new events until ctx is done or
 	// send fails.
@@ -56,6 +65,7 @@
 // Error is an error of a Backend with its kind.
 type Error struct {
 	Kind ErrorKind
+	// Text is the message for the operator.
 	Text string
 }
 
--- a/internal/admin/tokens.go
+++ b/internal/admin/tokens.go
@@ -17,6 +17,7 @@
 	entries []tokenEntry
 }
 
+// tokenEntry is the hash of a token with its identity.
 type tokenEntry struct {
 	hash     [sha256.Size]byte
 	identity Identity
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -10,6 +10,7 @@
 	Request string `json:"request"`
 	// Attempt is the ID of this attempt, unique within a history.
 	Attempt string `json:"attempt"`
+	// Service is the name of the requested service.
 	Service string `json:"service"`
 	// Code is the result code, or 0 if no response of the system arrived.
 	Code result.Code `json:"code"`
@@ -28,10 +29,13 @@
 
 // Run is one execution started by an upstream, as recorded by the upstream.
 type Run struct {
+	// Upstream is the ID of the upstream, and Service the service that it provides.
 	Upstream string `json:"upstream"`
 	Service  string `json:"service"`
-	Path     string `json:"path"`
-	Request  string `json:"request"`
+	// Path is the path of the executed request.
+	Path string `json:"path"`
+	// Request is the ID of the logical request.
+	Request string `json:"request"`
 	// Attempt is the ID of the caller's attempt that caused the execution.
 	Attempt string `json:"attempt"`
 	// Key is the idempotency key. It is empty if the operation is idempotent.
@@ -48,9 +52,11 @@
 // Retries is a number of retries in the call tree of one root request. A history may contain several
 // records per root request; their sum counts.
 type Retries struct {
-	Root      string `json:"root"`
-	Count     int    `json:"count"`
-	Allowance int    `json:"allowance"`
+	// Root is the ID of the root request.
+	Root  string `json:"root"`
+	Count int    `json:"count"`
+	// Allowance is the maximum number of retries in the whole call tree, or Unbounded.
+	Allowance int `json:"allowance"`
 }
 
 // Version is an observation of the configuration version in force at a node. The observations of a
@@ -102,7 +108,8 @@
 	Property Property `json:"property"`
 	// Subject is the ID of the request, attempt, root request or node that violates the property.
 	Subject string `json:"subject"`
-	Detail  string `json:"detail"`
+	// Detail describes the violation for a reader.
+	Detail string `json:"detail"`
 }
 
 // Error implements error.
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -65,6 +65,7 @@
 
 // TLS contains the certificate files of a listener.
 type TLS struct {
+	// CertFile and KeyFile are the paths of the listener's certificate and private key, in PEM.
 	CertFile string `json:"cert_file"`
 	KeyFile  string `json:"key_file"`
 	// CAFile, if set, requires client certificates signed by one of its CAs.
--- a/internal/timeline/event.go
+++ b/internal/timeline/event.go
@@ -63,18 +63,22 @@
 
 // Event is one occurrence in one process. Fields that don't apply are empty.
 type Event struct {
+	// HLC is the timestamp of the event. Ring.Add and Ring.Put set it.
 	HLC HLC `json:"hlc"`
 	// Node is the ID of the node. Ring.Add and Ring.Put set it if it is empty.
-	Node      string `json:"node"`
-	Kind      Kind   `json:"kind"`
+	Node string `json:"node"`
+	Kind Kind   `json:"kind"`
+	// CallID is the ID of the call, and RequestID the ID of the request that it belongs to.
 	CallID    string `json:"call_id,omitempty"`
 	RequestID string `json:"request_id,omitempty"`
 	Workspace string `json:"workspace,omitempty"`
 	Service   string `json:"service,omitempty"`
 	// Upstream is the node ID or address of the upstream that the event is about.
-	Upstream string      `json:"upstream,omitempty"`
-	Code     result.Code `json:"code,omitempty"`
-	Detail   string      `json:"detail,omitempty"`
+	Upstream string `json:"upstream,omitempty"`
+	// Code is the result code of the call, or 0.
+	Code result.Code `json:"code,omitempty"`
+	// Detail is free text for a reader.
+	Detail string `json:"detail,omitempty"`
 	// Cause is the root cause of a failed call: the failure of a call further down its call tree.
 	// Nil if no such call failed.
 	Cause *result.Cause `json:"cause,omitempty"`
--- a/internal/timeline/svg.go
+++ b/internal/timeline/svg.go
@@ -42,6 +42,7 @@
 	return errors.Wrap(b.Flush(), "timeline: write picture")
 }
 
+// svgWriter writes the elements of a layout as SVG.
 type svgWriter struct {
 	b *bufio.Writer
 	d *layout
--- a/internal/timeline/treesampler_test.go
+++ b/internal/timeline/treesampler_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-var floodStart = time.Date(2026, 3, 6, 8, 0, 0, 0, time.UTC)
+var burstStart = time.Date(2026, 3, 6, 8, 0, 0, 0, time.UTC)
 
 // Guards against dropping single lines during a burst, so that a failure logged by a deep node has
 // no line at its entry node.
-func TestTreeSamplerKeepsWholeTreesUnderFlood(t *testing.T) {
+func TestTreeSamplerKeepsWholeTreesInBurst(t *testing.T) {
 	const budget, entryNodes, deepNodes, seconds, perSecond = 100, 14, 3, 20, 2800
 	entrySamplers, deepSamplers := newTreeSamplers(entryNodes, budget), newTreeSamplers(deepNodes, budget)
 	type logged struct{ entry, deep bool }
 	trees := map[string]*logged{}
 	for second := range seconds {
 		for i := range perSecond {
-			at := floodStart.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
+			at := burstStart.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
 			root := fmt.Sprintf("%016x", uint64(second*perSecond+i)*0x9e3779b97f4a7c15)
 			tree := &logged{}
 			tree.deep, _ = deepSamplers[i%deepNodes].Keep(at, root+".1.4.2")
@@ -60,7 +60,7 @@
 			lines := rapid.IntRange(0, 4*budget).Draw(t, "lines")
 			withinHalfBudget = withinHalfBudget && lines <= budget/2
 			for i := range lines {
-				keep, oneIn := s.Keep(floodStart.Add(time.Duration(second)*time.Second), fmt.Sprint(second, "-", i))
+				keep, oneIn := s.Keep(burstStart.Add(time.Duration(second)*time.Second), fmt.Sprint(second, "-", i))
 				must.True(t, keep || !withinHalfBudget)
 				if keep {
 					written++
@@ -76,13 +76,13 @@
 func TestTreeSamplerRecovers(t *testing.T) {
 	s := &TreeSampler{Budget: 100}
 	for i := range 1_000_000 {
-		s.Keep(floodStart, fmt.Sprint(i))
+		s.Keep(burstStart, fmt.Sprint(i))
 	}
 	must.Positive(t, s.maskBits)
 	var oneIn int
 	for second := range maxMaskBits + 1 {
 		for i := range 10 {
-			_, oneIn = s.Keep(floodStart.Add(time.Duration(second+1)*time.Second), fmt.Sprint(i))
+			_, oneIn = s.Keep(burstStart.Add(time.Duration(second+1)*time.Second), fmt.Sprint(i))
 		}
 	}
 	must.EqOp(t, 1, oneIn)
