--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -22,8 +22,9 @@
 
 var t0 = time.Date(2026, 5, 1, 9, 0, 0, 0, time.UTC)
 
-// Guards against a merged time line that shows an answer before its call when clocks differ.
-func TestMergedOrderKeepsCauseBeforeEffect(t *testing.T) {
+// Guards against a merged timeline in which, due to clock skew, the receipt of a message precedes
+// its sending.
+func TestMergeOrdersSendBeforeReceive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := []string{"a", "b", "c"}
 		clocks := make([]Clock, len(nodes))
@@ -50,27 +51,29 @@
 			must.Eq(t, CallRouted, pair[0].Kind)
 			must.Eq(t, CallStarted, pair[1].Kind)
 		}
-		must.Eq(t, merged, Merge(merged, streams[0]), must.Sprint("an event that came twice is kept once"))
+		must.Eq(t, merged, Merge(merged, streams[0]), must.Sprint("duplicate events must be merged into one"))
 	})
 }
 
-// One node's clock is an hour ahead. The others must not take its time over,
-// or every later event everywhere would carry it.
-func TestBrokenClockIsNotFollowed(t *testing.T) {
+// Guards against adopting the time of a node whose clock is an hour ahead: all later events of all
+// nodes would carry that time.
+func TestReceiveIgnoresTimestampTooFarAhead(t *testing.T) {
 	var c Clock
 	c.Now(t0)
 	got := c.Receive(HLCAt(t0.Add(time.Hour)), t0)
 	must.Less(t, HLCAt(t0.Add(time.Millisecond)), got)
 }
 
+// Guards against a text form that loses precision or does not sort in timestamp order, and against
+// accepting malformed text.
 func TestHLCText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := HLC(rapid.Uint64Range(0, uint64(HLCAt(time.Date(9999, 1, 1, 0, 0, 0, 0, time.UTC)))).Draw(t, "a"))
 		b := a.Next(t0)
-		back, err := ParseHLC(a.String())
+		parsed, err := ParseHLC(a.String())
 		must.NoError(t, err)
-		must.Eq(t, a, back)
-		must.True(t, a.String() < b.String(), must.Sprint("text sorts as the timestamps do"))
+		must.Eq(t, a, parsed)
+		must.True(t, a.String() < b.String(), must.Sprint("text must sort in timestamp order"))
 	})
 	for _, bad := range []string{"", "2026-05-01T09:00:00.250Z", "2026-05-01T09:00:00.250Z+99999", "x+00001"} {
 		_, err := ParseHLC(bad)
@@ -78,8 +81,8 @@
 	}
 }
 
-// Against a plain slice: the ring returns the latest events in order and says
-// how many a reader missed.
+// Compares the ring with a plain slice: the ring returns the latest events in order and the correct
+// number of events that a reader missed.
 func TestRingKeepsTheLatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
@@ -109,6 +112,8 @@
 	})
 }
 
+// Guards against followers that are not woken by a new event, or that wait for an event that the ring
+// already has.
 func TestRingWakesFollowers(t *testing.T) {
 	r := NewRing("n", 4, &Clock{})
 	woken := r.Wait(r.Position())
@@ -122,7 +127,8 @@
 	<-r.Wait(0)
 }
 
-func TestRingTakesEventsOfSeveralGoroutines(t *testing.T) {
+// Guards against lost events and duplicate timestamps when several goroutines add events.
+func TestRingConcurrentAdd(t *testing.T) {
 	r := NewRing("n", 1000, &Clock{})
 	var wg sync.WaitGroup
 	for range 4 {
@@ -135,10 +141,11 @@
 	wg.Wait()
 	events := r.Events(Filter{})
 	must.Len(t, 800, events)
-	must.True(t, slices.IsSortedFunc(events, compare))
-	must.Len(t, 800, Merge(events), must.Sprint("no timestamp was given twice"))
+	must.True(t, slices.IsSortedFunc(events, compareEvents))
+	must.Len(t, 800, Merge(events), must.Sprint("timestamps must be unique"))
 }
 
+// Guards against a filter that ignores a condition or rejects a matching event.
 func TestFilter(t *testing.T) {
 	e := Event{HLC: 5, Kind: CallRefused, CallID: "c", RequestID: "r", Workspace: "w", Upstream: "u"}
 	for _, f := range []Filter{
@@ -155,7 +162,8 @@
 	}
 }
 
-func TestSamplerKeepsItsShare(t *testing.T) {
+// Guards against a sampler that keeps far more or fewer requests than configured.
+func TestSamplerKeepsConfiguredShare(t *testing.T) {
 	s := NewSampler(16)
 	kept := 0
 	for i := range 16_000 {
@@ -167,6 +175,8 @@
 	must.True(t, NewSampler(0).Keep("any"))
 }
 
+// Guards against events that change when written and read, and against accepting malformed lines or
+// more events than the limit.
 func TestJSONLinesRoundTrip(t *testing.T) {
 	events := []Event{
 		{HLC: HLCAt(t0), Node: "a", Kind: CallReceived, CallID: "c1", Workspace: "chikugo"},
@@ -184,8 +194,8 @@
 	must.ErrorContains(t, err, "line 2")
 }
 
-// Whatever the events hold, the picture is well-formed XML, no two labels of
-// a lane overlap, and every label ends inside the picture.
+// Guards against events whose texts produce malformed XML, overlapping labels in a lane or labels
+// beyond the edge of the picture.
 func TestPictureIsReadable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 12, 40)
@@ -208,7 +218,7 @@
 			}
 			must.NoError(t, err)
 		}
-		for _, l := range layOut(events).lanes {
+		for _, l := range newLayout(events).lanes {
 			checkLabels(t, l.marks)
 		}
 	})
@@ -229,8 +239,8 @@
 	}
 }
 
-// A kind that is declared and not in the palette would be drawn as a process
-// event and be missing from the documented list.
+// Guards against a declared kind without a palette entry: it would be drawn as a process event and
+// be missing from Kinds.
 func TestEveryKindHasAColour(t *testing.T) {
 	f, err := parser.ParseFile(token.NewFileSet(), "event.go", nil, 0)
 	must.NoError(t, err)
@@ -245,7 +255,7 @@
 		}
 		v, err := strconv.Unquote(spec.Values[0].(*ast.BasicLit).Value)
 		must.NoError(t, err)
-		must.MapContainsKey(t, groupOf, Kind(v))
+		must.MapContainsKey(t, groupByKind, Kind(v))
 		declared++
 		return true
 	})
@@ -271,8 +281,9 @@
 	}
 }
 
-// The page's table of kinds is what operators filter by.
-func TestDocumentedKindsAreTheCode(t *testing.T) {
+// Guards against an operations page whose table of kinds differs from the code. Operators choose
+// filters from that table.
+func TestDocumentedKindsMatchCode(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operations/timeline.md")
 	must.NoError(t, err)
 	documented := map[Kind]string{}
