--- a/internal/testlog/testlog.go
+++ b/internal/testlog/testlog.go
@@ -1,4 +1,4 @@
-// Package testlog keeps what loggers write, for tests that read it while nodes run.
+// Package testlog provides an in-memory log output that tests can read while nodes still write to it.
 package testlog
 
 import (
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Buffer is a bytes.Buffer for concurrent use.
+// Buffer is an io.Writer that collects its input in memory. It is safe for concurrent use.
 type Buffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -19,7 +19,7 @@
 	return b.buf.Write(p)
 }
 
-// String returns what was written so far.
+// String returns everything written so far.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package testseed fixes the seed of property tests: the same code gets the same
-// verdict each run. It is for the TestMain of packages that use rapid.
+// Package testseed sets a fixed seed for property tests, so that the same code gets the same test
+// result in each run. Packages that use rapid call Fix in their TestMain.
 package testseed
 
 import (
@@ -7,11 +7,11 @@
 	"fmt"
 )
 
-// fixed is the seed where the command line gives none.
-const fixed = "20260501"
+// defaultSeed is used when the command line sets no seed.
+const defaultSeed = "20260501"
 
-// Fix sets the seed, unless -rapid.seed gives another. It parses the flags, and
-// panics where rapid is not linked in: the package then needs no seed.
+// Fix sets the seed of rapid, unless the flag -rapid.seed sets another. It parses the command line
+// flags. It panics when the test binary does not link rapid, since the package then needs no seed.
 func Fix() {
 	flag.Parse()
 	seed := flag.Lookup("rapid.seed")
@@ -21,7 +21,7 @@
 	if seed.Value.String() != "0" {
 		return
 	}
-	if err := seed.Value.Set(fixed); err != nil {
+	if err := seed.Value.Set(defaultSeed); err != nil {
 		panic(fmt.Sprintf("testseed: rapid.seed: %v", err))
 	}
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time or for the end of a context, whichever is first.
+// Package wait provides waits with a time limit that end early when a context or a channel does.
 package wait
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for d and reports true, or false when the context ended before.
+// For waits for d. It returns true once d has passed, and false when ctx ends first. With d of 0
+// or less it returns at once, and reports whether ctx is still active.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -21,7 +22,7 @@
 	}
 }
 
-// OrWoken returns when woken is closed or sent to, d has passed or the context has ended.
+// OrWoken returns as soon as woken is closed or delivers a value, d has passed, or ctx ends.
 func OrWoken(ctx context.Context, woken <-chan struct{}, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -9,20 +9,23 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestForEndsWithItsContext(t *testing.T) {
+// Guards against a wait that goes on after its context ended, and against a result that does not
+// tell the two ends apart.
+func TestForReturnsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		begun := time.Now()
+		start := time.Now()
 		must.True(t, For(ctx, 400*time.Millisecond))
 		must.True(t, For(ctx, 0))
 		must.False(t, For(ctx, time.Minute))
-		must.EqOp(t, time.Second, time.Since(begun))
+		must.EqOp(t, time.Second, time.Since(start))
 		must.False(t, For(ctx, 0))
 	})
 }
 
-func TestOrWokenEndsWithTheFirst(t *testing.T) {
+// Guards against a wait that misses one of its three events: the signal, the time and the context.
+func TestOrWokenReturnsAtFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		woken := make(chan struct{})
 		time.AfterFunc(time.Second, func() { close(woken) })
