--- a/internal/upkeep/doc.go
+++ b/internal/upkeep/doc.go
@@ -1,3 +1,3 @@
-// Package upkeep holds no code: its tests check rules of the source that the
-// compiler and the linters don't know.
+// Package upkeep contains only tests. They check rules of this repository's source that the
+// compiler and the linters do not check.
 package upkeep
--- a/internal/upkeep/layers_test.go
+++ b/internal/upkeep/layers_test.go
@@ -11,11 +11,12 @@
 
 const module = "github.com/galenagrade/galenagrade/"
 
-// ownInterface are the packages of the product's own interface, with its control
-// plane. What runs on the operators' platform has none of them.
-var ownInterface = []string{"internal/control", "internal/lease", "internal/membership", "internal/server", "internal/admin"}
+// ownInterfacePackages are the packages of the product's own interface and its control plane. The
+// mesh, which runs on the operators' platform, must not import them.
+var ownInterfacePackages = []string{"internal/control", "internal/lease", "internal/membership", "internal/server", "internal/admin"}
 
-// importsOf returns which packages of the module each package imports, tests aside.
+// importsOf returns the packages of this module that each package imports, by folder. Test files
+// are not counted.
 func importsOf(t *testing.T) map[string]map[string]bool {
 	imports := map[string]map[string]bool{}
 	for _, s := range sources(t) {
@@ -37,24 +38,25 @@
 	return imports
 }
 
-// Guards against the request's path depending on the control plane of the own interface.
-func TestMeshHasNothingOfTheOwnInterface(t *testing.T) {
+// Guards against the request path of the mesh depending, directly or through other packages, on the
+// control plane of the own interface. The message of a failure shows the chain of imports.
+func TestMeshDoesNotImportOwnInterface(t *testing.T) {
 	imports := importsOf(t)
-	reached := map[string]string{"internal/mesh": "internal/mesh", "platform": "platform"}
-	work := []string{"internal/mesh", "platform"}
-	for len(work) > 0 {
-		from := work[0]
-		work = work[1:]
+	importPath := map[string]string{"internal/mesh": "internal/mesh", "platform": "platform"}
+	queue := []string{"internal/mesh", "platform"}
+	for len(queue) > 0 {
+		from := queue[0]
+		queue = queue[1:]
 		for to := range imports[from] {
-			if _, known := reached[to]; !known {
-				reached[to] = reached[from] + " -> " + to
-				work = append(work, to)
+			if _, known := importPath[to]; !known {
+				importPath[to] = importPath[from] + " -> " + to
+				queue = append(queue, to)
 			}
 		}
 	}
-	must.MapContainsKey(t, reached, "internal/node")
-	for _, pkg := range ownInterface {
+	must.MapContainsKey(t, importPath, "internal/node")
+	for _, pkg := range ownInterfacePackages {
 		must.MapContainsKey(t, imports, pkg)
-		must.EqOp(t, "", reached[pkg])
+		must.EqOp(t, "", importPath[pkg])
 	}
 }
--- a/internal/upkeep/loglines_test.go
+++ b/internal/upkeep/loglines_test.go
@@ -15,13 +15,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// logLine is what one message carries, in the order of the code.
+// logLine is the level and the field names of one log message, the fields in the order of the code.
 type logLine struct {
 	level  string
 	fields []string
 }
 
-// logLines adds the lines that the sources of that pattern can write.
+// logLines adds to lines the log lines in the files that match pattern, by message. Fields of calls
+// with the same message are merged. Test files are left out.
 func logLines(t *testing.T, pattern string, lines map[string]logLine) {
 	files, err := filepath.Glob(pattern)
 	must.NoError(t, err)
@@ -33,23 +34,24 @@
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
 		must.NoError(t, err)
 		ast.Inspect(parsed, func(n ast.Node) bool {
-			if message, line, ok := lineOf(n); ok {
-				known := lines[message]
+			if message, line, ok := parseLogLine(n); ok {
+				merged := lines[message]
 				for _, f := range line.fields {
-					if !slices.Contains(known.fields, f) {
-						known.fields = append(known.fields, f)
+					if !slices.Contains(merged.fields, f) {
+						merged.fields = append(merged.fields, f)
 					}
 				}
-				known.level = line.level
-				lines[message] = known
+				merged.level = line.level
+				lines[message] = merged
 			}
 			return true
 		})
 	}
 }
 
-// lineOf reads a chain like logger.Info().Str("member", x).Msg("member changed").
-func lineOf(n ast.Node) (message string, line logLine, ok bool) {
+// parseLogLine reads a call chain like logger.Info().Str("member", x).Msg("member changed"). ok is
+// false when n is no such chain.
+func parseLogLine(n ast.Node) (message string, line logLine, ok bool) {
 	call, isCall := n.(*ast.CallExpr)
 	for isCall {
 		method, isMethod := call.Fun.(*ast.SelectorExpr)
@@ -58,7 +60,7 @@
 		}
 		switch name := method.Sel.Name; name {
 		case "Msg":
-			message = literal(call, 0)
+			message = stringArg(call, 0)
 			ok = message != ""
 		case "Err":
 			line.fields = append([]string{"error"}, line.fields...)
@@ -66,7 +68,7 @@
 			line.level = strings.ToLower(name)
 			return message, line, ok
 		default:
-			if f := literal(call, 0); f != "" {
+			if f := stringArg(call, 0); f != "" {
 				line.fields = append([]string{f}, line.fields...)
 			}
 		}
@@ -78,7 +80,9 @@
 	return message, line, false
 }
 
-func literal(call *ast.CallExpr, arg int) string {
+// stringArg returns the string literal that is argument number arg of call, or "" when that argument
+// is missing or no string literal.
+func stringArg(call *ast.CallExpr, arg int) string {
 	if len(call.Args) <= arg {
 		return ""
 	}
@@ -93,9 +97,11 @@
 	return text
 }
 
+// logRow matches a row of the page's table: message, level, fields and meaning.
 var logRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| (debug|info|warn|error) \\| ((?:`[a-z_]+`(?:, )?)*) \\| [^|]+ \\|$")
 
-// Guards against a page of log lines that does not say what nodes write.
+// Guards against a page of log lines that differs from the code: a line that the page lacks, one
+// that is no longer written, or another level or other fields.
 func TestPageOfLogLinesIsTrue(t *testing.T) {
 	lines := map[string]logLine{}
 	for _, pattern := range []string{
@@ -110,17 +116,17 @@
 		message, level, fields := row[1], row[2], row[3]
 		documented[message] = true
 		line, ok := lines[message]
-		must.True(t, ok, must.Sprintf("no line %q is written", message))
+		must.True(t, ok, must.Sprintf("no code writes the log line %q", message))
 		must.EqOp(t, level, line.level, must.Sprint(message))
-		must.EqOp(t, "`"+strings.Join(line.fields, "`, `")+"`", orNone(fields), must.Sprint(message))
+		must.EqOp(t, "`"+strings.Join(line.fields, "`, `")+"`", quoteEmptyList(fields), must.Sprint(message))
 	}
 	for message, line := range lines {
 		must.True(t, documented[message], must.Sprintf("| `%s` | %s | `%s` | ? |", message, line.level, strings.Join(line.fields, "`, `")))
 	}
 }
 
-// The page names the fields of event lines; each must be one that is written.
-func TestPageNamesFieldsOfEvents(t *testing.T) {
+// Guards against a page that names a field of event lines which the code does not write.
+func TestEventFieldsOnPageAreWritten(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operations/log-lines.md")
 	must.NoError(t, err)
 	source, err := os.ReadFile("../../internal/mesh/eventlog.go")
@@ -136,8 +142,9 @@
 	}
 }
 
-// orNone stands for an empty list as the join of one does.
-func orNone(fields string) string {
+// quoteEmptyList returns the text that joining and quoting an empty list of fields gives, when the
+// page has no fields; other lists are returned unchanged.
+func quoteEmptyList(fields string) string {
 	if fields == "" {
 		return "``"
 	}
--- a/internal/upkeep/metrics_test.go
+++ b/internal/upkeep/metrics_test.go
@@ -8,27 +8,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// An operator watches a figure that stays 0 whatever happens, since no code
-// ever sets it. Every metric that has a name must be used outside its package.
+// Guards against a metric that is always 0 because no code sets it. Every metric that has a name
+// must be used outside its package.
 func TestEveryMetricIsSet(t *testing.T) {
 	used := map[string]bool{}
-	var named []string
+	var defined []string
 	for _, s := range sources(t) {
 		switch {
 		case s.path == "internal/metrics/names.go":
-			named = metricNames(s.file)
+			defined = metricNames(s.file)
 		case strings.HasSuffix(s.path, "_test.go"):
 		default:
 			collectMetrics(s.file, used)
 		}
 	}
-	must.Greater(t, 40, len(named))
-	for _, name := range named {
+	must.Greater(t, 40, len(defined))
+	for _, name := range defined {
 		must.True(t, used[name], must.Sprintf("metrics.%s is never set", name))
 	}
 }
 
-// metricNames returns the keys of the tables of names.
+// metricNames returns the constants that are keys in the tables of metric names.
 func metricNames(file *ast.File) []string {
 	var names []string
 	ast.Inspect(file, func(n ast.Node) bool {
@@ -44,6 +44,7 @@
 	return names
 }
 
+// collectMetrics adds to used every name that file selects from the package metrics.
 func collectMetrics(file *ast.File, used map[string]bool) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		sel, ok := n.(*ast.SelectorExpr)
--- a/internal/upkeep/pure_test.go
+++ b/internal/upkeep/pure_test.go
@@ -12,33 +12,36 @@
 	"github.com/shoenig/test/must"
 )
 
-// purePackages decide and do nothing else, so that a harness can drive them
-// with its own time, randomness and transport.
+// purePackages contain decision logic without I/O, goroutines, clocks or global randomness, so that
+// a test harness can drive them with its own time, randomness and transport.
 var purePackages = []string{
 	"internal/admission", "internal/retry", "internal/routing", "internal/idempotency", "internal/quarantine",
 	"internal/membership", "internal/lease", "internal/policy", "internal/node", "internal/control", "internal/fleet", "internal/routes", "internal/quota",
 }
 
-// pureImports are those that they must not have; packages below them neither.
-var pureImports = []string{"net", "os", "syscall", "math/rand"}
+// forbiddenImports are packages that pure packages must not import, including packages below them.
+// math/rand/v2 is allowed: its functions that draw from the global source are in forbiddenSelectors.
+var forbiddenImports = []string{"net", "os", "syscall", "math/rand"}
 
-// impureCalls read the clock, wait, or draw from the global random source.
-var impureCalls = map[string][]string{
+// forbiddenSelectors are functions, by import path, that read the clock, wait, or draw from the
+// global random source.
+var forbiddenSelectors = map[string][]string{
 	"time": {"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick"},
 	"math/rand/v2": {"Int", "IntN", "Int32", "Int32N", "Int64", "Int64N", "Uint32", "Uint32N", "Uint64", "Uint64N", "Uint", "UintN",
 		"N", "Float32", "Float64", "ExpFloat64", "NormFloat64", "Perm", "Shuffle"},
 }
 
-// allowedImports are exceptions, each with its reason.
+// allowedImports maps exceptions, as "folder: import path", to their reasons.
 var allowedImports = map[string]string{
-	// The types Header and the status numbers go with an answer; no connection
-	// is made with them, and a type of its own would be copied at every hop.
-	"internal/node: net/http": "http.Header on calls and answers",
+	// Responses use the type http.Header and the status codes. These open no connections, and a
+	// separate header type would have to be copied at every hop.
+	"internal/node: net/http": "http.Header on calls and responses",
 }
 
-func pureFaults(s *source) []string {
-	var faults []string
-	names := map[string]string{} // local name to import path
+// purityViolations returns a message for each forbidden import, goroutine and function in s.
+func purityViolations(s *source) []string {
+	var violations []string
+	importNames := map[string]string{} // local name to import path
 	for _, spec := range s.file.Imports {
 		imported, _ := strconv.Unquote(spec.Path.Value)
 		name := path.Base(imported)
@@ -48,29 +51,31 @@
 		if spec.Name != nil {
 			name = spec.Name.Name
 		}
-		names[name] = imported
-		forbidden := slices.ContainsFunc(pureImports, func(p string) bool {
+		importNames[name] = imported
+		forbidden := slices.ContainsFunc(forbiddenImports, func(p string) bool {
 			return imported == p || strings.HasPrefix(imported, p+"/") && imported != "math/rand/v2"
 		})
 		if _, allowed := allowedImports[path.Dir(s.path)+": "+imported]; forbidden && !allowed {
-			faults = append(faults, fmt.Sprintf("%s:%d imports %s", s.path, s.line(spec.Pos()), imported))
+			violations = append(violations, fmt.Sprintf("%s:%d imports %s", s.path, s.line(spec.Pos()), imported))
 		}
 	}
 	ast.Inspect(s.file, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.GoStmt:
-			faults = append(faults, fmt.Sprintf("%s:%d starts a goroutine", s.path, s.line(n.Pos())))
+			violations = append(violations, fmt.Sprintf("%s:%d starts a goroutine", s.path, s.line(n.Pos())))
 		case *ast.SelectorExpr:
 			x, ok := n.X.(*ast.Ident)
-			if ok && x.Obj == nil && slices.Contains(impureCalls[names[x.Name]], n.Sel.Name) {
-				faults = append(faults, fmt.Sprintf("%s:%d uses %s.%s", s.path, s.line(n.Pos()), x.Name, n.Sel.Name))
+			if ok && x.Obj == nil && slices.Contains(forbiddenSelectors[importNames[x.Name]], n.Sel.Name) {
+				violations = append(violations, fmt.Sprintf("%s:%d uses %s.%s", s.path, s.line(n.Pos()), x.Name, n.Sel.Name))
 			}
 		}
 		return true
 	})
-	return faults
+	return violations
 }
 
+// Guards against decision logic that depends on I/O, real time, goroutines or global randomness: its
+// tests would no longer be reproducible.
 func TestPurePackages(t *testing.T) {
 	seen := map[string]bool{}
 	for _, s := range sources(t) {
@@ -79,7 +84,7 @@
 			continue
 		}
 		seen[dir] = true
-		must.SliceEmpty(t, pureFaults(s))
+		must.SliceEmpty(t, purityViolations(s))
 	}
 	must.Len(t, len(purePackages), mapKeys(seen))
 }
@@ -92,16 +97,16 @@
 	return keys
 }
 
-// The check must find each way of being impure, or it proves nothing.
-func TestPurePackagesCheckCanFail(t *testing.T) {
-	for _, bad := range []string{
+// Guards against a check that passes because it does not detect one of the forbidden constructs.
+func TestPurityCheckReportsViolations(t *testing.T) {
+	for _, impure := range []string{
 		`import "net"`, `import "net/http"`, `import "os"`, `import "os/signal"`, `import "math/rand"`,
 		`import "time"; var _ = time.Now()`, `import "time"; var _ = time.Since`, `import clock "time"; func f() { clock.Sleep(1) }`,
 		`import "time"; var _ = time.NewTicker(1)`, `import "time"; var _ = time.After(1)`, `import "time"; var _ = time.NewTimer(1)`,
 		`import "math/rand/v2"; var _ = rand.IntN(3)`, `func f() { go f() }`,
 	} {
-		must.Len(t, 1, pureFaults(parse(t, "internal/retry/x.go", "package x; "+bad)), must.Sprint(bad))
+		must.Len(t, 1, purityViolations(parse(t, "internal/retry/x.go", "package x; "+impure)), must.Sprint(impure))
 	}
-	good := `package x; import ("math/rand/v2"; "time"); func f(now time.Time, r *rand.Rand) int { return r.IntN(now.Minute()) }`
-	must.SliceEmpty(t, pureFaults(parse(t, "internal/retry/x.go", good)))
+	pure := `package x; import ("math/rand/v2"; "time"); func f(now time.Time, r *rand.Rand) int { return r.IntN(now.Minute()) }`
+	must.SliceEmpty(t, purityViolations(parse(t, "internal/retry/x.go", pure)))
 }
--- a/internal/upkeep/source_test.go
+++ b/internal/upkeep/source_test.go
@@ -14,9 +14,9 @@
 
 const root = "../.."
 
-// source is one parsed file that was not generated.
+// source is a parsed Go file.
 type source struct {
-	// path is relative to the root, with slashes.
+	// path is relative to the repository's root and uses slashes.
 	path string
 	fset *token.FileSet
 	file *ast.File
@@ -24,6 +24,8 @@
 
 func (s *source) line(pos token.Pos) int { return s.fset.Position(pos).Line }
 
+// parse parses the file at path, relative to the root. text replaces the file's content unless it is
+// nil.
 func parse(t *testing.T, path string, text any) *source {
 	fset := token.NewFileSet()
 	file, err := parser.ParseFile(fset, filepath.Join(root, path), text, parser.ParseComments)
@@ -31,7 +33,8 @@
 	return &source{path: filepath.ToSlash(path), fset: fset, file: file}
 }
 
-// sources returns every file that was not generated.
+// sources returns every Go file of the repository, tests included, except generated files and hidden
+// folders.
 func sources(t *testing.T) []*source {
 	var all []*source
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
--- a/internal/upkeep/used_test.go
+++ b/internal/upkeep/used_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// selectorsOutside returns the names that are selected (x.Name) anywhere but in a
-// package and in tests.
+// selectorsOutside returns the names that are used in selectors (x.Name) outside the folder pkg and
+// outside test files.
 func selectorsOutside(t *testing.T, pkg string) map[string]bool {
 	used := map[string]bool{}
 	for _, s := range sources(t) {
@@ -27,8 +27,8 @@
 	return used
 }
 
-// A page of result codes tells an operator what to do about a code that no node ever
-// gives. Every code must be given or looked at outside its package.
+// Guards against a result code that is documented for operators but never occurs. Every code must be
+// returned or compared outside its package.
 func TestEveryResultCodeIsUsed(t *testing.T) {
 	used := selectorsOutside(t, "internal/result")
 	codes := 0
@@ -54,8 +54,8 @@
 	must.Greater(t, 20, codes)
 }
 
-// An operator changes a setting and nothing follows, since no code reads it. Every
-// field that a settings file may have must be read outside of its package.
+// Guards against a setting that has no effect because no code reads it. Every field that a settings
+// file may contain must be used outside the package settings.
 func TestEverySettingIsRead(t *testing.T) {
 	used := selectorsOutside(t, "internal/settings")
 	fields := 0
--- a/internal/upkeep/wire_test.go
+++ b/internal/upkeep/wire_test.go
@@ -10,11 +10,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// wireNames are names that only the adapter may know.
+// wireNames matches names of the operators' platform that only the adapter in platform may use.
 var wireNames = regexp.MustCompile(`X-(Request-Id|Timeout-Ms|Server-Stamp|Not-Executed|Expected-Instance|Caller-Service|Instance-Id)|` +
 	`heartbeat_addr|traffic_split|route_type|path_prefix"|cold_remaining|log-(append|read|newest|join|commit)|keyed\.op`)
 
-// Guards against the platform's wire names known outside of its adapter.
+// Guards against code outside the adapter that depends on the platform's wire names: a change of the
+// platform would then affect more than the adapter.
 func TestPlatformNamesStayInTheAdapter(t *testing.T) {
 	for _, s := range sources(t) {
 		if strings.HasPrefix(s.path, "platform/") || s.path == "internal/upkeep/wire_test.go" {
@@ -26,9 +27,11 @@
 	}
 }
 
-// maxAdapterLines bounds the adapter: it translates and decides nothing.
+// maxAdapterLines bounds the adapter, which only translates between the mesh and the platform and
+// makes no decisions.
 const maxAdapterLines = 1500
 
+// Guards against decision logic that moves into the adapter.
 func TestAdapterStaysSmall(t *testing.T) {
 	lines := 0
 	for _, s := range sources(t) {
--- a/internal/upkeep/words_test.go
+++ b/internal/upkeep/words_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// fieldTerms are words of our own, and what the field says in their place.
-var fieldTerms = map[string]string{
+// bannedTerms maps terms private to this project to the customary terms that replace them.
+var bannedTerms = map[string]string{
 	"news":        "updates, changes",
 	"rescue":      "re-attachment",
 	"last resort": "fallback",
@@ -17,32 +17,32 @@
 	"turned away": "rejected",
 }
 
-// ownWord finds words of our own, however they are broken over lines.
-var ownWord = func() *regexp.Regexp {
+// bannedWord matches a banned term, also where a line break separates its words.
+var bannedWord = func() *regexp.Regexp {
 	var words []string
-	for word := range fieldTerms {
+	for word := range bannedTerms {
 		words = append(words, strings.ReplaceAll(word, " ", `\s+`))
 	}
 	return regexp.MustCompile(`(?i)\b(` + strings.Join(words, "|") + `)\b`)
 }()
 
-// Guards against words of our own that a newcomer has to learn coming back into comments.
+// Guards against comments that use project-private terms, which a newcomer would have to learn.
 func TestCommentsUseTheTermsOfTheField(t *testing.T) {
 	for _, s := range sources(t) {
 		if strings.HasSuffix(s.path, "internal/upkeep/words_test.go") {
 			continue
 		}
 		for _, group := range s.file.Comments {
-			word := strings.ToLower(strings.Join(strings.Fields(ownWord.FindString(group.Text())), " "))
-			must.EqOp(t, "", word, must.Sprintf("%s:%d: say %q", s.path, s.line(group.Pos()), fieldTerms[word]))
+			word := strings.ToLower(strings.Join(strings.Fields(bannedWord.FindString(group.Text())), " "))
+			must.EqOp(t, "", word, must.Sprintf("%s:%d: say %q", s.path, s.line(group.Pos()), bannedTerms[word]))
 		}
 	}
 }
 
-// Guards against a check of words that finds none.
-func TestWordsCheckCanFail(t *testing.T) {
-	for word := range fieldTerms {
-		must.EqOp(t, word, ownWord.FindString("// a "+word+" is here"))
+// Guards against a check that does not find a banned term, or reports a word that only contains one.
+func TestWordCheckReportsBannedTerms(t *testing.T) {
+	for word := range bannedTerms {
+		must.EqOp(t, word, bannedWord.FindString("// a "+word+" is here"))
 	}
-	must.EqOp(t, "", ownWord.FindString("// newsworthy, rescued"))
+	must.EqOp(t, "", bannedWord.FindString("// newsworthy, rescued"))
 }
