--- a/cmd/galenad/main.go
+++ b/cmd/galenad/main.go
@@ -1,4 +1,4 @@
-// Command galenad is the node that runs on each upstream VM.
+// Command galenad runs the overload control node of one upstream VM.
 package main
 
 import (
@@ -21,15 +21,15 @@
 const (
 	exitFailure  = 1
 	exitSettings = 2
-	exitCut      = 3
+	exitCallsCut = 3
 )
 
-// version may be set when linking; otherwise it is that of the module.
+// version is set by the linker; when it is empty, the version of the module is used.
 var version string
 
 type cli struct {
-	Run  runCommand  `cmd:"" default:"withargs" help:"Run a node that callers address by workspace and service."`
-	Mesh meshCommand `cmd:"" help:"Run a node whose requests come by routes."`
+	Run  runCommand  `cmd:"" default:"withargs" help:"Run a node whose callers name the workspace and service of each request."`
+	Mesh meshCommand `cmd:"" help:"Run a node that matches requests to services by its routes."`
 
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
@@ -49,6 +49,7 @@
 	os.Exit(run(args.Run))
 }
 
+// buildVersion returns the linked version, or else the module's version, source revision and Go version.
 func buildVersion() string {
 	if version != "" {
 		return version
@@ -66,8 +67,8 @@
 	return info.Main.Version + revision + " " + info.GoVersion
 }
 
-// load reads settings; nil with the exit code where the process ends with that:
-// they are wrong, or were only to be checked.
+// load reads and validates the settings file at path. It returns nil and the exit code when the
+// process must end: the settings are invalid, or check is set and they are valid.
 func load[T any](path string, check bool, read func(string) (*T, error)) (cfg *T, exit int) {
 	cfg, err := read(path)
 	if err != nil {
@@ -95,7 +96,7 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	s, err := server.Start(cfg, server.Options{Logger: logger})
 	if err != nil {
-		logger.Error().Err(err).Msg("not started")
+		logger.Error().Err(err).Msg("node did not start; the process ends")
 		return exitFailure
 	}
 	logStart(logger, cfg, s)
@@ -103,16 +104,16 @@
 	case <-signals:
 		return stop(s, cfg, logger, signals)
 	case <-s.Evicted():
-		// The others took this node for dead and wrote so. Its supervisor
-		// starts it again, as a new incarnation that may join.
-		logger.Error().Msg("this incarnation was evicted by its peers")
+		// The other nodes declared this incarnation dead and recorded that in the log. The process
+		// ends so that its supervisor restarts it: a new incarnation may join.
+		logger.Error().Msg("this incarnation was evicted by its peers; the node stops")
 		stop(s, cfg, logger, signals)
 		return exitFailure
 	}
 }
 
-// logStart says what the node runs with. Tokens are named, never shown: the
-// file holds only their hashes, and those stay in it.
+// logStart logs the addresses and the main settings of the node. Tokens appear as name and role only:
+// the settings file contains only their hashes, which are not logged.
 func logStart(logger zerolog.Logger, cfg *settings.Node, s *server.Server) {
 	names := make([]string, 0, len(cfg.Tokens))
 	for _, t := range cfg.Tokens {
@@ -129,8 +130,8 @@
 		Msg("started")
 }
 
-// stop ends the node gracefully; a second signal ends it at once and says what
-// that cuts.
+// stop shuts the node down gracefully, within the stop timeout, and returns the exit code. A second
+// signal ends the shutdown at once; the number of calls that this cuts is logged.
 func stop(s *server.Server, cfg *settings.Node, logger zerolog.Logger, signals <-chan os.Signal) int {
 	ctx, cancel := context.WithTimeout(context.Background(), cfg.Timing.StopTimeout.Std())
 	defer cancel()
@@ -142,7 +143,7 @@
 	logger.Info().Int("in_flight", s.InFlight()).Str("bound", cfg.Timing.StopTimeout.String()).Msg("stopping")
 	if cut := s.Shutdown(ctx); cut > 0 {
 		logger.Error().Int("cut", cut).Msg("stopped with calls in flight")
-		return exitCut
+		return exitCallsCut
 	}
 	logger.Info().Msg("stopped")
 	return 0
--- a/cmd/galenad/mesh.go
+++ b/cmd/galenad/mesh.go
@@ -21,19 +21,21 @@
 	Check  bool   `help:"Check the settings and exit."`
 }
 
-// memoryShare of what the VM gives is where the garbage collector begins to work
-// harder: stacks, buffers of the kernel and fragmentation need the rest.
-const memoryShare = 0.6
+// memoryLimitShare is the share of the node's memory that is set as the soft limit of the Go runtime.
+// Above it the garbage collector runs more often. Stacks, kernel buffers and fragmentation need the
+// rest.
+const memoryLimitShare = 0.6
 
-// gcPercent trades memory for processor time: a VM has a few hundred MB for the node, and
-// live data are a few MB.
+// gcPercent is above the default of Go, which saves processor time and costs memory: a VM has a few
+// hundred MB for the node, and live data take a few MB.
 const gcPercent = 200
 
-// lastLines bounds the wait for the reader of the log at the end of the process.
-const lastLines = 200 * time.Millisecond
+// logFlushTimeout bounds how long the process, at its end, waits until buffered log lines are written.
+const logFlushTimeout = 200 * time.Millisecond
 
+// runMesh runs a mesh node until a signal to stop and returns the exit code.
 func runMesh(args meshCommand) int {
-	// First of all: until then a signal to reload ends the process.
+	// Must come first: until SIGHUP is handled, it ends the process.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	cfg, exit := load(args.Config, args.Check, settings.LoadMesh)
@@ -41,39 +43,41 @@
 		return exit
 	}
 	out := metrics.NewAsyncWriter(os.Stdout)
-	defer out.Close(lastLines)
-	// The level in force is the global one, so that it can change.
-	sampled := cfg.Logging
-	sampled.Level = zerolog.LevelDebugValue
-	logger, err := metrics.NewLogger(out, cfg.NodeID, sampled)
+	defer out.Close(logFlushTimeout)
+	// The logger itself passes all levels. The level in force is the global level of zerolog, which a
+	// reload of the settings can change.
+	loggingConfig := cfg.Logging
+	loggingConfig.Level = zerolog.LevelDebugValue
+	logger, err := metrics.NewLogger(out, cfg.NodeID, loggingConfig)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "galenad:", err)
 		return exitSettings
 	}
-	// What the process itself says is not left out where the lines of requests are.
-	bounded := logger
+	// The process's own lines bypass the rate limit that applies to the lines of requests.
+	sampledLogger := logger
 	logger = logger.Sample(nil)
 	debug.SetGCPercent(gcPercent)
 	applyToProcess(cfg, logger)
-	m, err := mesh.Start(cfg, platform.NewAdapter(cfg, bounded), bounded)
+	m, err := mesh.Start(cfg, platform.NewAdapter(cfg, sampledLogger), sampledLogger)
 	if err != nil {
-		logger.Error().Err(err).Msg("not started")
+		logger.Error().Err(err).Msg("node did not start; the process ends")
 		return exitFailure
 	}
 	logger.Info().Str("version", buildVersion()).Str("zone", cfg.Zone).Str("service", cfg.Service).
 		Str("callers", cfg.Listen.Callers).Str("inner", cfg.Listen.Inner).Str("store", cfg.Store.Address).
 		Int("memory_mb", cfg.Resources.MemoryMB).Msg("started")
-	file := &settingsFile{path: args.Config, mesh: m, logger: logger}
-	file.remember()
-	file.watch(signals)
+	watcher := &settingsWatcher{path: args.Config, mesh: m, logger: logger}
+	watcher.recordHash()
+	watcher.watch(signals)
 	return stopMesh(m, logger)
 }
 
+// stopMesh shuts the node down gracefully and returns the exit code.
 func stopMesh(m *mesh.Mesh, logger zerolog.Logger) int {
 	logger.Info().Int("in_flight", m.InFlight()).Msg("stopping")
 	if cut := m.Stop(); cut > 0 {
 		logger.Error().Int("cut", cut).Msg("stopped with calls in flight")
-		return exitCut
+		return exitCallsCut
 	}
 	logger.Info().Msg("stopped")
 	return 0
--- a/cmd/galenad/reload.go
+++ b/cmd/galenad/reload.go
@@ -13,72 +13,75 @@
 	"github.com/galenagrade/galenagrade/internal/settings"
 )
 
-// lookEvery is how often the settings file is looked at: it may be replaced
-// without a signal, and a change of an address or bound should hold within
-// seconds. Reading 1 KB costs microseconds.
-const lookEvery = 2 * time.Second
+// settingsPollInterval is the time between checks of the settings file: the file may be replaced
+// without a signal, and a changed address or bound should take effect within seconds. Reading 1 KB
+// costs microseconds.
+const settingsPollInterval = 2 * time.Second
 
-// settingsFile puts changes of the settings file in force. A file that can't be
-// read or isn't valid changes nothing: what was in force stays, and a line says
-// which field is wrong.
-type settingsFile struct {
+// settingsWatcher applies changes of the settings file to the running node. A file that is unreadable
+// or invalid changes nothing: the settings in force stay, and a log line names the error and, for an
+// invalid file, the field.
+type settingsWatcher struct {
 	path   string
 	mesh   *mesh.Mesh
 	logger zerolog.Logger
-	seen   [sha256.Size]byte
+	// lastHash is the SHA-256 of the file's content at the last check, valid or not.
+	lastHash [sha256.Size]byte
 }
 
-// remember takes the file as it is for the one in force.
-func (f *settingsFile) remember() {
-	raw, err := os.ReadFile(f.path)
+// recordHash records the current content of the file as the one in force.
+func (w *settingsWatcher) recordHash() {
+	raw, err := os.ReadFile(w.path)
 	if err != nil {
-		f.logger.Warn().Err(err).Msg("settings file not readable any more")
+		w.logger.Warn().Err(err).Msg("settings file became unreadable after the start; the next check reads it again")
 		return
 	}
-	f.seen = sha256.Sum256(raw)
+	w.lastHash = sha256.Sum256(raw)
 }
 
-// watch returns at a signal to stop.
-func (f *settingsFile) watch(signals <-chan os.Signal) {
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+// watch checks the file at SIGHUP and every settingsPollInterval. It returns at any other signal.
+func (w *settingsWatcher) watch(signals <-chan os.Signal) {
+	ticker := time.NewTicker(settingsPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case sig := <-signals:
 			if sig != syscall.SIGHUP {
 				return
 			}
-			f.logger.Info().Msg("signal to reload")
-			f.look()
-		case <-look.C:
-			f.look()
+			w.logger.Info().Msg("SIGHUP received; checking the settings file for changes")
+			w.reloadIfChanged()
+		case <-ticker.C:
+			w.reloadIfChanged()
 		}
 	}
 }
 
-func (f *settingsFile) look() {
-	raw, err := os.ReadFile(f.path)
+// reloadIfChanged applies the file's settings if its content differs from the last check.
+func (w *settingsWatcher) reloadIfChanged() {
+	raw, err := os.ReadFile(w.path)
 	if err != nil {
-		f.logger.Warn().Err(err).Msg("settings file not readable, settings stay in force")
+		w.logger.Warn().Err(err).Msg("settings file not readable, settings stay in force")
 		return
 	}
 	sum := sha256.Sum256(raw)
-	if sum == f.seen {
+	if sum == w.lastHash {
 		return
 	}
-	f.seen = sum
-	next, err := settings.ParseMesh(raw)
+	w.lastHash = sum
+	newSettings, err := settings.ParseMesh(raw)
 	if err != nil {
-		f.logger.Error().Err(err).Msg("settings file is not valid, settings stay in force")
+		w.logger.Error().Err(err).Msg("settings file is not valid, settings stay in force")
 		return
 	}
-	applyToProcess(next, f.logger)
-	f.mesh.Reload(next)
+	applyToProcess(newSettings, w.logger)
+	w.mesh.Reload(newSettings)
 }
 
-// applyToProcess sets what holds for the whole process.
+// applyToProcess applies the settings that are global to the process: the memory limit and the log
+// level.
 func applyToProcess(cfg *settings.Mesh, logger zerolog.Logger) {
-	debug.SetMemoryLimit(int64(memoryShare * float64(cfg.Resources.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(cfg.Resources.MemoryMB) * (1 << 20)))
 	level, err := zerolog.ParseLevel(cfg.Logging.Level)
 	if err != nil {
 		logger.Error().Err(err).Msg("logging.level is unknown, the level stays")
--- a/cmd/galenad/reload_test.go
+++ b/cmd/galenad/reload_test.go
@@ -22,37 +22,38 @@
   "store": {"address": "STORE"}, "retries": {"ratio": RATIO, "floor": 10, "window": "10s"}, "logging": {"level": "info"}
 }`
 
-// Guards against a wrong settings file that changes something, or a sound one that is not taken up.
-func TestSettingsFileThatChanges(t *testing.T) {
+// Guards against an invalid, missing or unchanged settings file that changes the settings in force,
+// and against a changed valid file that is not applied.
+func TestSettingsFileIsReloadedWhenChanged(t *testing.T) {
 	store := standin.Start()
 	t.Cleanup(store.Close)
 	path := filepath.Join(t.TempDir(), "node.json")
-	write := func(ratio string) {
+	writeSettings := func(ratio string) {
 		doc := strings.NewReplacer("STORE", store.Address(), "RATIO", ratio).Replace(meshFile)
 		must.NoError(t, os.WriteFile(path, []byte(doc), 0o600))
 	}
-	write("0.2")
+	writeSettings("0.2")
 	cfg, err := settings.LoadMesh(path)
 	must.NoError(t, err)
-	m, err := mesh.Start(cfg, platform.NewAdapter(cfg, zerolog.Nop()), zerolog.Nop())
+	node, err := mesh.Start(cfg, platform.NewAdapter(cfg, zerolog.Nop()), zerolog.Nop())
 	must.NoError(t, err)
-	t.Cleanup(m.Kill)
-	var log bytes.Buffer
-	f := &settingsFile{path: path, mesh: m, logger: zerolog.New(&log)}
-	f.remember()
-	f.look()
-	must.EqOp(t, "", log.String())
-	write("0.5")
-	f.look()
-	must.EqOp(t, 0.5, m.Settings().Retries.Ratio)
-	write("-1")
-	f.look()
-	must.StrContains(t, log.String(), "retries.ratio")
-	must.EqOp(t, 0.5, m.Settings().Retries.Ratio)
+	t.Cleanup(node.Kill)
+	var logBuffer bytes.Buffer
+	watcher := &settingsWatcher{path: path, mesh: node, logger: zerolog.New(&logBuffer)}
+	watcher.recordHash()
+	watcher.reloadIfChanged()
+	must.EqOp(t, "", logBuffer.String())
+	writeSettings("0.5")
+	watcher.reloadIfChanged()
+	must.EqOp(t, 0.5, node.Settings().Retries.Ratio)
+	writeSettings("-1")
+	watcher.reloadIfChanged()
+	must.StrContains(t, logBuffer.String(), "retries.ratio")
+	must.EqOp(t, 0.5, node.Settings().Retries.Ratio)
 	must.NoError(t, os.Remove(path))
-	f.look()
-	must.EqOp(t, 0.5, m.Settings().Retries.Ratio)
-	write("0.1")
-	f.look()
-	must.EqOp(t, 0.1, m.Settings().Retries.Ratio)
+	watcher.reloadIfChanged()
+	must.EqOp(t, 0.5, node.Settings().Retries.Ratio)
+	writeSettings("0.1")
+	watcher.reloadIfChanged()
+	must.EqOp(t, 0.1, node.Settings().Retries.Ratio)
 }
