--- a/cmd/galenactl/cli.go
+++ b/cmd/galenactl/cli.go
@@ -18,13 +18,13 @@
 	"github.com/galenagrade/galenagrade/internal/certs"
 )
 
-// cli is the grammar of the command line.
+// cli defines the global flags and the commands.
 type cli struct {
 	Address string        `help:"Admin address of any node, as URL or IP:port." default:"http://127.0.0.1:7103" env:"GALENACTL_ADDRESS"`
 	Token   string        `help:"Bearer token." env:"GALENACTL_TOKEN"`
 	CAFile  string        `name:"ca" aliases:"ca-file" help:"PEM file of the CA that signed the node's certificate." env:"GALENACTL_CA_FILE" type:"path"`
-	Cert    string        `help:"PEM file of this operator's certificate, where the node asks for one." env:"GALENACTL_CERT_FILE" type:"path"`
-	Key     string        `help:"PEM file of its key." env:"GALENACTL_KEY_FILE" type:"path"`
+	Cert    string        `help:"PEM file of this operator's certificate, for nodes that require one." env:"GALENACTL_CERT_FILE" type:"path"`
+	Key     string        `help:"PEM file of the certificate's private key." env:"GALENACTL_KEY_FILE" type:"path"`
 	Output  string        `help:"Output format: ${enum}." short:"o" enum:"table,json" default:"table"`
 	Timeout time.Duration `help:"Time for one call, beyond --wait." default:"15s"`
 
@@ -32,7 +32,7 @@
 	Instance instanceCmd `cmd:"" help:"Templates with the values for one workspace and service."`
 	Status   statusCmd   `cmd:"" help:"Versions in force on every node."`
 	Members  membersCmd  `cmd:"" help:"Upstreams and their nodes."`
-	Node     nodeCmd     `cmd:"" help:"One node that serves by routes; --address is where its metrics are."`
+	Node     nodeCmd     `cmd:"" help:"State of one node that serves by routes; --address is the node's metrics address."`
 	Drain    drainCmd    `cmd:"" help:"Let a node finish its work and leave."`
 	Timeline timelineCmd `cmd:"" help:"Merged events of all nodes."`
 	Explain  explainCmd  `cmd:"" help:"Why a request ended as it did, from the nodes' logs."`
@@ -40,7 +40,7 @@
 	Events   eventsCmd   `cmd:"" help:"Events of one node as they happen."`
 }
 
-// app is what a command runs with.
+// app holds the clients, streams and global flags that commands use.
 type app struct {
 	ctx     context.Context
 	client  adminpbconnect.AdminClient
@@ -53,8 +53,9 @@
 	timeout time.Duration
 }
 
-// helpShown stops the parser after --help: kong would exit the process.
-type helpShown struct{}
+// helpPrinted is the panic value that stops the parser after --help, where kong would otherwise exit
+// the process.
+type helpPrinted struct{}
 
 // run parses args, runs the command and returns the exit code.
 func run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
@@ -70,15 +71,17 @@
 	if err == nil {
 		return exitOK
 	}
-	fmt.Fprintln(stderr, "galenactl: "+explain(err, c.Address))
+	fmt.Fprintln(stderr, "galenactl: "+errorText(err, c.Address))
 	return exitCode(err)
 }
 
+// parse parses args into c. ok is false when the process must end with the exit code: after --help or
+// a usage error, which is printed.
 func parse(c *cli, args []string, stdout, stderr io.Writer) (kctx *kong.Context, code int, ok bool) {
 	defer func() {
 		switch r := recover().(type) {
 		case nil:
-		case helpShown:
+		case helpPrinted:
 			kctx, code, ok = nil, exitOK, false
 		default:
 			panic(r)
@@ -88,7 +91,7 @@
 		kong.Name("galenactl"),
 		kong.Description(description),
 		kong.Writers(stdout, stderr),
-		kong.Exit(func(int) { panic(helpShown{}) }),
+		kong.Exit(func(int) { panic(helpPrinted{}) }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 	)
 	if err != nil {
@@ -129,6 +132,7 @@
 	}, nil
 }
 
+// baseURL returns address as a URL without a trailing slash; the scheme defaults to http.
 func baseURL(address string) string {
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
@@ -136,8 +140,8 @@
 	return strings.TrimRight(address, "/")
 }
 
-// httpClient has no timeout of its own: each call brings one, and a followed
-// stream has none.
+// httpClient returns a client with the TLS settings of the command line. It sets no overall timeout:
+// each call has a context with its own, and a followed stream has none.
 func httpClient(c *cli) (*http.Client, error) {
 	tr := &http.Transport{
 		DialContext:       (&net.Dialer{Timeout: 5 * time.Second}).DialContext,
@@ -161,7 +165,8 @@
 	return &http.Client{Transport: tr}, nil
 }
 
-// call bounds one call: --timeout beyond what the node was asked to wait.
-func (a *app) call(wait time.Duration) (context.Context, context.CancelFunc) {
+// callContext returns the context of one call. Its timeout is --timeout plus wait, the time for which
+// the request lets the node wait.
+func (a *app) callContext(wait time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(a.ctx, a.timeout+wait)
 }
--- a/cmd/galenactl/exit.go
+++ b/cmd/galenactl/exit.go
@@ -9,61 +9,64 @@
 	"github.com/pkg/errors"
 )
 
-// Exit codes, for scripts. docs/operations/cli.md lists them.
+// Exit codes that scripts rely on. docs/operations/cli.md lists them.
 const (
 	exitOK          = 0
 	exitFailure     = 1
 	exitUsage       = 2
-	exitLost        = 3
+	exitConflict    = 3
 	exitAuth        = 4
 	exitUnreachable = 5
 	exitUndecided   = 6
 	exitNotFound    = 7
 	exitUnavailable = 8
 	exitNotInForce  = 9
-	exitDifferent   = 10
+	exitDifferences = 10
 )
 
-// usageError is a fault of the command line or of a file that it names.
+// usageError is an error in the command line or in a file that it names.
 type usageError struct{ error }
 
-// codedError is an outcome with an exit code of its own.
-type codedError struct {
+// exitError is an error with a specific exit code.
+type exitError struct {
 	code int
 	text string
 }
 
 // Error implements error.
-func (e *codedError) Error() string { return e.text }
+func (e *exitError) Error() string { return e.text }
 
-// changeError is a failed call that may have changed something.
+// changeError is the error of a call that publishes a change, which may have taken effect all the same.
 type changeError struct {
 	error
 	changeID string
 }
 
-// Unwrap gives errors.As the cause.
+// Unwrap returns the error of the call.
 func (e *changeError) Unwrap() error { return e.error }
 
+// exitCode returns the exit code of the process for err.
 func exitCode(err error) int {
 	var usage usageError
-	var coded *codedError
+	var coded *exitError
 	switch {
 	case errors.As(err, &usage):
 		return exitUsage
 	case errors.As(err, &coded):
 		return coded.code
-	case undecided(err):
+	case isUndecided(err):
 		return exitUndecided
 	}
 	var ce *connect.Error
 	if !errors.As(err, &ce) {
 		return exitFailure
 	}
-	return exitOfCode(ce)
+	return connectExitCode(ce)
 }
 
-func exitOfCode(ce *connect.Error) int {
+// connectExitCode returns the exit code for the error of a call. CodeUnavailable means that the platform
+// is unavailable when the node sent it, and that the node is unreachable when the client made it.
+func connectExitCode(ce *connect.Error) int {
 	switch ce.Code() {
 	case connect.CodeUnauthenticated, connect.CodePermissionDenied:
 		return exitAuth
@@ -83,11 +86,11 @@
 	}
 }
 
-// undecided reports whether a change may have taken effect although its call
-// failed: the node said so, broke off, or its answer was lost after the call
-// was sent. A script that took such a change for failed would publish it
-// again under a new ID and could undo what came in between.
-func undecided(err error) bool {
+// isUndecided reports whether a change may have taken effect although its call failed: the node
+// reported that, the connection broke, or the response was lost after the request was sent. A script
+// that treats such a change as failed publishes it again under a new ID, and may overwrite changes that
+// were published in between.
+func isUndecided(err error) bool {
 	var change *changeError
 	if !errors.As(err, &change) {
 		return false
@@ -107,28 +110,28 @@
 	}
 }
 
-// dialFailed reports that no connection was made, so nothing was sent.
+// dialFailed reports whether err means that no connection was established, so that no request was sent.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// explain makes the line for an operator out of an error.
-func explain(err error, address string) string {
+// errorText returns the message for the operator: the error and what to do about it.
+func errorText(err error, address string) string {
 	var change *changeError
-	if undecided(err) && errors.As(err, &change) {
-		return fmt.Sprintf("the change was sent and its fate is open (%v); repeat the command with --change-id %s: it is published at most once",
+	if isUndecided(err) && errors.As(err, &change) {
+		return fmt.Sprintf("the change was sent and may have been published (%v); repeat the command with --change-id %s: it is published at most once",
 			change.error, change.changeID)
 	}
 	var ce *connect.Error
 	if !errors.As(err, &ce) {
 		return err.Error()
 	}
-	switch exitOfCode(ce) {
+	switch connectExitCode(ce) {
 	case exitAuth:
 		return ce.Message() + " (set --token or GALENACTL_TOKEN to a token of that workspace and role)"
 	case exitUnreachable:
-		return fmt.Sprintf("no answer from %s: %s (any other node's admin address will do)", address, ce.Message())
+		return fmt.Sprintf("no response from %s: %s (any other node's admin address can be used)", address, ce.Message())
 	case exitUnavailable:
 		return ce.Message() + " (the node was reached; nothing was changed)"
 	}
--- a/cmd/galenactl/explain.go
+++ b/cmd/galenactl/explain.go
@@ -17,41 +17,41 @@
 )
 
 type explainCmd struct {
-	ID   string        `arg:"" help:"Request ID, as a caller or a log line has it."`
-	From []string      `help:"Log files of the nodes, or of many nodes in one; standard input when none is given."`
+	ID   string        `arg:"" help:"Request ID, as in the response to the caller or in a log line."`
+	From []string      `help:"Log files of nodes; one file may hold several nodes. Default: standard input."`
 	SVG  string        `name:"svg" help:"Draw the request's events to this file; - is standard output."`
-	Near time.Duration `help:"Show what nodes of the request learned this long before it." default:"3s"`
+	Near time.Duration `help:"Also show lines about the state of the request's nodes that were written this long before the request." default:"3s"`
 }
 
 // Run implements the command.
 func (c *explainCmd) Run(a *app) error {
-	lines, unread, err := readLogs(c.From, a.stdin)
+	lines, skipped, err := readLogs(c.From, a.stdin)
 	if err != nil {
 		return usageError{err}
 	}
-	story := c.story(lines)
-	if len(story) == 0 {
-		return errors.Errorf("no line of request %q among %d lines; good requests are sampled, and under load lines beyond the bound of logging are dropped and counted", c.ID, len(lines))
+	selected := c.selectLines(lines)
+	if len(selected) == 0 {
+		return errors.Errorf("no line of request %q among %d lines; successful requests are sampled, and under load the lines above the rate limit of logging are dropped and counted", c.ID, len(lines))
 	}
-	if unread > 0 {
-		fmt.Fprintf(a.stderr, "galenactl: %d lines are no JSON and were passed over\n", unread)
+	if skipped > 0 {
+		fmt.Fprintf(a.stderr, "galenactl: %d lines are no JSON and were passed over\n", skipped)
 	}
 	if c.SVG != "" {
-		return writePicture(a.stdout, c.SVG, "request "+c.ID, eventsOf(story))
+		return writeSVG(a.stdout, c.SVG, "request "+c.ID, eventsOf(selected))
 	}
 	if a.json {
 		enc := json.NewEncoder(a.stdout)
-		for _, l := range story {
+		for _, l := range selected {
 			if err := enc.Encode(l); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	return c.tell(a.stdout, story)
+	return c.printText(a.stdout, selected)
 }
 
-// eventsOf returns the events among log lines.
+// eventsOf returns the timeline events among lines.
 func eventsOf(lines []logLine) []timeline.Event {
 	var events []timeline.Event
 	for i := range lines {
@@ -62,13 +62,14 @@
 	return events
 }
 
-// story picks the lines of the request and of the calls made for it, and what
-// the nodes concerned learned shortly before and meanwhile.
-func (c *explainCmd) story(lines []logLine) []logLine {
+// selectLines returns, in order of time, the lines of the request and of the calls made for it, and
+// the lines about the state of the nodes involved, from c.Near before the request until its end. It
+// returns nil when no line belongs to the request.
+func (c *explainCmd) selectLines(lines []logLine) []logLine {
 	var out []logLine
 	nodes := map[string]bool{}
 	for _, l := range lines {
-		if !c.concerns(&l) {
+		if !c.belongsToRequest(&l) {
 			continue
 		}
 		out = append(out, l)
@@ -78,21 +79,21 @@
 	if len(out) == 0 {
 		return nil
 	}
-	sortStory(out)
+	sortByTime(out)
 	begin, end := out[0].at.Add(-c.Near), out[len(out)-1].at
 	for _, l := range lines {
-		if l.RequestID == "" && !l.at.Before(begin) && !l.at.After(end) && l.bearsOn(nodes) {
+		if l.RequestID == "" && !l.at.Before(begin) && !l.at.After(end) && l.isAbout(nodes) {
 			out = append(out, l)
 		}
 	}
-	sortStory(out)
+	sortByTime(out)
 	return out
 }
 
-// bearsOn reports whether a line that is of no request tells what a node of the
-// request believed: about itself, its store or its overload, or about another node of
-// the request. In a large deployment each node learns of many others meanwhile.
-func (l *logLine) bearsOn(nodes map[string]bool) bool {
+// isAbout reports whether a line that belongs to no request was written by one of nodes, and is about
+// that node itself, such as its store or its overload, or about another of nodes. In a large deployment
+// each node also logs changes of many other nodes at the same time.
+func (l *logLine) isAbout(nodes map[string]bool) bool {
 	if !nodes[l.Node] {
 		return false
 	}
@@ -102,15 +103,15 @@
 	return l.Upstream == "" || nodes[l.Upstream]
 }
 
-// concerns: the ID of a call that an upstream made begins with that of the
-// request for which it was made, a dot between.
-func (c *explainCmd) concerns(l *logLine) bool {
+// belongsToRequest reports whether l is a line of the request or of a call made for it. The ID of a
+// call that an upstream makes is the ID of the request for which it is made, a dot, and a suffix.
+func (c *explainCmd) belongsToRequest(l *logLine) bool {
 	return l.RequestID != "" && (l.RequestID == c.ID || l.CallID == c.ID || strings.HasPrefix(l.RequestID, c.ID+"."))
 }
 
-// sortStory orders lines of many nodes. Clocks differ, so where two lines carry
-// the clock that travels with calls it decides.
-func sortStory(lines []logLine) {
+// sortByTime sorts lines of many nodes. The wall clocks of nodes differ, so two lines that both carry
+// a hybrid logical clock (HLC), which is propagated with calls, are ordered by that.
+func sortByTime(lines []logLine) {
 	slices.SortStableFunc(lines, func(a, b logLine) int {
 		if a.HLC != 0 && b.HLC != 0 {
 			return cmp.Compare(a.HLC, b.HLC)
@@ -119,20 +120,21 @@
 	})
 }
 
-func (c *explainCmd) tell(w io.Writer, story []logLine) error {
-	begin := story[0].at
-	for i := range story {
-		l := &story[i]
-		if _, err := fmt.Fprintf(w, "%9.3f s  %-20s  %s\n", l.at.Sub(begin).Seconds(), l.Node, l.say()); err != nil {
+// printText prints one line per log line, with its time since the first, and then the root cause.
+func (c *explainCmd) printText(w io.Writer, lines []logLine) error {
+	begin := lines[0].at
+	for i := range lines {
+		l := &lines[i]
+		if _, err := fmt.Fprintf(w, "%9.3f s  %-20s  %s\n", l.at.Sub(begin).Seconds(), l.Node, l.text()); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintln(w, "\n"+verdict(story))
+	_, err := fmt.Fprintln(w, "\n"+rootCauseSentence(lines))
 	return err
 }
 
-// phrases say what an event means.
-var phrases = map[timeline.Kind]string{
+// eventPhrases describe what the node did, by kind of event. Other kinds are printed by name.
+var eventPhrases = map[timeline.Kind]string{
 	timeline.CallReceived:   "took the request in",
 	timeline.CallRouted:     "sent it to",
 	timeline.CallAdmitted:   "admitted it",
@@ -145,10 +147,12 @@
 	timeline.CallAnswered:   "answered it",
 }
 
-// envelope are the fields of every line; they stand elsewhere or say nothing here.
-var envelope = []string{"level", "node", "time", "message"}
+// omittedFields are not printed among the fields of a line: they are printed in another column, or are
+// of no use here.
+var omittedFields = []string{"level", "node", "time", "message"}
 
-// fields returns what else a line says, by name.
+// fields returns the remaining fields of the line with their names, sorted by name; or the whole line
+// when it is not JSON.
 func (l *logLine) fields() string {
 	var all map[string]any
 	if err := json.Unmarshal([]byte(l.raw), &all); err != nil {
@@ -156,42 +160,43 @@
 	}
 	var out strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(all)) {
-		if !slices.Contains(envelope, name) {
+		if !slices.Contains(omittedFields, name) {
 			fmt.Fprintf(&out, ", %s %v", name, all[name])
 		}
 	}
 	return out.String()
 }
 
-func (l *logLine) say() string {
+// text describes the line: the message and the fields, or what the event means.
+func (l *logLine) text() string {
 	if l.Kind == "" {
 		return l.Message + l.fields()
 	}
-	words, ok := phrases[l.Kind]
+	text, ok := eventPhrases[l.Kind]
 	if !ok {
-		words = strings.ReplaceAll(string(l.Kind), "_", " ")
+		text = strings.ReplaceAll(string(l.Kind), "_", " ")
 	}
 	if l.Upstream != "" && l.Upstream != l.Node {
-		words += " " + l.Upstream
+		text += " " + l.Upstream
 	}
 	if l.RequestID != "" {
-		words += " [" + l.RequestID + " to " + l.Service + "]"
+		text += " [" + l.RequestID + " to " + l.Service + "]"
 	}
 	if l.Code != 0 {
-		words += fmt.Sprintf(", %d %s (ran: %s)", int(l.Code), l.Code, l.Code.Ran())
+		text += fmt.Sprintf(", %d %s (ran: %s)", int(l.Code), l.Code, l.Code.Ran())
 	}
 	if l.Detail != "" {
-		words += ": " + l.Detail
+		text += ": " + l.Detail
 	}
-	return fmt.Sprintf("%s; routes %d", words, l.RoutesVersion)
+	return fmt.Sprintf("%s; routes %d", text, l.RoutesVersion)
 }
 
-// verdict names the deepest decision against the request: what others say of it
-// follows from that one.
-func verdict(story []logLine) string {
+// rootCauseSentence describes the failure of the deepest call in the call tree. Failures that other
+// nodes report for the request are consequences of that one.
+func rootCauseSentence(lines []logLine) string {
 	var cause *logLine
-	for i := range story {
-		l := &story[i]
+	for i := range lines {
+		l := &lines[i]
 		if l.Code == 0 || l.Code == result.OK || l.RequestID == "" {
 			continue
 		}
@@ -202,8 +207,8 @@
 	if cause == nil {
 		return "No decision against the request is in these logs."
 	}
-	if deeper := cause.Cause; deeper != nil {
-		return fmt.Sprintf("Cause: %s, as the answer to %s said; its own line is not in these logs. %s.", deeper, cause.Node, deeper.Code.Help())
+	if reportedCause := cause.Cause; reportedCause != nil {
+		return fmt.Sprintf("Cause: %s, as the answer to %s said; its own line is not in these logs. %s.", reportedCause, cause.Node, reportedCause.Code.Help())
 	}
 	return fmt.Sprintf("Cause: %d %s at %s for %s: %s. %s.", int(cause.Code), cause.Code, cause.Node, cause.Service, cause.Detail, cause.Code.Help())
 }
--- a/cmd/galenactl/instance.go
+++ b/cmd/galenactl/instance.go
@@ -23,7 +23,7 @@
 
 // Run implements the command.
 func (c *instanceListCmd) Run(a *app) error {
-	ctx, cancel := a.call(0)
+	ctx, cancel := a.callContext(0)
 	defer cancel()
 	resp, err := a.client.ListInstances(ctx, connect.NewRequest(&adminpb.ListInstancesRequest{Workspace: c.Workspace}))
 	if err != nil {
@@ -44,7 +44,7 @@
 
 // Run implements the command.
 func (c *instanceShowCmd) Run(a *app) error {
-	ctx, cancel := a.call(0)
+	ctx, cancel := a.callContext(0)
 	defer cancel()
 	resp, err := a.client.ShowInstance(ctx, connect.NewRequest(&adminpb.ShowInstanceRequest{
 		Workspace: c.Workspace, Service: c.Service, Version: c.Version,
@@ -63,16 +63,17 @@
 	}, t)
 }
 
-// valueFlags say which values an instance gets.
+// valueFlags are the flags that give the parameter values of an instance.
 type valueFlags struct {
 	Workspace string   `arg:"" help:"Workspace."`
 	Service   string   `arg:"" help:"Service."`
 	Values    []string `arg:"" optional:"" name:"value" help:"NAME=VALUE; a value that isn't JSON is a string."`
-	File      string   `help:"JSON object of values; - reads standard input. NAME=VALUE goes over it."`
+	File      string   `help:"JSON object of values; - reads standard input. NAME=VALUE overrides its values."`
 	Template  string   `help:"Template; default: keep the one in force."`
 	Replace   bool     `help:"Drop values that aren't named; default: keep them."`
 }
 
+// document returns the values of --file, overridden by the NAME=VALUE arguments, as a JSON object.
 func (f *valueFlags) document(a *app) (string, error) {
 	values := map[string]json.RawMessage{}
 	if f.File != "" {
@@ -103,9 +104,9 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := a.call(c.Wait)
+	ctx, cancel := a.callContext(c.Wait)
 	defer cancel()
-	based, err := c.basedOn(func() (uint64, error) {
+	baseVersion, err := c.basedOn(func() (uint64, error) {
 		resp, err := a.client.ShowInstance(ctx, connect.NewRequest(&adminpb.ShowInstanceRequest{Workspace: c.Workspace, Service: c.Service}))
 		if err != nil {
 			return 0, err
@@ -117,13 +118,13 @@
 	}
 	resp, err := a.client.SetInstance(ctx, connect.NewRequest(&adminpb.SetInstanceRequest{
 		Workspace: c.Workspace, Service: c.Service, Template: c.Template,
-		ValuesJson: doc, Merge: !c.Replace, BasedOn: based, ChangeId: c.ChangeID,
+		ValuesJson: doc, Merge: !c.Replace, BasedOn: baseVersion, ChangeId: c.ChangeID,
 		WaitPercent: c.percent(), WaitMs: c.Wait.Milliseconds(),
 	}))
 	if err != nil {
 		return &changeError{err, c.ChangeID}
 	}
-	return a.report(fmt.Sprintf("instance %s/%s", c.Workspace, c.Service), resp.Msg.Publication, &c.publishFlags)
+	return a.printPublication(fmt.Sprintf("instance %s/%s", c.Workspace, c.Service), resp.Msg.Publication, &c.publishFlags)
 }
 
 type instanceDiffCmd struct {
@@ -137,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := a.call(0)
+	ctx, cancel := a.callContext(0)
 	defer cancel()
 	resp, err := a.client.DiffInstance(ctx, connect.NewRequest(&adminpb.DiffInstanceRequest{
 		Workspace: c.Workspace, Service: c.Service, Template: c.Template,
@@ -155,7 +156,7 @@
 		return err
 	}
 	if c.ExitCode && len(resp.Msg.Differences) > 0 {
-		return &codedError{exitDifferent, fmt.Sprintf("%d differences", len(resp.Msg.Differences))}
+		return &exitError{exitDifferences, fmt.Sprintf("%d differences", len(resp.Msg.Differences))}
 	}
 	return nil
 }
--- a/cmd/galenactl/main.go
+++ b/cmd/galenactl/main.go
@@ -1,5 +1,5 @@
-// Command galenactl is the operators' command line: it publishes templates, sets
-// instances, and shows the state, the members and the timeline of the nodes.
+// Command galenactl is the command line tool for operators. It publishes templates, sets instances,
+// and shows the state, the members and the timeline of the nodes.
 package main
 
 import (
--- a/cmd/galenactl/node.go
+++ b/cmd/galenactl/node.go
@@ -13,13 +13,12 @@
 	"github.com/galenagrade/galenagrade/internal/routes"
 )
 
-// nodeCmd shows one node that serves by routes. --address is where its metrics
-// are.
+// nodeCmd shows the state of one node that serves by routes. --address is the node's metrics address.
 type nodeCmd struct {
-	Status  nodeStatusCmd  `cmd:"" help:"State, limits, and the age of what it believes."`
+	Status  nodeStatusCmd  `cmd:"" help:"State, limits, and the age of its routes and members."`
 	Routes  nodeRoutesCmd  `cmd:"" help:"Routes in force, optionally against another node's."`
-	Members nodeMembersCmd `cmd:"" help:"Members as it knows them."`
-	Quotas  nodeQuotasCmd  `cmd:"" help:"Quotas of workspaces, its part of them, and what it refused."`
+	Members nodeMembersCmd `cmd:"" help:"Members known to the node."`
+	Quotas  nodeQuotasCmd  `cmd:"" help:"Quotas of workspaces, the node's share of them, and the requests that it refused."`
 }
 
 type nodeStatusCmd struct{}
@@ -33,8 +32,8 @@
 	t := newTable("WHAT", "VALUE", "AGE", "STORE")
 	t.row("ready", s.Ready, "", "")
 	t.row("stopping", s.Stopping, "", "")
-	t.row("routes, version", s.Routes.Version, beliefAge(s.Routes), beliefLink(s.Routes))
-	t.row("members", len(s.Records), beliefAge(s.Members), beliefLink(s.Members))
+	t.row("routes, version", s.Routes.Version, freshnessAge(s.Routes), freshnessSource(s.Routes))
+	t.row("members", len(s.Records), freshnessAge(s.Members), freshnessSource(s.Members))
 	t.row("upstream serving", s.Guard.Serving, "", "")
 	t.row("in flight, queued, limit", [3]int{s.Guard.InFlight, s.Guard.Queued, s.Guard.Limit}, "", "")
 	t.row("overloaded", s.Guard.Overloaded, "", "")
@@ -45,7 +44,7 @@
 }
 
 type nodeRoutesCmd struct {
-	Diff string `help:"Metrics address of another node: only what differs from its routes."`
+	Diff string `help:"Metrics address of another node: show only the differences to its routes."`
 }
 
 // Run implements the command.
@@ -65,7 +64,7 @@
 		r := &s.Config.Routes[i]
 		t.row(r.Name, r.Host, r.Prefix, r.To(), r.Timeout, r.MaxAttempts, r.Objective, r.Level, r.Idempotent)
 	}
-	t.note("version %d, confirmed %s ago", s.Config.Version, beliefAge(s.Routes))
+	t.note("version %d, confirmed %s ago", s.Config.Version, freshnessAge(s.Routes))
 	return a.print(s.Config, t)
 }
 
@@ -97,18 +96,18 @@
 	if err != nil {
 		return err
 	}
-	picked := []mesh.MemberState{}
+	selected := []mesh.MemberState{}
 	t := newTable("NODE", "ZONE", "SERVICE", "UPSTREAM", "STATE", "REACHED", "SLOTS", "ADDRESS")
 	for i := range s.Records {
 		m := &s.Records[i]
 		if (c.Service != "" && m.Service != c.Service) || (c.Zone != "" && m.Zone != c.Zone) {
 			continue
 		}
-		picked = append(picked, *m)
+		selected = append(selected, *m)
 		t.row(m.Node, m.Zone, m.Service, m.Upstream, m.State, !m.Unreached, m.Slots, m.Address)
 	}
-	t.note("as %s knows them, confirmed %s ago, store %s", s.Node, beliefAge(s.Members), beliefLink(s.Members))
-	return a.print(picked, t)
+	t.note("as %s knows them, confirmed %s ago, store %s", s.Node, freshnessAge(s.Members), freshnessSource(s.Members))
+	return a.print(selected, t)
 }
 
 type nodeQuotasCmd struct {
@@ -121,43 +120,47 @@
 	if err != nil {
 		return err
 	}
-	picked := []quota.State{}
+	selected := []quota.State{}
 	t := newTable("WORKSPACE", "RATE", "BURST", "PART", "DEPTH", "TOKENS", "SPENT", "REFUSED")
 	for i := range s.Quotas {
 		q := &s.Quotas[i]
 		if c.Workspace != "" && q.Workspace != c.Workspace {
 			continue
 		}
-		picked = append(picked, *q)
+		selected = append(selected, *q)
 		t.row(q.Workspace, q.Rate, q.Burst, rounded(q.PartRate), rounded(q.PartDepth), rounded(q.Tokens), q.Spent, q.Refused)
 	}
 	t.note("part, depth and tokens are of %s alone, 0 where it holds none; spent and refused are requests that came there; version %d, confirmed %s ago",
-		s.Node, s.Routes.Version, beliefAge(s.Routes))
-	return a.print(picked, t)
+		s.Node, s.Routes.Version, freshnessAge(s.Routes))
+	return a.print(selected, t)
 }
 
+// rounded formats x with 2 decimal places.
 func rounded(x float64) string { return strconv.FormatFloat(x, 'f', 2, 64) }
 
-func beliefAge(b mesh.Freshness) string {
-	if b.AgeMillis < 0 {
+// freshnessAge returns the time since the data was last confirmed, or "never".
+func freshnessAge(f mesh.Freshness) string {
+	if f.AgeMillis < 0 {
 		return "never"
 	}
-	return (time.Duration(b.AgeMillis) * time.Millisecond).String()
+	return (time.Duration(f.AgeMillis) * time.Millisecond).String()
 }
 
-func beliefLink(b mesh.Freshness) string {
-	if b.Lost {
+// freshnessSource returns how the node receives the data: from the store, through a relay node, or not
+// at all.
+func freshnessSource(f mesh.Freshness) string {
+	if f.Lost {
 		return "LOST"
 	}
-	if b.Relay != "" {
-		return "through " + b.Relay
+	if f.Relay != "" {
+		return "through " + f.Relay
 	}
 	return "reached"
 }
 
-// nodeState asks a node what it believes.
+// nodeState requests the state of the node whose metrics are at address.
 func (a *app) nodeState(address string) (*mesh.NodeState, error) {
-	ctx, cancel := a.call(0)
+	ctx, cancel := a.callContext(0)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address+mesh.StatePath, nil)
 	if err != nil {
@@ -165,15 +168,15 @@
 	}
 	resp, err := a.http.Do(req)
 	if err != nil {
-		return nil, &codedError{exitUnreachable, "node " + address + " does not answer: " + err.Error()}
+		return nil, &exitError{exitUnreachable, "node " + address + " does not answer: " + err.Error()}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("%s%s answered %s; --address is where the node's metrics are", address, mesh.StatePath, resp.Status)
+		return nil, errors.Errorf("%s%s answered %s; --address must be the node's metrics address", address, mesh.StatePath, resp.Status)
 	}
 	var s mesh.NodeState
 	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
-		return nil, errors.Wrap(err, "state of the node")
+		return nil, errors.Wrap(err, "decode the state of the node")
 	}
 	return &s, nil
 }
--- a/cmd/galenactl/node_test.go
+++ b/cmd/galenactl/node_test.go
@@ -18,15 +18,16 @@
 	"github.com/galenagrade/galenagrade/platform/standin"
 )
 
-// meshNode runs a node with routes of that version to the service.
-func meshNode(t *testing.T, name string, version int64, service string) string {
+// startMeshNode runs a node whose routes have the given version and lead to service. It returns the
+// node's metrics address.
+func startMeshNode(t *testing.T, name string, version int64, service string) string {
 	store := standin.Start()
 	t.Cleanup(store.Close)
 	cfg := settings.MeshDefaults()
 	cfg.NodeID, cfg.Region, cfg.Zone, cfg.Service = name, "r", "z", "archive"
 	cfg.UpstreamAddress = "127.0.0.1:1"
-	const free = "127.0.0.1:0"
-	cfg.Listen = settings.MeshListen{Callers: free, Inner: free, Ready: free, Announce: free, Metrics: free}
+	const anyPort = "127.0.0.1:0"
+	cfg.Listen = settings.MeshListen{Callers: anyPort, Inner: anyPort, Ready: anyPort, Announce: anyPort, Metrics: anyPort}
 	cfg.Store.Address = store.Address()
 	must.NoError(t, cfg.Validate())
 	m, err := mesh.Start(cfg, platform.NewAdapter(cfg, zerolog.Nop()), zerolog.Nop())
@@ -41,16 +42,16 @@
 }
 
 func runNode(t *testing.T, address, line string, code int) string {
-	var out, errs bytes.Buffer
+	var out, errOut bytes.Buffer
 	args := append([]string{"--address", address, "node"}, strings.Fields(line)...)
-	must.EqOp(t, code, run(context.Background(), args, strings.NewReader(""), &out, &errs), must.Sprint(errs.String()))
-	return out.String() + errs.String()
+	must.EqOp(t, code, run(context.Background(), args, strings.NewReader(""), &out, &errOut), must.Sprint(errOut.String()))
+	return out.String() + errOut.String()
 }
 
-// Operators see what one node believes: routes and their difference to another
-// node's, members, and how old that is.
-func TestNodeShowsWhatItBelieves(t *testing.T) {
-	a, b := meshNode(t, "a", 3, "archive"), meshNode(t, "b", 4, "letters")
+// Guards against node commands that show wrong or unfiltered routes, differences, members or quotas, or
+// do not report an unreachable node with its exit code.
+func TestNodeCommandsShowStateOfOneNode(t *testing.T) {
+	a, b := startMeshNode(t, "a", 3, "archive"), startMeshNode(t, "b", 4, "letters")
 	must.StrContains(t, runNode(t, a, "routes", exitOK), "/a/")
 	diff := runNode(t, a, "routes --diff "+b, exitOK)
 	must.StrContains(t, diff, "letters")
--- a/cmd/galenactl/output.go
+++ b/cmd/galenactl/output.go
@@ -11,9 +11,9 @@
 	"github.com/pkg/errors"
 )
 
-// print writes v as JSON or the table, as --output says. Messages are written
-// by encoding/json along their generated tags: their 64-bit versions then stay
-// numbers, which the JSON of protobuf would quote.
+// print writes v as JSON, or t as text, according to --output. Protobuf messages are encoded by
+// encoding/json with their generated tags, so that 64-bit versions stay numbers; protojson would
+// quote them.
 func (a *app) print(v any, t *table) error {
 	if !a.json {
 		return t.write(a.stdout)
@@ -24,16 +24,17 @@
 	return errors.Wrap(enc.Encode(v), "write output")
 }
 
-// table is rows of text under a heading.
+// table is a text table with a heading and notes.
 type table struct {
 	heading []string
 	rows    [][]string
-	// notes follow the table, one a line.
+	// notes are printed below the table, one per line.
 	notes []string
 }
 
 func newTable(heading ...string) *table { return &table{heading: heading} }
 
+// row adds a row; each cell is formatted by cell.
 func (t *table) row(cells ...any) {
 	row := make([]string, len(cells))
 	for i, c := range cells {
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// cell keeps a row on one line: what nodes report may hold anything.
+// cell formats v for a table. Control characters become spaces, since text that nodes report may
+// contain line breaks; an empty text becomes "-".
 func cell(v any) string {
 	s := fmt.Sprint(v)
 	if s == "" {
@@ -79,7 +81,7 @@
 
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// indent lays a JSON document out; one that isn't JSON stays as it is.
+// indent returns doc as indented JSON, or unchanged when it is not valid JSON.
 func indent(doc string) string {
 	var sb strings.Builder
 	enc := json.NewEncoder(&sb)
--- a/cmd/galenactl/publish.go
+++ b/cmd/galenactl/publish.go
@@ -19,12 +19,12 @@
 // publishFlags are shared by all commands that publish.
 type publishFlags struct {
 	BasedOn     *uint64       `help:"Version that the change is based on; default: the one in force now. 0: there is none yet."`
-	ChangeID    string        `name:"change-id" help:"Names the change; sending it again publishes it once. Default: a new one."`
+	ChangeID    string        `name:"change-id" help:"ID of the change; a change that is sent again with the same ID is published once. Default: a new ID."`
 	Wait        time.Duration `help:"Wait this long until the change is in force; 0: don't." default:"9s"`
 	WaitPercent uint32        `help:"Share of the known nodes to wait for." default:"100"`
 }
 
-// AfterApply implements kong's hook: a change ID is made once per command.
+// AfterApply implements kong's hook. It creates a change ID once per command, unless one is given.
 func (f *publishFlags) AfterApply() error {
 	if f.ChangeID != "" {
 		return nil
@@ -37,19 +37,21 @@
 	return nil
 }
 
-// basedOn returns the given version or asks for the one in force.
-func (f *publishFlags) basedOn(current func() (uint64, error)) (uint64, error) {
+// basedOn returns the version given by --based-on, or else the version in force as returned by
+// currentVersion. It returns 0 when nothing has been published yet.
+func (f *publishFlags) basedOn(currentVersion func() (uint64, error)) (uint64, error) {
 	if f.BasedOn != nil {
 		return *f.BasedOn, nil
 	}
-	v, err := current()
+	v, err := currentVersion()
 	if connect.CodeOf(err) == connect.CodeNotFound {
 		return 0, nil
 	}
 	return v, err
 }
 
-// percent is 0 without a wait, which tells the node not to wait.
+// percent returns the share of nodes to wait for. It is 0 without --wait, so that the node responds
+// without waiting.
 func (f *publishFlags) percent() uint32 {
 	if f.Wait <= 0 {
 		return 0
@@ -57,38 +59,40 @@
 	return f.WaitPercent
 }
 
-// report prints the decision and turns a lost or lagging change into its exit
-// code.
-func (a *app) report(what string, p *adminpb.Publication, f *publishFlags) error {
+// printPublication prints the decision about the change of object. It returns an error with its own
+// exit code when the change conflicts with another version, or is not in force on enough nodes.
+func (a *app) printPublication(object string, p *adminpb.Publication, f *publishFlags) error {
 	t := newTable("CHANGE", "DECISION", "VERSION", "IN FORCE")
 	decision := "accepted"
 	if !p.GetAccepted() {
 		decision = "lost"
 	}
-	t.row(what, decision, p.GetVersion(), fmt.Sprintf("%d/%d", p.GetNodesInForce(), p.GetNodesKnown()))
+	t.row(object, decision, p.GetVersion(), fmt.Sprintf("%d/%d", p.GetNodesInForce(), p.GetNodesKnown()))
 	if err := a.print(p, t); err != nil {
 		return err
 	}
 	if !p.GetAccepted() {
-		return &codedError{exitLost, lostText(what, p)}
+		return &exitError{exitConflict, conflictText(object, p)}
 	}
 	if !inForce(p, f.percent()) {
-		return &codedError{exitNotInForce, fmt.Sprintf("%s is accepted as version %d; %d of %d nodes had it in force after %v (galenactl status --lagging names the others)",
-			what, p.Version, p.NodesInForce, p.NodesKnown, f.Wait)}
+		return &exitError{exitNotInForce, fmt.Sprintf("%s is accepted as version %d; %d of %d nodes had it in force after %v (galenactl status --lagging names the others)",
+			object, p.Version, p.NodesInForce, p.NodesKnown, f.Wait)}
 	}
 	return nil
 }
 
+// inForce reports whether at least percent of the known nodes have the publication in force.
 func inForce(p *adminpb.Publication, percent uint32) bool {
 	return uint64(p.NodesInForce)*100 >= uint64(p.NodesKnown)*uint64(percent)
 }
 
-func lostText(what string, p *adminpb.Publication) string {
-	by := p.GetLostToOperator()
-	if by == "" {
-		by = "another operator"
+// conflictText describes the publication that p conflicts with, and how to publish again.
+func conflictText(object string, p *adminpb.Publication) string {
+	operator := p.GetLostToOperator()
+	if operator == "" {
+		operator = "another operator"
 	}
-	s := fmt.Sprintf("%s lost to version %d by %s", what, p.GetLostToVersion(), by)
+	s := fmt.Sprintf("%s lost to version %d by %s", object, p.GetLostToVersion(), operator)
 	if p.GetLostToChangeId() != "" {
 		s += " (change " + p.GetLostToChangeId() + ")"
 	}
@@ -98,7 +102,8 @@
 	return s + "; look at it and publish again with --based-on " + fmt.Sprint(p.GetVersion())
 }
 
-// readDocument reads a JSON object from a file, or standard input for "-".
+// readDocument reads a JSON object from the file at path, or from standard input when path is "-". It
+// returns the object parsed and as text.
 func (a *app) readDocument(path string) (map[string]json.RawMessage, string, error) {
 	in := a.stdin
 	if path != "-" {
@@ -123,9 +128,9 @@
 	return doc, string(b), nil
 }
 
-// parseValues reads NAME=VALUE. A value that is JSON is taken as such; any
-// other is a string, so that 250ms needs no quotes.
-func parseValues(into map[string]json.RawMessage, pairs []string) error {
+// parseValues adds pairs of the form NAME=VALUE to values. A VALUE that is valid JSON is used as such;
+// any other is a string, so that 250ms needs no quotes.
+func parseValues(values map[string]json.RawMessage, pairs []string) error {
 	for _, p := range pairs {
 		name, value, ok := strings.Cut(p, "=")
 		if !ok || name == "" {
@@ -139,7 +144,7 @@
 			}
 			raw = quoted
 		}
-		into[name] = raw
+		values[name] = raw
 	}
 	return nil
 }
--- a/cmd/galenactl/status.go
+++ b/cmd/galenactl/status.go
@@ -17,7 +17,7 @@
 
 // Run implements the command.
 func (c *statusCmd) Run(a *app) error {
-	ctx, cancel := a.call(0)
+	ctx, cancel := a.callContext(0)
 	defer cancel()
 	resp, err := a.client.Status(ctx, connect.NewRequest(&adminpb.StatusRequest{Workspace: c.Workspace, LaggingOnly: c.Lagging}))
 	if err != nil {
@@ -52,7 +52,7 @@
 
 // Run implements the command.
 func (c *membersCmd) Run(a *app) error {
-	ctx, cancel := a.call(0)
+	ctx, cancel := a.callContext(0)
 	defer cancel()
 	resp, err := a.client.Members(ctx, connect.NewRequest(&adminpb.MembersRequest{
 		Workspace: c.Workspace, Service: c.Service, Zone: c.Zone,
@@ -75,7 +75,7 @@
 
 // Run implements the command.
 func (c *drainCmd) Run(a *app) error {
-	ctx, cancel := a.call(c.Wait)
+	ctx, cancel := a.callContext(c.Wait)
 	defer cancel()
 	resp, err := a.client.Drain(ctx, connect.NewRequest(&adminpb.DrainRequest{
 		NodeId: c.Node, Reason: c.Reason, WaitMs: c.Wait.Milliseconds(),
@@ -89,7 +89,7 @@
 		return err
 	}
 	if c.Wait > 0 && resp.Msg.State != "drained" {
-		return &codedError{exitNotInForce, fmt.Sprintf("%s still has %d calls in flight after %v", c.Node, resp.Msg.InFlight, c.Wait)}
+		return &exitError{exitNotInForce, fmt.Sprintf("%s still has %d calls in flight after %v", c.Node, resp.Msg.InFlight, c.Wait)}
 	}
 	return nil
 }
--- a/cmd/galenactl/store.go
+++ b/cmd/galenactl/store.go
@@ -14,17 +14,17 @@
 )
 
 type storeCmd struct {
-	From []string `help:"Log files of the nodes, or of many nodes in one; standard input when none is given."`
+	From []string `help:"Log files of nodes; one file may hold several nodes. Default: standard input."`
 }
 
-// storeCall is the kind of a call of the store, as a node logs it.
+// storeCall is the topic, purpose and outcome of a call to the store, as a node logs them.
 type storeCall struct {
 	Topic   string       `json:"topic"`
 	Purpose mesh.Purpose `json:"purpose"`
 	Outcome mesh.Outcome `json:"outcome"`
 }
 
-// storeCount is how often calls of a kind were made.
+// storeCount is the number of calls with the same topic, purpose and outcome.
 type storeCount struct {
 	storeCall
 	Calls int `json:"calls"`
@@ -32,12 +32,12 @@
 
 // Run implements the command.
 func (c *storeCmd) Run(a *app) error {
-	lines, unread, err := readLogs(c.From, a.stdin)
+	lines, skipped, err := readLogs(c.From, a.stdin)
 	if err != nil {
 		return usageError{err}
 	}
-	if unread > 0 {
-		fmt.Fprintf(a.stderr, "galenactl: %d lines are no JSON and were passed over\n", unread)
+	if skipped > 0 {
+		fmt.Fprintf(a.stderr, "galenactl: %d lines are no JSON and were passed over\n", skipped)
 	}
 	counts, err := countStoreCalls(lines)
 	if err != nil {
@@ -46,7 +46,8 @@
 	return a.print(counts, storeTable(counts))
 }
 
-// countStoreCalls returns the kinds of calls, the most frequent first.
+// countStoreCalls counts the calls to the store in lines by topic, purpose and outcome, the most
+// frequent first.
 func countStoreCalls(lines []logLine) ([]storeCount, error) {
 	calls := map[storeCall]int{}
 	for i := range lines {
--- a/cmd/galenactl/store_test.go
+++ b/cmd/galenactl/store_test.go
@@ -14,11 +14,12 @@
 1.2 b {"level":"info","topic":"members","time":"2026-08-22T11:21:56.960Z","message":"store lost"}
 `
 
-// Guards against a store bill that nobody can attribute.
-func TestStoreCallsByPurpose(t *testing.T) {
-	var out, errs bytes.Buffer
-	code := run(t.Context(), []string{"store"}, strings.NewReader(storeLog), &out, &errs)
-	must.EqOp(t, exitOK, code, must.Sprint(errs.String()))
+// Guards against store calls whose cost cannot be attributed to a topic, purpose and outcome, and
+// against counting other log lines as calls.
+func TestStoreCallsAreCountedByTopicPurposeAndOutcome(t *testing.T) {
+	var out, errOut bytes.Buffer
+	code := run(t.Context(), []string{"store"}, strings.NewReader(storeLog), &out, &errOut)
+	must.EqOp(t, exitOK, code, must.Sprint(errOut.String()))
 	rows := strings.Split(strings.TrimSpace(out.String()), "\n")
 	must.Eq(t, []string{"routes", "changes", "done", "2"}, strings.Fields(rows[1]))
 	must.Eq(t, []string{"members", "own_record", "failed", "1"}, strings.Fields(rows[2]))
--- a/cmd/galenactl/template.go
+++ b/cmd/galenactl/template.go
@@ -20,7 +20,7 @@
 
 // Run implements the command.
 func (templateListCmd) Run(a *app) error {
-	ctx, cancel := a.call(0)
+	ctx, cancel := a.callContext(0)
 	defer cancel()
 	resp, err := a.client.ListTemplates(ctx, connect.NewRequest(&adminpb.ListTemplatesRequest{}))
 	if err != nil {
@@ -38,7 +38,7 @@
 	Version uint64 `help:"Version; 0 is the one in force."`
 }
 
-// documentView is a document with what it is.
+// documentView is the JSON output for a template or an instance: its name, version and document.
 type documentView struct {
 	Name      string          `json:"name,omitempty"`
 	Workspace string          `json:"workspace,omitempty"`
@@ -50,7 +50,7 @@
 
 // Run implements the command.
 func (c *templateShowCmd) Run(a *app) error {
-	ctx, cancel := a.call(0)
+	ctx, cancel := a.callContext(0)
 	defer cancel()
 	resp, err := a.client.ShowTemplate(ctx, connect.NewRequest(&adminpb.ShowTemplateRequest{Name: c.Name, Version: c.Version}))
 	if err != nil {
@@ -81,9 +81,9 @@
 			return usageError{errors.Errorf("%s has no name; give --name", c.File)}
 		}
 	}
-	ctx, cancel := a.call(c.Wait)
+	ctx, cancel := a.callContext(c.Wait)
 	defer cancel()
-	based, err := c.basedOn(func() (uint64, error) {
+	baseVersion, err := c.basedOn(func() (uint64, error) {
 		resp, err := a.client.ShowTemplate(ctx, connect.NewRequest(&adminpb.ShowTemplateRequest{Name: c.Name}))
 		if err != nil {
 			return 0, err
@@ -94,16 +94,16 @@
 		return err
 	}
 	resp, err := a.client.PublishTemplate(ctx, connect.NewRequest(&adminpb.PublishTemplateRequest{
-		Name: c.Name, DocumentJson: text, BasedOn: based, ChangeId: c.ChangeID,
+		Name: c.Name, DocumentJson: text, BasedOn: baseVersion, ChangeId: c.ChangeID,
 		WaitPercent: c.percent(), WaitMs: c.Wait.Milliseconds(),
 	}))
 	if err != nil {
 		return &changeError{err, c.ChangeID}
 	}
-	return a.report("template "+c.Name, resp.Msg.Publication, &c.publishFlags)
+	return a.printPublication("template "+c.Name, resp.Msg.Publication, &c.publishFlags)
 }
 
-// orEmpty makes an absent list an empty one in JSON.
+// orEmpty returns an empty list instead of nil, which would be null in JSON.
 func orEmpty[T any](list []T) []T {
 	if list == nil {
 		return []T{}
@@ -111,7 +111,7 @@
 	return list
 }
 
-// rawOrNull keeps the output JSON whatever a node sent.
+// rawOrNull returns doc, or null when it is not valid JSON, so that the output is always valid JSON.
 func rawOrNull(doc string) json.RawMessage {
 	if !json.Valid([]byte(doc)) {
 		return json.RawMessage("null")
--- a/cmd/galenactl/timeline.go
+++ b/cmd/galenactl/timeline.go
@@ -16,23 +16,23 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// filterFlags pick events.
+// filterFlags are the flags that select events.
 type filterFlags struct {
-	Call      string   `help:"Only this call, or every call of this request: either ID will do."`
+	Call      string   `help:"Only this call, or all calls of this request, by call ID or request ID."`
 	Request   string   `help:"Only this request ID, with all its calls."`
 	Workspace string   `help:"Only this workspace."`
 	Upstream  string   `help:"Only this upstream."`
 	Kind      []string `help:"Only these kinds, such as call_refused."`
 }
 
-func (f *filterFlags) message() *adminpb.EventFilter {
+func (f *filterFlags) toProto() *adminpb.EventFilter {
 	return &adminpb.EventFilter{
 		CallId: f.Call, RequestId: f.Request, Workspace: f.Workspace,
 		Upstream: f.Upstream, Kinds: f.Kind,
 	}
 }
 
-func (f *filterFlags) filter() timeline.Filter {
+func (f *filterFlags) toFilter() timeline.Filter {
 	tf := timeline.Filter{CallID: f.Call, RequestID: f.Request, Workspace: f.Workspace, Upstream: f.Upstream}
 	for _, k := range f.Kind {
 		tf.Kinds = append(tf.Kinds, timeline.Kind(k))
@@ -42,24 +42,24 @@
 
 type timelineCmd struct {
 	filterFlags `embed:""`
-	Since       time.Duration `help:"Only events of this long back."`
-	Max         uint32        `help:"At most so many events, the newest." default:"2000"`
-	Local       bool          `help:"Only the events of the node asked."`
+	Since       time.Duration `help:"Only events that are at most this old."`
+	Max         uint32        `help:"Maximum number of events; the newest are shown." default:"2000"`
+	Local       bool          `help:"Only the events of the node at --address."`
 	SVG         string        `name:"svg" help:"Write a picture to this file; - is standard output."`
-	From        []string      `help:"Read events or logs of nodes from these files and ask no node."`
+	From        []string      `help:"Read events or logs of nodes from these files instead of querying a node."`
 }
 
 // Run implements the command.
 func (c *timelineCmd) Run(a *app) error {
-	events, missing, err := c.events(a)
+	events, unreachable, err := c.events(a)
 	if err != nil {
 		return err
 	}
-	for _, n := range missing {
-		fmt.Fprintf(a.stderr, "galenactl: no events from %s: it did not answer\n", n)
+	for _, n := range unreachable {
+		fmt.Fprintf(a.stderr, "galenactl: no events from %s: the node did not respond\n", n)
 	}
 	if c.SVG != "" {
-		return writePicture(a.stdout, c.SVG, c.title(), events)
+		return writeSVG(a.stdout, c.SVG, c.title(), events)
 	}
 	if a.json {
 		return timeline.WriteJSONLines(a.stdout, events)
@@ -67,14 +67,16 @@
 	return eventTable(events).write(a.stdout)
 }
 
-func (c *timelineCmd) events(a *app) (events []timeline.Event, missing []string, err error) {
+// events returns the merged events of the given files or of the nodes, and the nodes that did not
+// respond.
+func (c *timelineCmd) events(a *app) (events []timeline.Event, unreachable []string, err error) {
 	if len(c.From) > 0 {
 		events, err = readFiles(c.From)
-		return timeline.Select(events, c.filter()), nil, err
+		return timeline.Select(events, c.toFilter()), nil, err
 	}
-	ctx, cancel := a.call(0)
+	ctx, cancel := a.callContext(0)
 	defer cancel()
-	r := &adminpb.TimelineRequest{Filter: c.message(), AllNodes: !c.Local, MaxEvents: c.Max}
+	r := &adminpb.TimelineRequest{Filter: c.toProto(), AllNodes: !c.Local, MaxEvents: c.Max}
 	if c.Since > 0 {
 		r.SinceUnixMs = time.Now().Add(-c.Since).UnixMilli()
 	}
@@ -86,8 +88,8 @@
 	return timeline.Merge(events), resp.Msg.UnreachableNodes, err
 }
 
-// readFiles reads events that were written as JSON lines, and logs of nodes, whose
-// other lines are passed over.
+// readFiles reads and merges events from files of JSON lines, such as logs of nodes. Lines that are
+// no events are skipped.
 func readFiles(paths []string) ([]timeline.Event, error) {
 	var streams [][]timeline.Event
 	for _, p := range paths {
@@ -95,11 +97,11 @@
 		if err != nil {
 			return nil, usageError{err}
 		}
-		lines, unread, err := readLog(f)
+		lines, skipped, err := readLog(f)
 		f.Close()
 		events := eventsOf(lines)
-		if err == nil && len(events) == 0 && unread > 0 {
-			err = errors.Errorf("none of %d lines is an event", unread)
+		if err == nil && len(events) == 0 && skipped > 0 {
+			err = errors.Errorf("none of %d lines is an event", skipped)
 		}
 		if err != nil {
 			return nil, usageError{errors.WithMessage(err, p)}
@@ -109,8 +111,8 @@
 	return timeline.Merge(streams...), nil
 }
 
-// writePicture draws events to a file, or to w where the name is a dash.
-func writePicture(w io.Writer, name, title string, events []timeline.Event) error {
+// writeSVG draws events to the file called name, or to w when name is "-".
+func writeSVG(w io.Writer, name, title string, events []timeline.Event) error {
 	if name == "-" {
 		return timeline.WriteSVG(w, title, events)
 	}
@@ -125,6 +127,7 @@
 	return errors.Wrap(f.Close(), "write picture")
 }
 
+// title returns the title of the drawing: the filters that are set.
 func (c *timelineCmd) title() string {
 	title := "timeline"
 	for _, p := range []struct{ name, value string }{
@@ -162,8 +165,8 @@
 
 type eventsCmd struct {
 	filterFlags `embed:""`
-	Follow      bool   `help:"Go on with new events until interrupted." short:"f"`
-	Max         uint32 `help:"At most so many events that are already there." default:"200"`
+	Follow      bool   `help:"Continue with new events until interrupted." short:"f"`
+	Max         uint32 `help:"Maximum number of past events." default:"200"`
 }
 
 // Run implements the command.
@@ -171,11 +174,11 @@
 	ctx, cancel := context.WithCancel(a.ctx)
 	defer cancel()
 	if !c.Follow {
-		ctx, cancel = a.call(0)
+		ctx, cancel = a.callContext(0)
 		defer cancel()
 	}
 	stream, err := a.client.Events(ctx, connect.NewRequest(&adminpb.EventsRequest{
-		Filter: c.message(), Follow: c.Follow, MaxEvents: c.Max,
+		Filter: c.toProto(), Follow: c.Follow, MaxEvents: c.Max,
 	}))
 	if err != nil {
 		return err
@@ -186,16 +189,17 @@
 			return err
 		}
 	}
-	// Interrupting a followed stream is its ordinary end.
+	// A followed stream ends only when it is interrupted, so that is no error.
 	if c.Follow && a.ctx.Err() != nil {
 		return nil
 	}
 	return stream.Err()
 }
 
+// printEvent prints one event as JSON or as one line of text.
 func (a *app) printEvent(m *adminpb.EventsResponse) error {
 	if m.Skipped > 0 {
-		fmt.Fprintf(a.stderr, "galenactl: %d events were passed over, this reader was too slow\n", m.Skipped)
+		fmt.Fprintf(a.stderr, "galenactl: %d events were skipped because the output was read too slowly\n", m.Skipped)
 	}
 	if a.json {
 		_, err := fmt.Fprintln(a.stdout, m.EventJson)
@@ -203,7 +207,7 @@
 	}
 	events, err := timeline.ReadJSONLines(strings.NewReader(m.EventJson), 1)
 	if err != nil || len(events) == 0 {
-		return errors.Wrap(err, "node sent no event")
+		return errors.Wrap(err, "event from the node is not valid")
 	}
 	cells := eventCells(&events[0])
 	text := make([]string, len(cells))
