--- a/cmd/galenabench/ceiling.go
+++ b/cmd/galenabench/ceiling.go
@@ -13,7 +13,7 @@
 	File string `arg:"" help:"Windows as JSON: demand, slots and faults of the scarcest service; examples/ceiling has one."`
 }
 
-// Run prints what fits into each window.
+// Run prints the upper bound for each window.
 func (c *ceilingCmd) Run() error {
 	f, err := os.Open(c.File)
 	if err != nil {
--- a/cmd/galenabench/check.go
+++ b/cmd/galenabench/check.go
@@ -13,7 +13,7 @@
 	File string `arg:"" help:"History written by run --history."`
 }
 
-// Run prints every violation and a count for each promise.
+// Run prints every violation in the history and the number of violations of each property.
 func (c *checkCmd) Run() error {
 	f, err := os.Open(c.File)
 	if err != nil {
@@ -24,14 +24,14 @@
 	if err != nil {
 		return errors.Wrap(err, c.File)
 	}
-	fmt.Printf("%d sendings, %d executions, %d roots with retries, %d configuration versions seen\n",
+	fmt.Printf("%d attempts, %d executions, %d roots with retries, %d configuration versions seen\n",
 		len(h.Sends), len(h.Runs), len(h.Retries), len(h.Versions))
 	violations := history.Check(h)
 	for _, v := range violations {
 		fmt.Println(v.Error())
 	}
-	for _, p := range history.Properties() {
-		fmt.Printf("%-16s %d violations\n", p, history.Count(violations, p))
+	for _, property := range history.Properties() {
+		fmt.Printf("%-16s %d violations\n", property, history.Count(violations, property))
 	}
 	if len(violations) > 0 {
 		return errors.Errorf("%d violations", len(violations))
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// writeHistory puts h into a new file; without a name there is nothing to do.
+// writeHistory writes h to a new file called name. It does nothing when name is empty.
 func writeHistory(name string, h *history.History) error {
 	if name == "" {
 		return nil
--- a/cmd/galenabench/control.go
+++ b/cmd/galenabench/control.go
@@ -11,14 +11,14 @@
 
 type controlCmd struct {
 	Members     int           `default:"50" help:"Number of nodes in this process."`
-	Zones       int           `default:"1" help:"Availability zones that they are in."`
-	Duration    time.Duration `name:"for" default:"20s" help:"How long to measure at rest."`
-	ChangeEvery time.Duration `default:"6650ms" help:"Time between two changes of configuration while at rest: 13,000 a day; 0 for none."`
-	Changes     int           `default:"5" help:"Changes that are timed, with the log up and out."`
+	Zones       int           `default:"1" help:"Number of availability zones."`
+	Duration    time.Duration `name:"for" default:"20s" help:"How long to measure in steady state."`
+	ChangeEvery time.Duration `default:"6650ms" help:"Time between two configuration changes in steady state: 13,000 a day; 0 for none."`
+	Changes     int           `default:"5" help:"Number of changes to time while the log is available, and again while it is not."`
 	JSON        bool          `help:"One JSON line."`
 }
 
-// Run prints what control costs a node.
+// Run prints the network, processor and memory cost of the control plane per node.
 func (c *controlCmd) Run() error {
 	r, err := bench.MeasureControl(bench.ControlOptions{
 		Members: c.Members, Zones: c.Zones, Duration: c.Duration, ChangeEvery: c.ChangeEvery, Changes: c.Changes,
--- a/cmd/galenabench/load.go
+++ b/cmd/galenabench/load.go
@@ -25,31 +25,31 @@
 	Target    []string      `default:"127.0.0.1:7100" help:"Caller addresses of nodes, IP:port or URL; requests are spread over them."`
 	Workspace string        `required:"" help:"Workspace of the callers."`
 	Service   string        `required:"" help:"Service that they call."`
-	Method    string        `default:"GET" help:"Method; other than GET it brings an idempotency key."`
+	Method    string        `default:"GET" help:"Method; requests other than GET carry an idempotency key."`
 	Path      string        `default:"/run" help:"Path."`
 	Rate      float64       `default:"50" help:"Requests a second."`
 	For       time.Duration `default:"5s" help:"How long to send."`
-	Timeout   time.Duration `default:"5s" help:"How long an answer is of use."`
+	Timeout   time.Duration `default:"5s" help:"Timeout of a request."`
 	Callers   int           `default:"100" help:"Distinct callers."`
-	Token     string        `env:"GALENABENCH_TOKEN" help:"Bearer token, where nodes ask for one."`
+	Token     string        `env:"GALENABENCH_TOKEN" help:"Bearer token, for nodes that require one."`
 	Seed      uint64        `default:"1" help:"Seed of arrivals."`
-	Expect    float64       `default:"0" help:"Fail when the share of whole answers is below this."`
+	Expect    float64       `default:"0" help:"Fail when the share of successful responses is below this."`
 }
 
-// loadReport is what callers got.
+// loadReport is the result of a load run, as seen by the callers.
 type loadReport struct {
 	Sent      int            `json:"sent"`
-	Whole     int            `json:"whole"`
+	Succeeded int            `json:"whole"`
 	Goodput   float64        `json:"goodput"`
 	Codes     map[string]int `json:"codes"`
 	P50Millis float64        `json:"p50_ms"`
 	P99Millis float64        `json:"p99_ms"`
-	// RequestID is that of the last request that was refused, or else of the
-	// last one: a start for galenactl timeline.
+	// RequestID is the ID of the last request that failed, or of the last request when none failed. It
+	// can be passed to galenactl timeline.
 	RequestID string `json:"request_id"`
 }
 
-// Run sends and prints one JSON document.
+// Run sends the requests and prints the report as one JSON document.
 func (c *loadCmd) Run() error {
 	if c.Rate <= 0 || len(c.Target) == 0 {
 		return errors.Errorf("--rate is %v with %d targets, must be above 0 with at least one", c.Rate, len(c.Target))
@@ -69,6 +69,7 @@
 	return nil
 }
 
+// loader sends the requests and collects their results; mu guards the fields below it.
 type loader struct {
 	cfg    *loadCmd
 	client *http.Client
@@ -76,44 +77,47 @@
 	mu        sync.Mutex
 	report    loadReport
 	latencies []time.Duration
-	refused   bool
+	anyFailed bool
 }
 
-// run makes Poisson arrivals, whatever becomes of earlier requests.
+// run sends requests as a Poisson process. It does not wait for earlier requests (open loop).
 func (l *loader) run() loadReport {
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, 1))
 	var wg sync.WaitGroup
-	begin := time.Now()
-	for due := 0.0; due < l.cfg.For.Seconds(); due += rng.ExpFloat64() / l.cfg.Rate {
-		time.Sleep(time.Until(begin.Add(time.Duration(due * float64(time.Second)))))
+	start := time.Now()
+	for offsetSeconds := 0.0; offsetSeconds < l.cfg.For.Seconds(); offsetSeconds += rng.ExpFloat64() / l.cfg.Rate {
+		time.Sleep(time.Until(start.Add(time.Duration(offsetSeconds * float64(time.Second)))))
 		target := l.cfg.Target[rng.IntN(len(l.cfg.Target))]
 		caller := rng.IntN(max(1, l.cfg.Callers))
 		wg.Go(func() { l.send(target, caller) })
 	}
 	wg.Wait()
-	return l.sum()
+	return l.summarize()
 }
 
+// send sends one request and records its result. Success means that a complete response arrived with a
+// status below 400.
 func (l *loader) send(target string, caller int) {
-	began := time.Now()
+	start := time.Now()
 	status, code, requestID := l.request(target, caller)
-	took := time.Since(began)
+	latency := time.Since(start)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.report.Sent++
 	l.report.Codes[code]++
-	whole := status > 0 && status < http.StatusBadRequest
-	if whole {
-		l.report.Whole++
-		l.latencies = append(l.latencies, took)
+	succeeded := status > 0 && status < http.StatusBadRequest
+	if succeeded {
+		l.report.Succeeded++
+		l.latencies = append(l.latencies, latency)
 	}
-	if !whole || !l.refused {
+	if !succeeded || !l.anyFailed {
 		l.report.RequestID = requestID
 	}
-	l.refused = l.refused || !whole
+	l.anyFailed = l.anyFailed || !succeeded
 }
 
-// request returns status 0 when no answer came.
+// request sends one request. It returns status 0 when no complete response arrived; code is the name
+// under which the report counts the result.
 func (l *loader) request(target string, caller int) (status int, code, requestID string) {
 	req, err := http.NewRequest(l.cfg.Method, url(target)+l.cfg.Path, bytes.NewReader(nil))
 	if err != nil {
@@ -141,6 +145,8 @@
 	return resp.StatusCode, codeName(resp), requestID
 }
 
+// codeName returns the number and name of the response's result code, or the HTTP status when the
+// response has none.
 func codeName(resp *http.Response) string {
 	n, err := strconv.Atoi(resp.Header.Get(result.HeaderResult))
 	if err != nil {
@@ -156,10 +162,11 @@
 	return "http://" + target
 }
 
-func (l *loader) sum() loadReport {
+// summarize computes the goodput and the latencies of successful requests.
+func (l *loader) summarize() loadReport {
 	r := l.report
 	if r.Sent > 0 {
-		r.Goodput = float64(r.Whole) / float64(r.Sent)
+		r.Goodput = float64(r.Succeeded) / float64(r.Sent)
 	}
 	slices.Sort(l.latencies)
 	r.P50Millis = quantile(l.latencies, 0.5)
@@ -167,10 +174,11 @@
 	return r
 }
 
+// quantile returns the q-quantile of sorted durations in milliseconds, or 0 when there are none.
 func quantile(sorted []time.Duration, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
-	at := min(len(sorted)-1, int(q*float64(len(sorted))))
-	return float64(sorted[at].Microseconds()) / 1000
+	index := min(len(sorted)-1, int(q*float64(len(sorted))))
+	return float64(sorted[index].Microseconds()) / 1000
 }
--- a/cmd/galenabench/log.go
+++ b/cmd/galenabench/log.go
@@ -15,18 +15,18 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// stopGrace bounds how long a stand-in waits for its last answers.
+// stopGrace bounds how long a stand-in, when it stops, waits for responses in progress.
 const stopGrace = 2 * time.Second
 
 type logCmd struct {
 	Address   string        `default:"127.0.0.1:7000" help:"Address to listen on."`
-	Appends   float64       `default:"400" help:"Appends a second that are taken; 0 is without bound."`
+	Appends   float64       `default:"400" help:"Maximum number of appends per second; 0 means no limit."`
 	Delay     time.Duration `default:"2ms" help:"Time added to each request."`
-	Retention time.Duration `default:"0" help:"Age at which records expire; 0 keeps them."`
+	Retention time.Duration `default:"0" help:"Age at which records expire; 0 means never."`
 }
 
-// Run serves the log stand-in until a signal. Its knobs, outages among them,
-// are at /admin/knobs.
+// Run serves the log stand-in until a signal. Its behavior, including outages, can be set at
+// /admin/knobs.
 func (c *logCmd) Run() error {
 	log := logd.New(logd.Options{Seed: 1})
 	log.SetKnobs(logd.Knobs{
@@ -42,9 +42,9 @@
 	ctx, cancel := onSignal()
 	defer cancel()
 	context.AfterFunc(ctx, func() {
-		grace, stop := context.WithTimeout(context.Background(), stopGrace)
-		defer stop()
-		if srv.Shutdown(grace) != nil {
+		shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), stopGrace)
+		defer cancelShutdown()
+		if srv.Shutdown(shutdownCtx) != nil {
 			_ = srv.Close()
 		}
 	})
@@ -55,11 +55,12 @@
 	return nil
 }
 
+// onSignal returns a context that ends at SIGINT or SIGTERM.
 func onSignal() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// announceListener prints where a stand-in listens, for scripts.
-func announceListener(what, addr string) {
-	_ = json.NewEncoder(os.Stdout).Encode(map[string]string{"what": what, "listening": addr})
+// announceListener prints the name and the address of a stand-in as one JSON line, for scripts.
+func announceListener(name, addr string) {
+	_ = json.NewEncoder(os.Stdout).Encode(map[string]string{"what": name, "listening": addr})
 }
--- a/cmd/galenabench/main.go
+++ b/cmd/galenabench/main.go
@@ -1,5 +1,5 @@
-// Command galenabench runs small deployments of real nodes on this machine
-// under load and faults, and measures what callers got.
+// Command galenabench runs small deployments of real nodes on one machine under load and faults, and
+// measures the results that callers see.
 package main
 
 import (
@@ -18,16 +18,16 @@
 	Demo      demoCmd      `cmd:"" help:"Surge and recovery of a small deployment, with and without galenagrade."`
 	MeshDemo  meshDemoCmd  `cmd:"" help:"A mesh on the operators' platform over loopback: an upstream crashes and comes back."`
 	Run       runCmd       `cmd:"" help:"Run a scenario and print its figures."`
-	Check     checkCmd     `cmd:"" help:"Check a recorded history; the exit code is 1 if a promise is broken."`
-	Report    reportCmd    `cmd:"" help:"Run a scenario under both policies and draw their courses into an HTML file."`
+	Check     checkCmd     `cmd:"" help:"Check a recorded history; the exit code is 1 if it contains violations."`
+	Report    reportCmd    `cmd:"" help:"Run a scenario under both policies and plot both runs into an HTML file."`
 	Latency   latencyCmd   `cmd:"" help:"Measure what one hop through the nodes adds to a direct call."`
-	Scenarios scenariosCmd `cmd:"" help:"List the scenarios with their stories."`
+	Scenarios scenariosCmd `cmd:"" help:"List the scenarios with their descriptions."`
 	Log       logCmd       `cmd:"" help:"Run a log stand-in as a process of its own."`
 	Upstream  upstreamCmd  `cmd:"" help:"Run an upstream stand-in behind a node."`
-	Load      loadCmd      `cmd:"" help:"Send requests to nodes and print what callers got."`
+	Load      loadCmd      `cmd:"" help:"Send requests to nodes and print the results that callers see."`
 	Control   controlCmd   `cmd:"" help:"Measure what the control plane costs a node, without calls."`
-	State     stateCmd     `cmd:"" help:"Measure the state that one node holds of a system of some size."`
-	Ceiling   ceilingCmd   `cmd:"" help:"Work out how much of the worth asked for the scarcest service leaves room for."`
+	State     stateCmd     `cmd:"" help:"Measure the size of the state that one node holds for a system of a given size."`
+	Ceiling   ceilingCmd   `cmd:"" help:"Compute an upper bound of the worth that the scarcest service can serve."`
 }
 
 func main() {
@@ -39,14 +39,14 @@
 	}
 }
 
-// exitPromise is the exit code of a run that broke a promise; 1 is that of any
-// other failure, 2 is left to shells.
-const exitPromise = 3
+// exitViolation is the exit code of a run that violated an invariant. Any other failure has exit code
+// 1; 2 is left to shells.
+const exitViolation = 3
 
 func exitCode(err error) int {
-	var broken *brokenPromise
-	if errors.As(err, &broken) {
-		return exitPromise
+	var violations *violationError
+	if errors.As(err, &violations) {
+		return exitViolation
 	}
 	return 1
 }
--- a/cmd/galenabench/meshdemo.go
+++ b/cmd/galenabench/meshdemo.go
@@ -13,7 +13,7 @@
 	SVG string `name:"svg" help:"Draw the events of all nodes to this file."`
 }
 
-// Run runs a mesh over loopback through a fault.
+// Run runs a mesh over loopback in which an upstream crashes and recovers.
 func (c *meshDemoCmd) Run() (err error) {
 	var picture io.Writer
 	if c.SVG != "" {
--- a/cmd/galenabench/report.go
+++ b/cmd/galenabench/report.go
@@ -17,8 +17,7 @@
 	Seed       uint64 `default:"1" help:"Seed of arrivals and faults."`
 }
 
-// Run runs a scenario under both policies and draws their courses. Progress
-// goes to stderr.
+// Run runs a scenario under both policies and writes the report. Progress goes to stderr.
 func (c *reportCmd) Run() error {
 	scenarios, err := chooseScenarios(c.Scenario)
 	if err != nil {
@@ -27,21 +26,21 @@
 	if len(scenarios) != 1 {
 		return errors.New("--scenario must name one scenario")
 	}
-	// Opened first: a path that can't be written should not cost two runs.
+	// The file is created before the runs, so that an unwritable path is reported before two runs.
 	f, err := os.Create(c.Out)
 	if err != nil {
 		return errors.Wrap(err, "--out")
 	}
 	defer func() { _ = f.Close() }()
 	d := chooseDeployments(c.Deployment)[0]
-	var broken brokenPromise
+	var violations violationError
 	var runs []report.Run
 	for _, policy := range choosePolicies("both") {
 		run, err := recordRun(scenarios[0], d, policy, c.Seed)
 		if err != nil {
 			return errors.Wrap(err, policy)
 		}
-		broken.note(&run.Result)
+		violations.add(&run.Result)
 		runs = append(runs, run)
 	}
 	if err := report.Write(f, scenarios[0], d, runs); err != nil {
@@ -50,9 +49,10 @@
 	if err := f.Close(); err != nil {
 		return errors.Wrap(err, "--out")
 	}
-	return broken.err()
+	return violations.err()
 }
 
+// recordRun runs a scenario and keeps all its samples.
 func recordRun(s bench.Scenario, d *bench.Deployment, policy string, seed uint64) (report.Run, error) {
 	p := &progress{out: os.Stderr, title: fmt.Sprintf("%s %s %s", s.Name, d.Name, policy)}
 	var run report.Run
--- a/cmd/galenabench/run.go
+++ b/cmd/galenabench/run.go
@@ -12,26 +12,26 @@
 	"github.com/galenagrade/galenagrade/internal/bench"
 )
 
-// probeFor is how long the added latency is measured before a run's load.
-const probeFor = 2 * time.Second
+// probeDuration is how long the latency added by one hop is measured before the load of a run starts.
+const probeDuration = 2 * time.Second
 
-// brokenPromise is a run in which something happened that never must.
-type brokenPromise struct{ runs []string }
+// violationError lists the runs that violated an invariant, with the violations.
+type violationError struct{ runs []string }
 
 // Error implements error.
-func (e *brokenPromise) Error() string {
-	return "promises broken: " + strings.Join(e.runs, "; ")
+func (e *violationError) Error() string {
+	return "invariants violated: " + strings.Join(e.runs, "; ")
 }
 
-// note adds what a run broke.
-func (e *brokenPromise) note(r *bench.Result) {
+// add adds the violations of a run.
+func (e *violationError) add(r *bench.Result) {
 	for _, v := range r.Violations() {
 		e.runs = append(e.runs, fmt.Sprintf("%s on %s, %s, seed %d: %s", r.Scenario, r.Deployment, r.Policy, r.Seed, v))
 	}
 }
 
-// err returns nil when every promise was kept.
-func (e *brokenPromise) err() error {
+// err returns e, or nil when no run violated an invariant.
+func (e *violationError) err() error {
 	if len(e.runs) == 0 {
 		return nil
 	}
@@ -47,7 +47,8 @@
 	History    string `help:"File to write the run's history to, for check. One scenario on one deployment under one policy."`
 }
 
-// Run runs the chosen scenarios. Progress goes to stderr.
+// Run runs the selected scenarios on the selected deployments under the selected policies. Progress
+// goes to stderr. Violations are reported after the last run.
 func (c *runCmd) Run() error {
 	if c.History != "" && (c.Scenario == "all" || c.Deployment == "all" || c.Policy == "both") {
 		return errors.New("--history takes one run: name a --scenario, a --deployment and a --policy")
@@ -56,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	var broken brokenPromise
+	var violations violationError
 	for _, s := range scenarios {
 		for _, d := range chooseDeployments(c.Deployment) {
 			for _, policy := range choosePolicies(c.Policy) {
@@ -64,16 +65,17 @@
 				if err != nil {
 					return errors.Wrapf(err, "%s on %s", s.Name, d.Name)
 				}
-				broken.note(&r)
+				violations.add(&r)
 			}
 		}
 	}
-	return broken.err()
+	return violations.err()
 }
 
+// runOne runs one scenario, writes its history if requested, and prints the result.
 func (c *runCmd) runOne(s bench.Scenario, d *bench.Deployment, policy string) (bench.Result, error) {
 	p := &progress{out: os.Stderr, title: fmt.Sprintf("%s %s %s", s.Name, d.Name, policy)}
-	r, h, err := bench.RunWith(s, d, bench.Options{Policy: policy, Seed: c.Seed, Probe: probeFor, OnSample: p.add})
+	r, h, err := bench.RunWith(s, d, bench.Options{Policy: policy, Seed: c.Seed, Probe: probeDuration, OnSample: p.add})
 	if err != nil {
 		return r, err
 	}
@@ -87,8 +89,8 @@
 	return r, nil
 }
 
-// chooseScenarios returns what --scenario names, once the machine is known to be
-// able to run it.
+// chooseScenarios returns the scenarios that --scenario selects. It fails when the machine's limit of
+// file descriptors is too low for them.
 func chooseScenarios(name string) ([]bench.Scenario, error) {
 	if err := bench.CheckDescriptors(); err != nil {
 		return nil, err
@@ -105,6 +107,7 @@
 	return nil, errors.Errorf("--scenario %q is not known; galenabench scenarios lists them", name)
 }
 
+// chooseDeployments returns the deployments that --deployment selects.
 func chooseDeployments(name string) []*bench.Deployment {
 	var list []*bench.Deployment
 	for _, d := range bench.Deployments() {
@@ -115,6 +118,7 @@
 	return list
 }
 
+// choosePolicies returns the policies that --policy selects.
 func choosePolicies(name string) []string {
 	if name == "both" {
 		return []string{bench.PolicyBaseline, bench.PolicyGalenagrade}
--- a/cmd/galenabench/state.go
+++ b/cmd/galenabench/state.go
@@ -13,7 +13,7 @@
 	Zones    int `default:"34" help:"Availability zones."`
 }
 
-// Run prints one JSON line.
+// Run prints the sizes as one JSON line.
 func (c *stateCmd) Run() error {
 	r, err := bench.MeasureState(bench.StateOptions{Members: c.Members, Services: c.Services, Zones: c.Zones})
 	if err != nil {
--- a/cmd/galenabench/upstream.go
+++ b/cmd/galenabench/upstream.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	// announcePeriod is how often an upstream tells its node of itself.
+	// announcePeriod is the time between two announcements of an upstream to its node.
 	announcePeriod = time.Second
-	// leavePoll is how often a leaving upstream asks whether it may go.
-	leavePoll = 100 * time.Millisecond
+	// drainPollInterval is how often a leaving upstream queries its node for calls in flight.
+	drainPollInterval = 100 * time.Millisecond
 )
 
 type upstreamCmd struct {
 	Node        string        `default:"127.0.0.1:7101" help:"The node's address for its local upstream."`
 	Service     string        `required:"" help:"Service that it runs."`
-	Path        string        `default:"/run" help:"Path that it answers."`
+	Path        string        `default:"/run" help:"Path that it serves."`
 	Mean        time.Duration `default:"20ms" help:"Mean service time."`
 	Fixed       bool          `help:"Every service time is the mean."`
 	Step        []string      `help:"Call to a deeper service, as SERVICE:METHOD:/PATH; may be repeated."`
 	Slots       int           `default:"32" help:"Calls that it runs at a time."`
 	Connections int           `default:"512" help:"Connections that it accepts."`
-	StopTimeout time.Duration `default:"30s" help:"How long it waits, when told to stop, for the calls in flight."`
+	StopTimeout time.Duration `default:"30s" help:"How long it waits for calls in flight when it stops."`
 	Seed        uint64        `default:"1" help:"Seed of the service times."`
 }
 
-// Run serves until a signal, then leaves as planned: it tells its node, waits
-// until the node says that nothing is in flight, and ends.
+// Run serves until a signal, then leaves gracefully: it reports that to its node and ends once the node
+// has no calls in flight for it.
 func (c *upstreamCmd) Run() error {
 	steps, err := parseSteps(c.Step)
 	if err != nil {
@@ -57,7 +57,7 @@
 		return err
 	}
 	defer srv.Crash()
-	a.doc = node.Announcement{Service: c.Service, Address: srv.Addr(), Slots: c.Slots, Connections: c.Connections}
+	a.announcement = node.Announcement{Service: c.Service, Address: srv.Addr(), Slots: c.Slots, Connections: c.Connections}
 	announceListener("upstream "+c.Service, srv.Addr())
 	ctx, cancel := onSignal()
 	defer cancel()
@@ -65,9 +65,10 @@
 	return a.leave(c.StopTimeout)
 }
 
-func parseSteps(list []string) ([]upstream.Step, error) {
+// parseSteps parses the values of --step.
+func parseSteps(args []string) ([]upstream.Step, error) {
 	var steps []upstream.Step
-	for _, s := range list {
+	for _, s := range args {
 		parts := strings.SplitN(s, ":", 3)
 		if len(parts) != 3 || !strings.HasPrefix(parts[2], "/") {
 			return nil, errors.Errorf("--step is %q, must be SERVICE:METHOD:/PATH", s)
@@ -77,8 +78,8 @@
 	return steps, nil
 }
 
-// callDeeper calls another service through the own node. Copying the context
-// is all that an upstream owes the layer.
+// callDeeper calls another service through the upstream's own node. An upstream's only duty towards the
+// overload control layer is to copy the context header of the request that it serves.
 func callDeeper(ctx context.Context, client *http.Client, exit string, step upstream.Step, parent http.Header) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, step.Method, exit+step.Path, nil)
 	if err != nil {
@@ -98,19 +99,20 @@
 	return resp.StatusCode, body, err
 }
 
-// announcer speaks to the node for the upstream.
+// announcer sends the upstream's announcements to its node and queries the node's state of it.
 type announcer struct {
-	exit   string
-	doc    node.Announcement
-	client *http.Client
-	failed bool
+	exit         string
+	announcement node.Announcement
+	client       *http.Client
+	lastFailed   bool
 }
 
+// run announces the upstream every announcePeriod until ctx ends.
 func (a *announcer) run(ctx context.Context) {
 	t := time.NewTicker(announcePeriod)
 	defer t.Stop()
 	for {
-		a.put()
+		a.announce()
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -119,26 +121,27 @@
 	}
 }
 
-// put announces the upstream, and says once when its node doesn't answer.
-func (a *announcer) put() {
-	body, err := json.Marshal(a.doc)
+// announce announces the upstream to its node. Of consecutive failures only the first is printed.
+func (a *announcer) announce() {
+	body, err := json.Marshal(a.announcement)
 	if err != nil {
 		return
 	}
-	_, err = a.ask(http.MethodPut, body)
-	if err != nil && !a.failed {
-		fmt.Fprintln(os.Stderr, "galenabench upstream: node:", err)
+	_, err = a.request(http.MethodPut, body)
+	if err != nil && !a.lastFailed {
+		fmt.Fprintln(os.Stderr, "galenabench upstream: announcement to the node failed:", err)
 	}
-	a.failed = err != nil
+	a.lastFailed = err != nil
 }
 
-// upstreamState is the node's answer.
+// upstreamState is the node's response: whether the upstream is draining, and its calls in flight.
 type upstreamState struct {
 	Draining bool `json:"draining"`
 	InFlight int  `json:"in_flight"`
 }
 
-func (a *announcer) ask(method string, body []byte) (upstreamState, error) {
+// request sends a request about the upstream to its node.
+func (a *announcer) request(method string, body []byte) (upstreamState, error) {
 	var state upstreamState
 	req, err := http.NewRequest(method, a.exit+"/v1/upstream", bytes.NewReader(body))
 	if err != nil {
@@ -150,27 +153,28 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, 512))
-		return state, errors.Errorf("%s: %s", resp.Status, bytes.TrimSpace(text))
+		message, _ := io.ReadAll(io.LimitReader(resp.Body, 512))
+		return state, errors.Errorf("%s: %s", resp.Status, bytes.TrimSpace(message))
 	}
 	return state, json.NewDecoder(resp.Body).Decode(&state)
 }
 
-// leave says that the upstream is leaving and waits until nothing is in
-// flight. It goes on announcing itself meanwhile: silence would mean a crash.
-func (a *announcer) leave(bound time.Duration) error {
-	end := time.Now().Add(bound)
-	state, err := a.ask(http.MethodDelete, nil)
-	for next := time.Now(); err == nil && (!state.Draining || state.InFlight > 0); {
-		if time.Now().After(end) {
-			return errors.Errorf("%d calls were still in flight after %s", state.InFlight, bound)
+// leave reports that the upstream is leaving and waits until no calls are in flight, for at most
+// timeout. It continues the announcements meanwhile, since the node treats an upstream without them as
+// crashed.
+func (a *announcer) leave(timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
+	state, err := a.request(http.MethodDelete, nil)
+	for nextAnnouncement := time.Now(); err == nil && (!state.Draining || state.InFlight > 0); {
+		if time.Now().After(deadline) {
+			return errors.Errorf("%d calls were still in flight after %s", state.InFlight, timeout)
 		}
-		if time.Now().After(next) {
-			a.put()
-			next = time.Now().Add(announcePeriod)
+		if time.Now().After(nextAnnouncement) {
+			a.announce()
+			nextAnnouncement = time.Now().Add(announcePeriod)
 		}
-		time.Sleep(leavePoll)
-		state, err = a.ask(http.MethodGet, nil)
+		time.Sleep(drainPollInterval)
+		state, err = a.request(http.MethodGet, nil)
 	}
-	return errors.Wrap(err, "node did not answer while leaving")
+	return errors.Wrap(err, "node did not respond while the upstream was leaving")
 }
