--- a/cmd/galenactl/explain_test.go
+++ b/cmd/galenactl/explain_test.go
@@ -72,7 +72,7 @@
 	must.StrContains(t, errOut.String(), "sampled")
 }
 
-// Guards against JSON output with other lines than the selected ones, one line each.
+// Guards against JSON output that is not one line for each selected log line.
 func TestExplainAsJSON(t *testing.T) {
 	var out, errOut bytes.Buffer
 	code := run(t.Context(), []string{"-o", "json", "explain", "ab"}, strings.NewReader(lookupLog), &out, &errOut)
--- a/cmd/galenactl/timeline.go
+++ b/cmd/galenactl/timeline.go
@@ -189,7 +189,7 @@
 			return err
 		}
 	}
-	// A followed stream ends only when it is interrupted, so that is no error.
+	// Interruption is the normal way to end a followed stream, so it is not an error.
 	if c.Follow && a.ctx.Err() != nil {
 		return nil
 	}
--- a/cmd/galenad/mesh.go
+++ b/cmd/galenad/mesh.go
@@ -30,7 +30,8 @@
 // hundred MB for the node, and live data take a few MB.
 const gcPercent = 200
 
-// logFlushTimeout bounds how long the process, at its end, waits until buffered log lines are written.
+// logFlushTimeout bounds how long the process, at its end, waits until buffered log lines are written:
+// the reader of the log may have stopped reading.
 const logFlushTimeout = 200 * time.Millisecond
 
 // runMesh runs a mesh node until a signal to stop and returns the exit code.
--- a/internal/upkeep/layers_test.go
+++ b/internal/upkeep/layers_test.go
@@ -42,21 +42,21 @@
 // control plane of the own interface. The message of a failure shows the chain of imports.
 func TestMeshDoesNotImportOwnInterface(t *testing.T) {
 	imports := importsOf(t)
-	importPath := map[string]string{"internal/mesh": "internal/mesh", "platform": "platform"}
+	importChain := map[string]string{"internal/mesh": "internal/mesh", "platform": "platform"}
 	queue := []string{"internal/mesh", "platform"}
 	for len(queue) > 0 {
 		from := queue[0]
 		queue = queue[1:]
 		for to := range imports[from] {
-			if _, known := importPath[to]; !known {
-				importPath[to] = importPath[from] + " -> " + to
+			if _, known := importChain[to]; !known {
+				importChain[to] = importChain[from] + " -> " + to
 				queue = append(queue, to)
 			}
 		}
 	}
-	must.MapContainsKey(t, importPath, "internal/node")
+	must.MapContainsKey(t, importChain, "internal/node")
 	for _, pkg := range ownInterfacePackages {
 		must.MapContainsKey(t, imports, pkg)
-		must.EqOp(t, "", importPath[pkg])
+		must.EqOp(t, "", importChain[pkg])
 	}
 }
--- a/internal/upkeep/loglines_test.go
+++ b/internal/upkeep/loglines_test.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// quoteEmptyList returns the text that joining and quoting an empty list of fields gives, when the
-// page has no fields; other lists are returned unchanged.
+// quoteEmptyList returns fields, or two backticks when it is empty. That is the text that joining and
+// quoting an empty list gives.
 func quoteEmptyList(fields string) string {
 	if fields == "" {
 		return "``"
