--- a/internal/bench/callers.go
+++ b/internal/bench/callers.go
@@ -50,12 +50,12 @@
 // take notes what a success carried and reports whether it is the answer to o.
 func (s *Sending) take(body []byte, o *Outcome) bool {
 	s.Success = true
-	var a upstream.Answer
+	var a upstream.Response
 	if err := json.Unmarshal(body, &a); err != nil {
 		s.Err = err.Error()
 		return false
 	}
-	s.Whole = a.Complete()
+	s.Whole = a.IsComplete()
 	s.AnswerTo, s.AnswerFrom = a.Op, a.Service
 	return s.Whole && a.Op == o.Op && a.Service == o.Kind.Service
 }
--- a/internal/bench/child.go
+++ b/internal/bench/child.go
@@ -25,7 +25,7 @@
 )
 
 // childOf returns how an upstream calls deeper services.
-func (w *World) childOf(v *vm) upstream.Child {
+func (w *World) childOf(v *vm) upstream.CallFunc {
 	if w.policy == PolicyBaseline {
 		return func(ctx context.Context, step upstream.Step, parent http.Header) (int, []byte, error) {
 			return w.baseline.call(ctx, v.zone, step, parent)
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -218,7 +218,7 @@
 	}
 	w.nodes = append(w.nodes, n)
 	_, exit, inner, _ := n.Addresses()
-	w.network.Place(inner, cfg.Zone)
+	w.network.SetLocation(inner, cfg.Zone)
 	body := fmt.Sprintf(`{"service":"s%d","address":"127.0.0.1:9","slots":10}`, i%max(1, w.opts.Members/8))
 	req, err := http.NewRequest(http.MethodPut, "http://"+exit+"/v1/upstream", strings.NewReader(body))
 	if err != nil {
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -29,7 +29,7 @@
 			Name:        "silent-connections",
 			Description: "every open connection between nodes goes silent for good, twice, while new ones work",
 			Events: func(*Deployment) []Event {
-				silence := func(w *World) { w.network.Silence(clients) }
+				silence := func(w *World) { w.network.Blackhole(clients) }
 				return []Event{{time.Second, silence}, {5 * time.Second, silence}}
 			},
 		},
@@ -66,7 +66,7 @@
 func coldRestart(w *World) {
 	all := w.upstreamsOf(w.deployment.Deepest())
 	for _, v := range all[:len(all)/2] {
-		v.server.SetCold(coldStart)
+		v.server.SetWarmup(coldStart)
 		w.crash(v)
 		w.restart(v)
 	}
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithTimeout(w.ctx, stopBound)
 	defer cancel()
 	cut := v.running().Shutdown(ctx)
-	w.noteStop(cut, v.server.LastBegin().Sub(asked))
+	w.noteStop(cut, v.server.LastStart().Sub(asked))
 	if err := w.startNode(v); err != nil {
 		return
 	}
--- a/internal/bench/outages.go
+++ b/internal/bench/outages.go
@@ -140,7 +140,7 @@
 func setPartition(cut bool) func(*World) {
 	set := func(w *World, a, b string) {
 		if cut {
-			w.network.Cut(a, b)
+			w.network.Partition(a, b)
 		} else {
 			w.network.Heal(a, b)
 		}
--- a/internal/bench/promises_test.go
+++ b/internal/bench/promises_test.go
@@ -42,7 +42,7 @@
 			return []Event{
 				{50 * time.Millisecond, func(w *World) { w.crash(w.upstreamsOf("consent")[0]) }},
 				{200 * time.Millisecond, func(w *World) { w.restart(w.upstreamsOf("consent")[0]) }},
-				{400 * time.Millisecond, func(w *World) { w.network.Silence(clients) }},
+				{400 * time.Millisecond, func(w *World) { w.network.Blackhole(clients) }},
 			}
 		},
 	}
--- a/internal/bench/record.go
+++ b/internal/bench/record.go
@@ -72,7 +72,7 @@
 		h.Runs = append(h.Runs, history.Run{
 			Upstream: r.Upstream, Service: r.Service, Path: r.Path,
 			Request: r.Op, Attempt: r.Attempt, Key: r.Key,
-			Killed: r.Poison, Done: r.Done,
+			Killed: r.Poison, Done: r.Completed,
 		})
 	}
 	allowance := history.Unbounded
--- a/internal/bench/vmlog.go
+++ b/internal/bench/vmlog.go
@@ -30,14 +30,14 @@
 	if err := l.gate.wait(ctx); err != nil {
 		return &logstore.UnavailableError{Cause: err}
 	}
-	if !l.network.IsCut(l.zone, platformPlace) {
+	if !l.network.IsPartitioned(l.zone, platformPlace) {
 		return nil
 	}
 	select {
 	case <-time.After(cutLogDelay):
 	case <-ctx.Done():
 	}
-	return &logstore.UnavailableError{Cause: link.ErrCut}
+	return &logstore.UnavailableError{Cause: link.ErrPartitioned}
 }
 
 // Append implements logstore.Log. When the cut comes before the answer does,
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -207,7 +207,7 @@
 	if err := v.server.Start(); err != nil {
 		return err
 	}
-	w.network.Place(v.server.Addr(), zone)
+	w.network.SetLocation(v.server.Addr(), zone)
 	if w.policy == PolicyBaseline {
 		w.add(v)
 		return nil
@@ -250,8 +250,8 @@
 	v.mu.Lock()
 	v.node, v.callers, v.exit, v.inner = n, callers, exit, inner
 	v.mu.Unlock()
-	w.network.Place(callers, v.zone)
-	w.network.Place(inner, v.zone)
+	w.network.SetLocation(callers, v.zone)
+	w.network.SetLocation(inner, v.zone)
 	for _, addr := range []string{callers, exit, inner} {
 		w.gates.Store(addr, v.gate)
 	}
@@ -294,7 +294,7 @@
 
 // reachable reports whether a node runs and its zone is not cut off.
 func (w *World) reachable(v *vm) bool {
-	return !v.gate.paused() && !w.network.IsCut(v.zone, platformPlace)
+	return !v.gate.paused() && !w.network.IsPartitioned(v.zone, platformPlace)
 }
 
 // announce tells the node of the upstream, at once and then every second.
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -1,5 +1,5 @@
-// Package link stands in for the network between VMs: delay, partitions and
-// connections that go silent, injected where a process dials.
+// Package link emulates the network between VMs. It injects delays, partitions
+// and blackholed connections into the connections that a process dials.
 package link
 
 import (
@@ -11,96 +11,97 @@
 	"time"
 )
 
-// ErrCut is what dialling over a partition ends with, after a time-out as a
-// real one would take.
-var ErrCut = errors.New("no route: partition")
+// ErrPartitioned is the cause of a failed dial between partitioned locations. The
+// dial fails after a timeout, since a real partition drops the packets.
+var ErrPartitioned = errors.New("locations are partitioned")
 
-// cutTimeout is how long a dial over a partition hangs.
-const cutTimeout = 200 * time.Millisecond
+// partitionDialTimeout is the time after which a dial over a partition fails.
+const partitionDialTimeout = 200 * time.Millisecond
 
-// Network knows where addresses are and what is wrong between places. Safe
-// for concurrent use.
+// Network holds the location of each address, and the delays and faults between
+// locations. Safe for concurrent use.
 type Network struct {
 	delay func(from, to string) time.Duration
 
-	mu    sync.Mutex
-	place map[string]string // address to place
-	cut   map[[2]string]bool
-	conns map[*conn]struct{}
+	mu          sync.Mutex
+	locations   map[string]string // by address
+	partitioned map[[2]string]bool
+	conns       map[*conn]struct{}
 }
 
-// New makes a network; delay gives the one-way delay between two places.
+// New returns a network without faults. delay returns the one-way delay between
+// two locations.
 func New(delay func(from, to string) time.Duration) *Network {
 	return &Network{
-		delay: delay,
-		place: map[string]string{},
-		cut:   map[[2]string]bool{},
-		conns: map[*conn]struct{}{},
+		delay:       delay,
+		locations:   map[string]string{},
+		partitioned: map[[2]string]bool{},
+		conns:       map[*conn]struct{}{},
 	}
 }
 
-// Place says where an address is.
-func (n *Network) Place(addr, place string) {
+// SetLocation sets the location of an address.
+func (n *Network) SetLocation(addr, location string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.place[addr] = place
+	n.locations[addr] = location
 }
 
-// Cut stops what travels between two places, in both directions, until Heal.
-// Connections open at the cut stay silent for good: what they lost meanwhile
-// would otherwise be missing from the middle of a stream.
-func (n *Network) Cut(a, b string) { n.setCut(a, b, true) }
+// Partition drops all traffic between two locations, in both directions, until
+// Heal. Connections that are open between them stay blackholed after Heal too:
+// else the bytes that they dropped would be missing in the middle of a stream.
+func (n *Network) Partition(a, b string) { n.setPartitioned(a, b, true) }
 
-// Heal lets new connections through again.
-func (n *Network) Heal(a, b string) { n.setCut(a, b, false) }
+// Heal ends the partition between two locations for new connections.
+func (n *Network) Heal(a, b string) { n.setPartitioned(a, b, false) }
 
-// IsCut reports whether nothing travels between two places at present.
-func (n *Network) IsCut(a, b string) bool {
+// IsPartitioned reports whether two locations are partitioned.
+func (n *Network) IsPartitioned(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[[2]string{a, b}]
+	return n.partitioned[[2]string{a, b}]
 }
 
-func (n *Network) setCut(a, b string, cut bool) {
+func (n *Network) setPartitioned(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{a, b}] = cut
-	n.cut[[2]string{b, a}] = cut
+	n.partitioned[[2]string{a, b}] = partitioned
+	n.partitioned[[2]string{b, a}] = partitioned
 	for c := range n.conns {
-		if cut && (c.from == a && c.to == b || c.from == b && c.to == a) {
-			c.silence()
+		if partitioned && (c.from == a && c.to == b || c.from == b && c.to == a) {
+			c.blackhole()
 		}
 	}
 }
 
-// Silence makes every present connection silent for good, but for those from
-// one place: nothing more arrives over it and nobody is told. New connections
-// work.
-func (n *Network) Silence(except string) {
+// Blackhole blackholes every open connection permanently, except those dialled
+// from the location exceptFrom. Neither end gets an error. New connections work.
+func (n *Network) Blackhole(exceptFrom string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
-		if c.from != except {
-			c.silence()
+		if c.from != exceptFrom {
+			c.blackhole()
 		}
 	}
 }
 
-// Dialer returns the dial function of a process at a place.
+// Dialer returns the dial function of a process at a location. Addresses without
+// a location are in the location "".
 func (n *Network) Dialer(from string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		n.mu.Lock()
-		to := n.place[addr]
-		cut := n.cut[[2]string{from, to}]
+		to := n.locations[addr]
+		partitioned := n.partitioned[[2]string{from, to}]
 		n.mu.Unlock()
-		if cut {
-			return nil, hang(ctx)
+		if partitioned {
+			return nil, awaitDialTimeout(ctx)
 		}
-		raw, err := (&net.Dialer{}).DialContext(ctx, network, addr)
+		tcpConn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		c := &conn{Conn: raw, network: n, from: from, to: to, delay: n.delay(from, to), closed: make(chan struct{})}
+		c := &conn{Conn: tcpConn, network: n, from: from, to: to, delay: n.delay(from, to), closed: make(chan struct{})}
 		n.mu.Lock()
 		n.conns[c] = struct{}{}
 		n.mu.Unlock()
@@ -108,35 +109,37 @@
 	}
 }
 
-func hang(ctx context.Context) error {
-	t := time.NewTimer(cutTimeout)
+// awaitDialTimeout blocks until the dial timeout passes or ctx ends, and returns
+// the error of a dial over a partition.
+func awaitDialTimeout(ctx context.Context) error {
+	t := time.NewTimer(partitionDialTimeout)
 	defer t.Stop()
 	select {
 	case <-t.C:
 	case <-ctx.Done():
 	}
-	return &net.OpError{Op: "dial", Net: "tcp", Err: ErrCut}
+	return &net.OpError{Op: "dial", Net: "tcp", Err: ErrPartitioned}
 }
 
-// conn delays what it carries and may go silent. Delay is put on the writes
-// of the dialling side and the reads of its answers, so that the other end
-// needs no wrapper.
+// conn delays its traffic and may be blackholed. Both delays are applied at the
+// dialling side, to its writes and its reads, so that the accepting side needs no
+// wrapper.
 type conn struct {
 	net.Conn
 	network  *Network
 	from, to string
 	delay    time.Duration
 
-	silent atomic.Bool
-	once   sync.Once
-	closed chan struct{}
+	blackholed atomic.Bool
+	closeOnce  sync.Once
+	closed     chan struct{}
 }
 
-func (c *conn) silence() { c.silent.Store(true) }
+func (c *conn) blackhole() { c.blackholed.Store(true) }
 
-// Write implements net.Conn; a silent connection takes the bytes and loses them.
+// Write implements net.Conn; a blackholed connection discards the bytes.
 func (c *conn) Write(b []byte) (int, error) {
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		return len(b), nil
 	}
 	if c.delay > 0 {
@@ -145,10 +148,10 @@
 	return c.Conn.Write(b)
 }
 
-// Read implements net.Conn; a silent connection blocks until it is closed.
+// Read implements net.Conn; a blackholed connection blocks until it is closed.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -160,7 +163,7 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
 		c.network.mu.Lock()
 		delete(c.network.conns, c)
--- a/internal/standin/logd/http.go
+++ b/internal/standin/logd/http.go
@@ -11,17 +11,19 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// PathKnobs takes GET and PUT of Knobs as JSON; PathTruncate takes POST with
-// the query parameter oldest.
+// Paths of the admin requests, which the platform's log doesn't have.
+// PathKnobs reads (GET) and replaces (PUT) the Knobs as JSON. PathTruncate
+// (POST) calls Truncate with the query parameter oldest.
 const (
 	PathKnobs    = "/admin/knobs"
 	PathTruncate = "/admin/truncate"
 )
 
-// maxRequestBytes leaves room for the envelope around MaxAppendBytes.
+// maxRequestBytes bounds a request body. It allows 1 MiB beyond MaxAppendBytes
+// for the JSON around the records.
 const maxRequestBytes = logstore.MaxAppendBytes + 1<<20
 
-// Handler serves the log and its admin paths.
+// Handler returns the HTTP handler of the log and of its admin requests.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+logstore.PathAppend, s.serveAppend)
@@ -40,7 +42,8 @@
 	}
 	first, err := s.Append(r.Context(), req.Records)
 	if errors.Is(err, logstore.ErrUncertain) {
-		// A lost acknowledgement looks to the client like a cut connection.
+		// Abort the connection, so that the client gets no response to an append
+		// that took effect.
 		panic(http.ErrAbortHandler)
 	}
 	reply(w, logstore.AppendResponse{First: first}, err)
@@ -52,7 +55,7 @@
 	limit, err2 := strconv.Atoi(q.Get("max"))
 	wait, err3 := strconv.ParseInt(q.Get("wait_ms"), 10, 64)
 	if err := errors.Join(err1, err2, err3); err != nil {
-		fail(w, http.StatusBadRequest, logstore.ErrorResponse{Error: err.Error()})
+		writeError(w, http.StatusBadRequest, logstore.ErrorResponse{Error: err.Error()})
 		return
 	}
 	page, err := s.Read(r.Context(), from, limit, time.Duration(wait)*time.Millisecond)
@@ -80,45 +83,48 @@
 func (s *Server) serveTruncate(w http.ResponseWriter, r *http.Request) {
 	oldest, err := strconv.ParseInt(r.URL.Query().Get("oldest"), 10, 64)
 	if err != nil {
-		fail(w, http.StatusBadRequest, logstore.ErrorResponse{Error: err.Error()})
+		writeError(w, http.StatusBadRequest, logstore.ErrorResponse{Error: err.Error()})
 		return
 	}
 	s.Truncate(oldest)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func decode(w http.ResponseWriter, r *http.Request, into any) bool {
+// decode parses the JSON body of r into target. On failure it responds with 400 and
+// returns false.
+func decode(w http.ResponseWriter, r *http.Request, target any) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err == nil {
-		err = json.Unmarshal(body, into)
+		err = json.Unmarshal(body, target)
 	}
 	if err != nil {
-		fail(w, http.StatusBadRequest, logstore.ErrorResponse{Error: err.Error()})
+		writeError(w, http.StatusBadRequest, logstore.ErrorResponse{Error: err.Error()})
 	}
 	return err == nil
 }
 
+// reply writes v, or the error response and status that stand for err on the wire.
 func reply(w http.ResponseWriter, v any, err error) {
 	var truncated *logstore.TruncatedError
-	var over *logstore.OverloadedError
+	var overloaded *logstore.OverloadedError
 	switch {
 	case err == nil:
 		writeJSON(w, http.StatusOK, v)
 	case errors.As(err, &truncated):
-		fail(w, http.StatusGone, logstore.ErrorResponse{Error: err.Error(), Oldest: truncated.Oldest})
-	case errors.As(err, &over):
-		fail(w, http.StatusTooManyRequests, logstore.ErrorResponse{
+		writeError(w, http.StatusGone, logstore.ErrorResponse{Error: err.Error(), Oldest: truncated.Oldest})
+	case errors.As(err, &overloaded):
+		writeError(w, http.StatusTooManyRequests, logstore.ErrorResponse{
 			Error:            err.Error(),
-			RetryAfterMillis: over.RetryAfter.Milliseconds() + 1,
+			RetryAfterMillis: overloaded.RetryAfter.Milliseconds() + 1,
 		})
 	case errors.Is(err, logstore.ErrBadRequest):
-		fail(w, http.StatusBadRequest, logstore.ErrorResponse{Error: err.Error()})
+		writeError(w, http.StatusBadRequest, logstore.ErrorResponse{Error: err.Error()})
 	default:
-		fail(w, http.StatusServiceUnavailable, logstore.ErrorResponse{Error: err.Error()})
+		writeError(w, http.StatusServiceUnavailable, logstore.ErrorResponse{Error: err.Error()})
 	}
 }
 
-func fail(w http.ResponseWriter, status int, doc logstore.ErrorResponse) {
+func writeError(w http.ResponseWriter, status int, doc logstore.ErrorResponse) {
 	writeJSON(w, status, doc)
 }
 
--- a/internal/standin/logd/logd.go
+++ b/internal/standin/logd/logd.go
@@ -1,5 +1,6 @@
-// Package logd stands in for the platform's log service in tests and demos: an
-// append-only log in memory, with the faults of the real one as knobs.
+// Package logd is a stand-in for the platform's log service, for tests and
+// demos: an append-only log in memory with configurable limits and injected
+// faults.
 package logd
 
 import (
@@ -13,62 +14,66 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// Knobs are the limits and faults in force. The zero value is a log without
-// limits that keeps everything.
+// Knobs are the limits and injected faults of the log. The zero value has no
+// limits, no faults and no expiry.
 type Knobs struct {
-	// AppendsPerSecond refuses what exceeds it; 0 means no limit.
+	// AppendsPerSecond is the rate limit of appends; those beyond it fail with
+	// ErrOverloaded. 0 means no limit.
 	AppendsPerSecond float64 `json:"appends_per_second"`
-	// RetentionMillis is the age at which entries expire; 0 means never.
+	// RetentionMillis is the age at which entries expire, in ms; 0 means never.
 	RetentionMillis int64 `json:"retention_ms"`
-	// Outage refuses every request at once.
+	// Outage fails every request immediately with ErrUnavailable.
 	Outage bool `json:"outage"`
-	// Hang holds every request until its caller gives up.
+	// Hang blocks every request until its context ends or Hang is reset.
 	Hang bool `json:"hang"`
-	// DelayMillis is added before each request.
+	// DelayMillis delays each request, in ms.
 	DelayMillis int64 `json:"delay_ms"`
-	// AckLoss is the share of appends that take effect unacknowledged.
+	// AckLoss is the probability that an append takes effect and fails with
+	// ErrUncertain, as when its acknowledgement is lost.
 	AckLoss float64 `json:"ack_loss"`
-	// LoseAcks is how many of the next appends lose their acknowledgement.
+	// LoseAcks is the number of appends still to fail in that way, regardless of
+	// AckLoss.
 	LoseAcks int `json:"lose_acks"`
 }
 
-// Options inject the clock and the random source.
+// Options configure a Server.
 type Options struct {
-	// Now reads the clock; nil means time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
-	// Seed seeds the acknowledgement loss.
+	// Seed seeds the random source of AckLoss.
 	Seed uint64
 }
 
-// Server is the log. It implements logstore.Log directly and is an
-// http.Handler for the same over HTTP.
+// Server is the log. It implements logstore.Log in process; Handler serves the
+// same operations over HTTP. Safe for concurrent use.
 type Server struct {
 	now func() time.Time
 
-	mu      sync.Mutex
-	knobs   Knobs
-	rng     *rand.Rand
-	entries []stored
-	oldest  int64
-	appends int64
-	tokens  float64
-	refill  time.Time
-	// grown is closed and replaced at each append.
-	grown chan struct{}
-	// changed is closed and replaced when the knobs change.
-	changed chan struct{}
+	mu         sync.Mutex
+	knobs      Knobs
+	rng        *rand.Rand
+	entries    []storedEntry
+	oldest     int64
+	appends    int64
+	tokens     float64
+	lastRefill time.Time
+	// appended is closed and replaced at each append, which wakes waiting reads.
+	appended chan struct{}
+	// knobsChanged is closed and replaced when the knobs change, which wakes
+	// requests blocked by Hang.
+	knobsChanged chan struct{}
 }
 
-type stored struct {
-	entry logstore.Entry
-	at    time.Time
+type storedEntry struct {
+	entry      logstore.Entry
+	appendedAt time.Time
 }
 
 var (
 	_ logstore.Log = (*Server)(nil)
 
-	errOutage  = errors.New("log stand-in is out")
-	errAckLost = errors.New("log stand-in dropped the acknowledgement")
+	errOutage  = errors.New("log stand-in is unavailable: outage is injected")
+	errAckLost = errors.New("log stand-in lost the acknowledgement of the append: ack loss is injected")
 )
 
 // New returns an empty log.
@@ -77,43 +82,44 @@
 		opts.Now = time.Now
 	}
 	return &Server{
-		now:     opts.Now,
-		rng:     rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
-		refill:  opts.Now(),
-		grown:   make(chan struct{}),
-		changed: make(chan struct{}),
+		now:          opts.Now,
+		rng:          rand.New(rand.NewPCG(opts.Seed, opts.Seed)),
+		lastRefill:   opts.Now(),
+		appended:     make(chan struct{}),
+		knobsChanged: make(chan struct{}),
 	}
 }
 
-// Knobs returns the knobs in force.
+// Knobs returns the current knobs.
 func (s *Server) Knobs() Knobs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.knobs
 }
 
-// SetKnobs puts k in force; hanging requests go on when Hang ends.
+// SetKnobs replaces the knobs. Requests blocked by Hang proceed when k resets it.
 func (s *Server) SetKnobs(k Knobs) {
-	s.Update(func(now *Knobs) { *now = k })
+	s.Update(func(current *Knobs) { *current = k })
 }
 
-// Update changes single knobs.
+// Update changes the knobs in place. change must not call the Server: it runs
+// under the Server's lock.
 func (s *Server) Update(change func(*Knobs)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.knobs)
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.knobsChanged)
+	s.knobsChanged = make(chan struct{})
 }
 
-// Truncate expires every entry below oldest.
+// Truncate expires every entry with an offset below oldest.
 func (s *Server) Truncate(oldest int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.truncateLocked(oldest)
 }
 
-// Appends returns how many appends took effect.
+// Appends returns the number of appends that took effect, acknowledged or not.
 func (s *Server) Appends() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,13 +131,13 @@
 	if err := logstore.CheckRecords(records); err != nil {
 		return 0, err
 	}
-	if err := s.enter(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if wait := s.overLocked(); wait > 0 {
-		return 0, &logstore.OverloadedError{RetryAfter: wait}
+	if retryAfter := s.takeTokenLocked(); retryAfter > 0 {
+		return 0, &logstore.OverloadedError{RetryAfter: retryAfter}
 	}
 	first := s.appendLocked(records)
 	if s.loseAckLocked() {
@@ -142,19 +148,19 @@
 
 // Read implements logstore.Log.
 func (s *Server) Read(ctx context.Context, from int64, max int, wait time.Duration) (logstore.Page, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return logstore.Page{}, err
 	}
 	max = clamp(max, logstore.MaxPageEntries)
 	timer := time.NewTimer(min(wait, logstore.MaxWait))
 	defer timer.Stop()
 	for {
-		page, grown, err := s.page(from, max)
+		page, appended, err := s.readPage(from, max)
 		if err != nil || len(page.Entries) > 0 || wait <= 0 {
 			return page, err
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-timer.C:
 			return page, nil
 		case <-ctx.Done():
@@ -165,7 +171,7 @@
 
 // Head implements logstore.Log.
 func (s *Server) Head(ctx context.Context) (int64, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.applyFaults(ctx); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
@@ -173,11 +179,12 @@
 	return s.headLocked(), nil
 }
 
-// enter applies delay, hang and outage. What it refuses has not taken effect.
-func (s *Server) enter(ctx context.Context) error {
+// applyFaults applies Outage, Hang and DelayMillis to a request. A request that
+// fails here has not taken effect.
+func (s *Server) applyFaults(ctx context.Context) error {
 	for {
 		s.mu.Lock()
-		k, changed := s.knobs, s.changed
+		k, knobsChanged := s.knobs, s.knobsChanged
 		s.mu.Unlock()
 		if k.Outage {
 			return &logstore.UnavailableError{Cause: errOutage}
@@ -186,14 +193,17 @@
 			return delay(ctx, time.Duration(k.DelayMillis)*time.Millisecond)
 		}
 		select {
-		case <-changed:
+		case <-knobsChanged:
 		case <-ctx.Done():
 			return &logstore.UnavailableError{Cause: ctx.Err()}
 		}
 	}
 }
 
-func (s *Server) page(from int64, max int) (logstore.Page, chan struct{}, error) {
+// readPage returns the entries that are present from offset from on, and the
+// channel that the next append closes. A page holds at least one entry if there
+// is one, else at most MaxPageBytes/2 of bodies.
+func (s *Server) readPage(from int64, max int) (logstore.Page, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked()
@@ -212,7 +222,7 @@
 		page.Entries = append(page.Entries, e)
 		page.Next++
 	}
-	return page, s.grown, nil
+	return page, s.appended, nil
 }
 
 func (s *Server) headLocked() int64 { return s.oldest + int64(len(s.entries)) }
@@ -223,11 +233,11 @@
 	now := s.now()
 	for i, r := range records {
 		e := logstore.Entry{Offset: first + int64(i), Record: r}
-		s.entries = append(s.entries, stored{entry: e, at: now})
+		s.entries = append(s.entries, storedEntry{entry: e, appendedAt: now})
 	}
 	s.appends++
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.appended)
+	s.appended = make(chan struct{})
 	return first
 }
 
@@ -235,9 +245,9 @@
 	if s.knobs.RetentionMillis <= 0 {
 		return
 	}
-	limit := s.now().Add(-time.Duration(s.knobs.RetentionMillis) * time.Millisecond)
+	cutoff := s.now().Add(-time.Duration(s.knobs.RetentionMillis) * time.Millisecond)
 	n := 0
-	for n < len(s.entries) && s.entries[n].at.Before(limit) {
+	for n < len(s.entries) && s.entries[n].appendedAt.Before(cutoff) {
 		n++
 	}
 	s.truncateLocked(s.oldest + int64(n))
@@ -248,19 +258,20 @@
 	if n <= 0 {
 		return
 	}
-	s.entries = append([]stored(nil), s.entries[n:]...)
+	s.entries = append([]storedEntry(nil), s.entries[n:]...)
 	s.oldest += n
 }
 
-// overLocked takes a token and returns how long to wait when there is none.
-func (s *Server) overLocked() time.Duration {
+// takeTokenLocked takes a token of the rate limit and returns 0. Without a token it
+// returns the time until the next one.
+func (s *Server) takeTokenLocked() time.Duration {
 	rate := s.knobs.AppendsPerSecond
 	if rate <= 0 {
 		return 0
 	}
 	now := s.now()
-	s.tokens = min(max(1, rate/10), s.tokens+rate*now.Sub(s.refill).Seconds())
-	s.refill = now
+	s.tokens = min(max(1, rate/10), s.tokens+rate*now.Sub(s.lastRefill).Seconds())
+	s.lastRefill = now
 	if s.tokens < 1 {
 		return time.Duration((1 - s.tokens) / rate * float64(time.Second))
 	}
@@ -276,8 +287,10 @@
 	return s.knobs.AckLoss > 0 && s.rng.Float64() < s.knobs.AckLoss
 }
 
-func clamp(n, most int) int { return min(max(n, 1), most) }
+// clamp returns n bounded to 1..limit.
+func clamp(n, limit int) int { return min(max(n, 1), limit) }
 
+// delay blocks for d. It fails with ErrUnavailable when ctx ends first.
 func delay(ctx context.Context, d time.Duration) error {
 	if d > 0 && !wait.For(ctx, d) {
 		return &logstore.UnavailableError{Cause: ctx.Err()}
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream stands in for a service's VM: a fixed number of slots, a
-// service time, calls to deeper services, and the faults of real ones. It
-// keeps its own count of what ran, independent of the nodes.
+// Package upstream is a stand-in for an upstream: it has a fixed number of slots
+// and a service time, calls downstream services, and can crash, slow down and
+// start cold. It records its executions in a Ledger, independently of the nodes.
 package upstream
 
 import (
@@ -21,80 +21,88 @@
 	"github.com/galenagrade/galenagrade/internal/wait"
 )
 
-// Headers by which a test follows one logical operation along the chain.
+// Headers that identify one logical operation along the call chain.
 const (
-	// HeaderOp names the logical operation of the first caller.
+	// HeaderOp is the ID of the first caller's logical operation.
 	HeaderOp = "X-Bench-Op"
-	// HeaderAttempt names one sending of it by the first caller.
+	// HeaderAttempt is the ID of one attempt of the operation by the first caller.
 	HeaderAttempt = "X-Bench-Attempt"
-	// HeaderPoison crashes the upstream whose service it names.
+	// HeaderPoison is the name of the service whose upstream crashes when it runs
+	// the request.
 	HeaderPoison = "X-Bench-Poison"
-	// HeaderIssued is when the logical operation began; the keys of its calls
-	// are no older.
+	// HeaderIssued is the start time of the logical operation, in RFC 3339. The
+	// idempotency keys of its calls are no older.
 	HeaderIssued = "X-Bench-Issued"
 )
 
-// Step is one call to a deeper service.
+// Step is one call to a downstream service.
 type Step struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 }
 
-// Operation is what the service does for one path.
+// Operation describes how the service handles requests for one path.
 type Operation struct {
-	// Mean service time of the own work, before the steps.
+	// Mean is the mean service time without the steps, which follow it.
 	Mean time.Duration `json:"mean"`
-	// Fixed makes every service time the mean.
+	// Fixed makes every service time equal to Mean.
 	Fixed bool `json:"fixed"`
-	// Steps are made one after another while the slot is held.
+	// Steps are called one after another, while the request occupies its slot.
 	Steps []Step `json:"steps"`
 }
 
 // Config describes one upstream.
 type Config struct {
 	Name, Service string
-	Slots         int
-	// Connections bounds those open; more are closed at once.
+	// Slots is the number of requests that run at a time; others wait.
+	Slots int
+	// Connections bounds the open connections; those beyond it are closed at
+	// once.
 	Connections int
-	Operations  map[string]Operation
-	Seed        uint64
+	// Operations are by path; a request for another path gets 404.
+	Operations map[string]Operation
+	// Seed seeds the random service times.
+	Seed uint64
 }
 
-// Child makes the calls to deeper services; it returns the status.
-type Child func(ctx context.Context, step Step, parent http.Header) (status int, body []byte, err error)
+// CallFunc calls a downstream service for the request whose headers are parent. It
+// returns the HTTP status and the body of the response.
+type CallFunc func(ctx context.Context, step Step, parent http.Header) (status int, body []byte, err error)
 
-// Run is one execution that began here.
+// Run is one execution of a request.
 type Run struct {
-	// Upstream is the name of the upstream that ran it.
-	Upstream                        string
+	// Upstream is the name of the upstream that ran the request.
+	Upstream string
+	// Op and Attempt are the values of HeaderOp and HeaderAttempt, Key that of
+	// Idempotency-Key.
 	Op, Attempt, Service, Path, Key string
-	// Poison says that it killed the upstream.
+	// Poison reports that the request crashed the upstream.
 	Poison bool
-	// Done says that it ran to its end.
-	Done bool
+	// Completed reports that the execution and all its steps succeeded.
+	Completed bool
 }
 
-// Ledger collects the executions of all upstreams. Safe for concurrent use.
+// Ledger records the executions of several upstreams. Safe for concurrent use.
 type Ledger struct {
 	mu   sync.Mutex
 	runs []*Run
 }
 
-func (l *Ledger) begin(r Run) *Run {
+func (l *Ledger) start(r Run) *Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs = append(l.runs, &r)
 	return &r
 }
 
-func (l *Ledger) done(r *Run) {
+func (l *Ledger) complete(r *Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.Done = true
+	r.Completed = true
 }
 
-// Runs returns a copy of what was recorded.
+// Runs returns a copy of the recorded executions, in order of their start.
 func (l *Ledger) Runs() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,42 +113,42 @@
 	return out
 }
 
-// Server is one running upstream.
+// Server is one upstream. Safe for concurrent use.
 type Server struct {
-	cfg    Config
-	child  Child
-	ledger *Ledger
-	slots  chan struct{}
-	slow   atomic.Int64 // factor on service times, in thousandths
-	// waiting counts requests without a slot.
+	cfg           Config
+	call          CallFunc
+	ledger        *Ledger
+	slots         chan struct{}
+	slowdownMilli atomic.Int64 // factor on service times, in thousandths
+	// waiting counts the requests that wait for a slot.
 	waiting atomic.Int64
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	listener net.Listener
-	server   *http.Server
-	addr     string
-	crashes  int
-	started  time.Time
-	coldFor  time.Duration
-	lastRun  time.Time
+	mu        sync.Mutex
+	rng       *rand.Rand
+	listener  net.Listener
+	server    *http.Server
+	addr      string
+	crashes   int
+	started   time.Time
+	warmup    time.Duration
+	lastStart time.Time
 }
 
-// New makes an upstream that is not listening yet.
-func New(cfg Config, child Child, ledger *Ledger) *Server {
+// New returns an upstream that doesn't listen yet.
+func New(cfg Config, call CallFunc, ledger *Ledger) *Server {
 	s := &Server{
 		cfg:    cfg,
-		child:  child,
+		call:   call,
 		ledger: ledger,
 		slots:  make(chan struct{}, cfg.Slots),
 		rng:    rand.New(rand.NewPCG(cfg.Seed, 1)),
 	}
-	s.slow.Store(1000)
+	s.slowdownMilli.Store(1000)
 	return s
 }
 
-// Start listens on loopback; the first start chooses the address, later ones
-// use it again, as a process restarted on its VM does.
+// Start listens on loopback and serves. The first start picks a free port; later
+// ones reuse it, like a process that restarts on its VM.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,22 +161,23 @@
 		return fmt.Errorf("upstream %s: %w", s.cfg.Name, err)
 	}
 	s.addr = l.Addr().String()
-	s.listener = &limitListener{Listener: l, room: make(chan struct{}, s.cfg.Connections)}
-	// Errors of single connections are part of the experiments.
+	s.listener = &limitListener{Listener: l, permits: make(chan struct{}, s.cfg.Connections)}
+	// Connection errors are expected here: the experiments inject them.
 	s.server = &http.Server{Handler: s, ErrorLog: log.New(io.Discard, "", 0)}
 	s.started = time.Now()
 	go func(srv *http.Server, l net.Listener) { _ = srv.Serve(l) }(s.server, s.listener)
 	return nil
 }
 
-// Addr returns where it listens.
+// Addr returns the listen address; empty before the first Start.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addr
 }
 
-// Crash ends the process: every connection breaks.
+// Crash emulates the crash of the process: it closes the listener and all
+// connections at once.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	srv := s.server
@@ -180,33 +189,33 @@
 	}
 }
 
-// Up reports whether it listens.
+// Up reports whether the upstream listens.
 func (s *Server) Up() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.server != nil
 }
 
-// Crashes returns how often it died.
+// Crashes returns the number of crashes.
 func (s *Server) Crashes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.crashes
 }
 
-// SetSlowdown multiplies service times.
-func (s *Server) SetSlowdown(factor float64) { s.slow.Store(int64(factor * 1000)) }
+// SetSlowdown sets the factor on all service times that are not fixed.
+func (s *Server) SetSlowdown(factor float64) { s.slowdownMilli.Store(int64(factor * 1000)) }
 
-// SetCold makes service times fall from ten times to normal over d from the
-// next start on.
-func (s *Server) SetCold(d time.Duration) {
+// SetWarmup makes service times fall linearly from 10 times to normal over d after
+// each start from now on.
+func (s *Server) SetWarmup(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.coldFor = d
+	s.warmup = d
 }
 
-// coldFactor is the slowness of a process that has just started.
-const coldFactor = 10
+// warmupSlowdown is the factor on service times right after a start with warmup.
+const warmupSlowdown = 10
 
 func (s *Server) serviceTime(op Operation) time.Duration {
 	if op.Fixed {
@@ -214,29 +223,32 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// Half of it fixed, half exponential: a floor as real work has, and a tail.
+	// Half is constant and half exponential, which gives a minimum and a long tail.
+	// The tail is cut at 6 times its mean.
 	d := float64(op.Mean) * (0.5 + 0.5*min(s.rng.ExpFloat64(), 6))
-	if left := s.coldFor - time.Since(s.started); left > 0 {
-		d *= 1 + (coldFactor-1)*float64(left)/float64(s.coldFor)
+	if remaining := s.warmup - time.Since(s.started); remaining > 0 {
+		d *= 1 + (warmupSlowdown-1)*float64(remaining)/float64(s.warmup)
 	}
-	return time.Duration(d * float64(s.slow.Load()) / 1000)
+	return time.Duration(d * float64(s.slowdownMilli.Load()) / 1000)
 }
 
-// ServeHTTP runs one request: it waits for a slot, works, and calls deeper.
+// ServeHTTP handles one request: it waits for a slot, sleeps for the service time
+// and calls the steps. Without a slot, or without the service time, before the
+// deadline the response is 504; a failed step gives 502.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	op, ok := s.cfg.Operations[r.URL.Path]
 	if !ok {
 		http.NotFound(w, r)
 		return
 	}
-	ctx, cancel := withTimeout(r)
+	ctx, cancel := requestContext(r)
 	defer cancel()
 	if !s.takeSlot(ctx) {
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return
 	}
 	defer func() { <-s.slots }()
-	run := s.ledger.begin(Run{
+	run := s.ledger.start(Run{
 		Upstream: s.cfg.Name,
 		Op:       r.Header.Get(HeaderOp),
 		Attempt:  r.Header.Get(HeaderAttempt),
@@ -245,7 +257,7 @@
 		Key:      r.Header.Get("Idempotency-Key"),
 		Poison:   r.Header.Get(HeaderPoison) == s.cfg.Service,
 	})
-	s.began()
+	s.recordStart()
 	if run.Poison {
 		go s.Crash()
 		<-r.Context().Done()
@@ -254,7 +266,7 @@
 	s.execute(ctx, w, r, op, run)
 }
 
-// takeSlot waits for a slot, and reports false when ctx ends first.
+// takeSlot waits for a slot. It returns false when ctx ends first.
 func (s *Server) takeSlot(ctx context.Context) bool {
 	s.waiting.Add(1)
 	defer s.waiting.Add(-1)
@@ -266,22 +278,22 @@
 	}
 }
 
-// Load returns how many slots are in use and how many requests wait for one.
+// Load returns the number of slots in use and of requests that wait for one.
 func (s *Server) Load() (busy, waiting int) {
 	return len(s.slots), int(s.waiting.Load())
 }
 
-func (s *Server) began() {
+func (s *Server) recordStart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastRun = time.Now()
+	s.lastStart = time.Now()
 }
 
-// LastBegin returns when the last execution began.
-func (s *Server) LastBegin() time.Time {
+// LastStart returns the start time of the latest execution; zero before the first.
+func (s *Server) LastStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lastRun
+	return s.lastStart
 }
 
 func (s *Server) execute(ctx context.Context, w http.ResponseWriter, r *http.Request, op Operation, run *Run) {
@@ -290,34 +302,34 @@
 		return
 	}
 	for _, step := range op.Steps {
-		status, _, err := s.child(ctx, step, r.Header)
+		status, _, err := s.call(ctx, step, r.Header)
 		if err != nil || status >= http.StatusBadRequest {
 			w.Header().Set("Galena-Context", r.Header.Get("Galena-Context"))
 			w.WriteHeader(http.StatusBadGateway)
 			return
 		}
 	}
-	s.ledger.done(run)
-	s.answer(w, r)
+	s.ledger.complete(run)
+	s.writeResponse(w, r)
 }
 
-// Answer is what an upstream sends back; Op lets the caller check that it is
-// the answer to its own request.
-type Answer struct {
+// Response is the body of an upstream's response. Op lets the caller check that
+// the response belongs to its own request.
+type Response struct {
 	Op      string `json:"op"`
 	Service string `json:"service"`
 	Filler  string `json:"filler"`
 }
 
-// Complete reports whether nothing of the answer is missing.
-func (a *Answer) Complete() bool { return a.Filler == filler }
+// IsComplete reports whether the filler arrived in full and unchanged.
+func (a *Response) IsComplete() bool { return a.Filler == filler }
 
-// fillerBytes brings an answer to about 1 KB.
+// fillerBytes makes a response about 1 KB long.
 const fillerBytes = 900
 
-var filler = fill(fillerBytes)
+var filler = newFiller(fillerBytes)
 
-func fill(n int) string {
+func newFiller(n int) string {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = 'a' + byte(i%26)
@@ -325,8 +337,8 @@
 	return string(b)
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request) {
-	body, err := json.Marshal(Answer{Op: r.Header.Get(HeaderOp), Service: s.cfg.Service, Filler: filler})
+func (s *Server) writeResponse(w http.ResponseWriter, r *http.Request) {
+	body, err := json.Marshal(Response{Op: r.Header.Get(HeaderOp), Service: s.cfg.Service, Filler: filler})
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -336,17 +348,19 @@
 	_, _ = w.Write(body)
 }
 
-func withTimeout(r *http.Request) (context.Context, context.CancelFunc) {
+// requestContext returns the context of r, bounded by its Galena-Timeout header.
+func requestContext(r *http.Request) (context.Context, context.CancelFunc) {
 	if d, err := time.ParseDuration(r.Header.Get("Galena-Timeout")); err == nil {
 		return context.WithTimeout(r.Context(), d)
 	}
 	return context.WithCancel(r.Context())
 }
 
-// limitListener bounds the open connections; those beyond it are closed.
+// limitListener bounds the open connections: it closes accepted ones beyond the
+// limit at once.
 type limitListener struct {
 	net.Listener
-	room chan struct{}
+	permits chan struct{}
 }
 
 // Accept implements net.Listener.
@@ -357,8 +371,8 @@
 			return nil, err
 		}
 		select {
-		case l.room <- struct{}{}:
-			return conns.OnClose(c, func() { <-l.room }), nil
+		case l.permits <- struct{}{}:
+			return conns.OnClose(c, func() { <-l.permits }), nil
 		default:
 			_ = c.Close()
 		}
