--- a/internal/ceiling/ceiling.go
+++ b/internal/ceiling/ceiling.go
@@ -1,6 +1,7 @@
-// Package ceiling works out how much of the worth that callers ask for the scarcest
-// service of a graph leaves room for, whatever decides on them: an upper bound to
-// measure admission against. It is pure: no I/O, no clock.
+// Package ceiling computes an upper bound on the worth that admission can achieve:
+// the share of the offered worth that the capacity of the scarcest service of a call
+// graph allows, regardless of the admission policy. The results of runs are compared
+// with it. The computation does no I/O and reads no clock.
 package ceiling
 
 import (
@@ -14,61 +15,66 @@
 	"github.com/pkg/errors"
 )
 
-// Upstream is one upstream of the scarce service.
+// Upstream is one upstream of the scarce service, that is, the service with the least
+// capacity for its load.
 type Upstream struct {
-	// Slots is how many calls it runs at once.
+	// Slots is the number of calls that the upstream runs at a time.
 	Slots float64 `json:"slots"`
-	// CallMS is how long a call takes there on average, in milliseconds.
+	// CallMS is the mean duration of a call there, in milliseconds.
 	CallMS float64 `json:"call_ms"`
 }
 
 // Kind is one kind of request.
 type Kind struct {
 	Name string `json:"name"`
-	// Rate is how many callers ask each second.
+	// Rate is the number of requests per second.
 	Rate float64 `json:"rate"`
-	// Worth is that of one request answered in time.
+	// Worth is the value of one request that gets its response in time.
 	Worth float64 `json:"worth"`
-	// Calls of the scarce service that a request makes, one after the other; 0 for a
-	// kind that needs none.
+	// Calls is the number of sequential calls that a request makes to the scarce
+	// service; 0 for a kind that doesn't use it.
 	Calls float64 `json:"calls"`
-	// Length is how long its calls take, in usual calls. Default 1.
+	// Length is the duration of its calls as a multiple of CallMS. Default 1.
 	Length float64 `json:"length"`
-	// Tries is how often a caller sends a request at most. Default 1.
+	// Tries is the maximum number of attempts per request. Default 1.
 	Tries float64 `json:"tries"`
 }
 
-// Window is a time in which nothing changes.
+// Window is a period with constant load, capacity and faults.
 type Window struct {
 	Name      string     `json:"name"`
 	Seconds   float64    `json:"seconds"`
 	Kinds     []Kind     `json:"kinds"`
 	Upstreams []Upstream `json:"upstreams"`
-	// Refused is the share of calls that the scarce service refuses at random.
+	// Refused is the probability that the scarce service refuses a call.
 	Refused float64 `json:"refused"`
-	// Partitioned is the share of callers who are cut off from the scarce service.
+	// Partitioned is the share of callers that a partition separates from the scarce
+	// service.
 	Partitioned float64 `json:"apart"`
 }
 
-// Share is what fits of one kind.
-type Share struct {
+// KindBound is the bound for one kind of request.
+type KindBound struct {
 	Name string `json:"name"`
-	// Chance is the part that would be answered with slots without end.
-	Chance float64 `json:"chance"`
-	// Fits is the part that the slots leave room for.
-	Fits float64 `json:"fits"`
+	// SuccessShare is the share of requests that would succeed with unlimited slots.
+	SuccessShare float64 `json:"chance"`
+	// AchievableShare is the share of requests that can succeed with the slots of the
+	// window.
+	AchievableShare float64 `json:"fits"`
 }
 
 // Result is the bound of a window.
 type Result struct {
 	Name string `json:"name"`
-	// Offered is the worth that callers ask for, Fits the part of it that is possible.
-	Offered float64 `json:"offered"`
-	Fits    float64 `json:"fits"`
-	Kinds   []Share `json:"kinds"`
+	// Offered is the total worth of all requests, AchievableShare the share of it that
+	// can be achieved.
+	Offered         float64     `json:"offered"`
+	AchievableShare float64     `json:"fits"`
+	Kinds           []KindBound `json:"kinds"`
 }
 
-// Read decodes and validates windows; unknown fields are errors.
+// Read decodes windows from JSON, sets defaults and validates them. Unknown fields are
+// errors.
 func Read(r io.Reader) ([]Window, error) {
 	var windows []Window
 	dec := json.NewDecoder(r)
@@ -77,43 +83,44 @@
 		return nil, errors.Wrap(err, "windows")
 	}
 	for i := range windows {
-		if err := windows[i].complete(); err != nil {
+		if err := windows[i].setDefaultsAndValidate(); err != nil {
 			return nil, err
 		}
 	}
 	return windows, nil
 }
 
-// complete fills in defaults and returns an error that names the first field out of
-// bounds, its value and the bound.
-func (w *Window) complete() error {
-	checks := []bound{{"seconds", w.Seconds, 0.001, 1e6}, {"refused", w.Refused, 0, 1}, {"apart", w.Partitioned, 0, 1}}
+// setDefaultsAndValidate sets defaults and returns an error that names the first field
+// out of bounds, its value and its bounds.
+func (w *Window) setDefaultsAndValidate() error {
+	checks := []fieldBounds{{"seconds", w.Seconds, 0.001, 1e6}, {"refused", w.Refused, 0, 1}, {"apart", w.Partitioned, 0, 1}}
 	for i := range w.Upstreams {
 		u := &w.Upstreams[i]
-		checks = append(checks, bound{"upstreams.slots", u.Slots, 1, 1 << 16}, bound{"upstreams.call_ms", u.CallMS, 0.001, 1e6})
+		checks = append(checks, fieldBounds{"upstreams.slots", u.Slots, 1, 1 << 16}, fieldBounds{"upstreams.call_ms", u.CallMS, 0.001, 1e6})
 	}
 	for i := range w.Kinds {
 		k := &w.Kinds[i]
 		k.Length = cmp.Or(k.Length, 1)
 		k.Tries = cmp.Or(k.Tries, 1)
-		checks = append(checks, bound{"kinds.rate", k.Rate, 0, 1e9}, bound{"kinds.worth", k.Worth, 0, 1e9},
-			bound{"kinds.calls", k.Calls, 0, 1000}, bound{"kinds.length", k.Length, 0.001, 1000}, bound{"kinds.tries", k.Tries, 1, 100})
+		checks = append(checks, fieldBounds{"kinds.rate", k.Rate, 0, 1e9}, fieldBounds{"kinds.worth", k.Worth, 0, 1e9},
+			fieldBounds{"kinds.calls", k.Calls, 0, 1000}, fieldBounds{"kinds.length", k.Length, 0.001, 1000}, fieldBounds{"kinds.tries", k.Tries, 1, 100})
 	}
 	for _, c := range checks {
-		if math.IsNaN(c.value) || c.value < c.least || c.value > c.most {
-			return errors.Errorf("window %q: %s is %v, must be %v to %v", w.Name, c.field, c.value, c.least, c.most)
+		if math.IsNaN(c.value) || c.value < c.min || c.value > c.max {
+			return errors.Errorf("window %q: %s is %v, must be %v to %v", w.Name, c.field, c.value, c.min, c.max)
 		}
 	}
 	return nil
 }
 
-// bound is a field with its bounds.
-type bound struct {
-	field              string
-	value, least, most float64
+// fieldBounds is the value of a field with its bounds.
+type fieldBounds struct {
+	field           string
+	value, min, max float64
 }
 
-// capacity is how many usual calls the scarce service runs in the window.
+// capacity returns the number of calls of Length 1 that the scarce service can run in
+// the window.
 func (w *Window) capacity() float64 {
 	sum := 0.0
 	for _, u := range w.Upstreams {
@@ -122,43 +129,45 @@
 	return sum * w.Seconds
 }
 
-// chance is the part of a kind that lots and cuts leave, all tries together.
-func (w *Window) chance(k *Kind) float64 {
+// successShare returns the probability that a request of kind k succeeds within its
+// attempts, given random refusals and partitions but unlimited slots.
+func (w *Window) successShare(k *Kind) float64 {
 	if k.Calls == 0 {
 		return 1
 	}
-	once := math.Pow(1-w.Refused, k.Calls)
-	return (1 - w.Partitioned) * (1 - math.Pow(1-once, k.Tries))
+	attemptSuccess := math.Pow(1-w.Refused, k.Calls)
+	return (1 - w.Partitioned) * (1 - math.Pow(1-attemptSuccess, k.Tries))
 }
 
-// Bound returns what fits into the window: whole requests, those worth most for the
-// room that they take first. Requests that fail are taken to need no room, so nothing
-// can do better.
+// Bound returns the bound of the window. It allots the capacity to whole requests in
+// descending order of worth per call. Requests that fail are assumed to use no
+// capacity, so no allocation achieves more.
 func (w *Window) Bound() Result {
-	out := Result{Name: w.Name, Kinds: make([]Share, len(w.Kinds))}
-	order := make([]int, len(w.Kinds))
-	for i := range order {
-		order[i] = i
+	out := Result{Name: w.Name, Kinds: make([]KindBound, len(w.Kinds))}
+	byDensity := make([]int, len(w.Kinds))
+	for i := range byDensity {
+		byDensity[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(w.density(b), w.density(a)) })
-	left, fits := w.capacity(), 0.0
-	for _, i := range order {
+	slices.SortStableFunc(byDensity, func(a, b int) int { return cmp.Compare(w.density(b), w.density(a)) })
+	remaining, achieved := w.capacity(), 0.0
+	for _, i := range byDensity {
 		k := &w.Kinds[i]
 		offered := k.Rate * w.Seconds
-		served := offered * w.chance(k)
-		if room := k.Calls * k.Length; room > 0 {
-			served = min(served, left/room)
-			left -= served * room
+		served := offered * w.successShare(k)
+		if cost := k.Calls * k.Length; cost > 0 {
+			served = min(served, remaining/cost)
+			remaining -= served * cost
 		}
-		out.Kinds[i] = Share{Name: k.Name, Chance: w.chance(k), Fits: share(served, offered)}
+		out.Kinds[i] = KindBound{Name: k.Name, SuccessShare: w.successShare(k), AchievableShare: ratio(served, offered)}
 		out.Offered += offered * k.Worth
-		fits += served * k.Worth
+		achieved += served * k.Worth
 	}
-	out.Fits = share(fits, out.Offered)
+	out.AchievableShare = ratio(achieved, out.Offered)
 	return out
 }
 
-// density is the worth of a kind for the room that it takes.
+// density returns the worth of kind i per call of Length 1; infinite for a kind that
+// makes no calls.
 func (w *Window) density(i int) float64 {
 	k := &w.Kinds[i]
 	if k.Calls == 0 {
@@ -167,18 +176,19 @@
 	return k.Worth / (k.Calls * k.Length)
 }
 
-func share(part, whole float64) float64 {
+// ratio returns part/whole, and 1 for an empty whole.
+func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 1
 	}
 	return part / whole
 }
 
-// String says the result in one line.
+// String formats the result as one line.
 func (r Result) String() string {
-	line := fmt.Sprintf("%-24s fits %.3f of the worth", r.Name, r.Fits)
+	line := fmt.Sprintf("%-24s fits %.3f of the worth", r.Name, r.AchievableShare)
 	for _, k := range r.Kinds {
-		line += fmt.Sprintf("; %s %.2f", k.Name, k.Fits)
+		line += fmt.Sprintf("; %s %.2f", k.Name, k.AchievableShare)
 	}
 	return line
 }
--- a/internal/ceiling/ceiling_test.go
+++ b/internal/ceiling/ceiling_test.go
@@ -8,36 +8,39 @@
 	"pgregory.net/rapid"
 )
 
-const short = `[{"name": "short", "seconds": 10,
+const scarceServiceJSON = `[{"name": "short", "seconds": 10,
   "upstreams": [{"slots": 15, "call_ms": 50}],
   "kinds": [
     {"name": "filing", "rate": 20, "worth": 3, "calls": 8},
     {"name": "lookup", "rate": 100, "worth": 1, "calls": 4},
     {"name": "upload", "rate": 5, "worth": 2, "calls": 0}]}]`
 
-// One upstream of 300 calls a second: 160 are for filings, 140 are left for 35 of 100
-// lookups; uploads need none.
-func TestBoundOfAShortService(t *testing.T) {
-	windows, err := Read(strings.NewReader(short))
+// Guards against an allotment that ignores worth per call. One upstream runs 300 calls
+// per second: 160 go to filings, which leaves 140 for 35 of 100 lookups; uploads make no
+// calls.
+func TestBoundOfScarceService(t *testing.T) {
+	windows, err := Read(strings.NewReader(scarceServiceJSON))
 	must.NoError(t, err)
 	r := windows[0].Bound()
-	must.InDelta(t, 1.0, r.Kinds[0].Fits, 1e-9)
-	must.InDelta(t, 0.35, r.Kinds[1].Fits, 1e-9)
-	must.InDelta(t, 1.0, r.Kinds[2].Fits, 1e-9)
-	must.InDelta(t, (60.0+35+10)/170, r.Fits, 1e-9)
+	must.InDelta(t, 1.0, r.Kinds[0].AchievableShare, 1e-9)
+	must.InDelta(t, 0.35, r.Kinds[1].AchievableShare, 1e-9)
+	must.InDelta(t, 1.0, r.Kinds[2].AchievableShare, 1e-9)
+	must.InDelta(t, (60.0+35+10)/170, r.AchievableShare, 1e-9)
 }
 
-// Calls refused at random: a request of eight calls at 45 % has one chance in 600.
-func TestBoundOfRefusalsAtRandom(t *testing.T) {
+// Guards against a bound that ignores random refusals: a request of 8 calls that each
+// pass with 45 % succeeds once in 600.
+func TestBoundOfRandomRefusals(t *testing.T) {
 	w := Window{Seconds: 1, Refused: 0.55, Upstreams: []Upstream{{1000, 1}}, Kinds: []Kind{
 		{Name: "filing", Rate: 10, Worth: 3, Calls: 8}, {Name: "notice", Rate: 10, Worth: 1, Calls: 1, Tries: 2},
 	}}
-	must.NoError(t, w.complete())
+	must.NoError(t, w.setDefaultsAndValidate())
 	r := w.Bound()
-	must.InDelta(t, 0.00168, r.Kinds[0].Chance, 1e-4)
-	must.InDelta(t, 1-0.55*0.55, r.Kinds[1].Chance, 1e-9)
+	must.InDelta(t, 0.00168, r.Kinds[0].SuccessShare, 1e-4)
+	must.InDelta(t, 1-0.55*0.55, r.Kinds[1].SuccessShare, 1e-9)
 }
 
+// Guards against windows with invalid values or unknown fields that pass validation.
 func TestFieldsOutOfBounds(t *testing.T) {
 	for doc, want := range map[string]string{
 		`[{"name": "x", "seconds": 0}]`:                               `window "x": seconds is 0, must be 0.001 to 1e+06`,
@@ -51,7 +54,8 @@
 	}
 }
 
-// Nothing that fits into the slots and the chances is worth more than the bound.
+// Guards against a bound that is too low: no random allocation within the capacity and
+// the success shares achieves more worth.
 func TestNoAllocationBeatsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := Window{Seconds: 1, Refused: rapid.Float64Range(0, 0.9).Draw(t, "refused"), Partitioned: rapid.Float64Range(0, 1).Draw(t, "apart")}
@@ -66,22 +70,22 @@
 				Tries: float64(rapid.IntRange(1, 3).Draw(t, "tries")),
 			})
 		}
-		if err := w.complete(); err != nil {
+		if err := w.setDefaultsAndValidate(); err != nil {
 			t.Fatal(err)
 		}
 		bound := w.Bound()
-		left, worth := w.capacity(), 0.0
+		remaining, worth := w.capacity(), 0.0
 		for _, i := range rapid.Permutation([]int{0, 1, 2, 3, 4}[:len(w.Kinds)]).Draw(t, "order") {
 			k := &w.Kinds[i]
-			served := k.Rate * w.chance(k) * rapid.Float64Range(0, 1).Draw(t, "taken")
-			if room := k.Calls * k.Length; room > 0 {
-				served = min(served, left/room)
-				left -= served * room
+			served := k.Rate * w.successShare(k) * rapid.Float64Range(0, 1).Draw(t, "taken")
+			if cost := k.Calls * k.Length; cost > 0 {
+				served = min(served, remaining/cost)
+				remaining -= served * cost
 			}
 			worth += served * k.Worth
 		}
-		if worth > bound.Fits*bound.Offered+1e-6 {
-			t.Fatalf("%v beats the bound of %v", worth, bound.Fits*bound.Offered)
+		if worth > bound.AchievableShare*bound.Offered+1e-6 {
+			t.Fatalf("a random allocation achieves a worth of %v, above the bound of %v", worth, bound.AchievableShare*bound.Offered)
 		}
 	})
 }
