--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/galenagrade/galenagrade/internal/standin/upstream"
 )
 
-// tiny is four VMs: two of a service with keyed requests, so that their slots
-// have somewhere to go, and two of the service that it calls.
-func tiny() *bench.Deployment {
+// twoServiceDeployment has four VMs: two of a service with keyed requests, so that key
+// slots can move from one to the other, and two of the service that it calls.
+func twoServiceDeployment() *bench.Deployment {
 	deep := upstream.Step{Service: "deep", Method: "GET", Path: "/read"}
 	return &bench.Deployment{
 		Name: "tiny", Region: "local", Zones: []string{"a", "b"},
@@ -35,9 +35,9 @@
 	}
 }
 
-// short cuts a scenario to about 2 s of load; events later than that don't
-// happen.
-func short(t *testing.T, name string) bench.Scenario {
+// shortScenario returns a scenario with its load shortened to about 2 s. Later events of
+// the scenario don't happen.
+func shortScenario(t *testing.T, name string) bench.Scenario {
 	for _, s := range bench.Scenarios() {
 		if s.Name == name {
 			s.Before, s.Pressure, s.After = 200*time.Millisecond, 1500*time.Millisecond, 300*time.Millisecond
@@ -48,16 +48,16 @@
 	return bench.Scenario{}
 }
 
-// Guards against a promise to callers that breaks in one of the bench's scenarios.
-func TestPromisesHoldInScenarios(t *testing.T) {
+// Guards against invariant violations under the load and faults of six scenarios.
+func TestScenariosKeepInvariants(t *testing.T) {
 	const poison = 0.02 // several requests of a short run
 	for _, name := range []string{"surge", "silent-connections", "rolling-restart", "crash-request", "lost-acks", "vm-crash"} {
 		t.Run(name, func(t *testing.T) {
-			s := short(t, name)
+			s := shortScenario(t, name)
 			if s.Poison > 0 {
 				s.Poison = poison
 			}
-			r, err := bench.Run(s, tiny(), bench.PolicyGalenagrade, 1)
+			r, err := bench.Run(s, twoServiceDeployment(), bench.PolicyGalenagrade, 1)
 			must.NoError(t, err)
 			must.Positive(t, r.Codes[1000])
 			must.Eq(t, s.Poison > 0 || name == "vm-crash", r.UpstreamCrashes > 0)
@@ -73,7 +73,8 @@
 	}
 }
 
-// A broken promise must not pass for a good run.
+// Guards against a run with violations that is reported as good. The baseline gives no
+// guarantees and reports none.
 func TestViolations(t *testing.T) {
 	r := bench.Result{Policy: bench.PolicyGalenagrade, RetryAllowance: 2, MaxRetries: 2, NewWorkAfterDrain: 2000}
 	must.SliceEmpty(t, r.Violations())
--- a/internal/bench/callers.go
+++ b/internal/bench/callers.go
@@ -20,35 +20,39 @@
 )
 
 const (
-	// Patience is how long an answer is of use to a caller.
+	// Patience is the time within which a caller needs its response.
 	Patience = 4 * time.Second
-	// sendTimeout is when a caller gives a sending up and sends again.
-	sendTimeout = 2 * time.Second
-	// MaxSends bounds the sendings of one request.
+	// attemptTimeout is the timeout of one attempt, after which the caller retries.
+	attemptTimeout = 2 * time.Second
+	// MaxSends is the maximum number of attempts per request.
 	MaxSends = 4
-	// resendPause is how soon a caller sends again, whatever it was told.
-	resendPause = 50 * time.Millisecond
-	// callersPerLevel is how many distinct callers there are.
+	// retryDelay is the delay before a retry. Callers ignore the Retry-After of the
+	// response.
+	retryDelay = 50 * time.Millisecond
+	// distinctCallers is the number of different caller names.
 	distinctCallers = 500
 )
 
-// Sending is one sending of a request and its end.
-type Sending struct {
-	Attempt string
-	Code    int
-	// Ran is what the caller knows of the effect; empty under the baseline.
+// Attempt is one attempt of a request and its outcome, as the caller saw it.
+type Attempt struct {
+	ID string
+	// Code is the numbered result of the response; 0 without one.
+	Code int
+	// Ran is what the caller knows about the execution; empty under the baseline.
 	Ran result.Ran
-	// Success says that a good status came with a body that ended as announced.
+	// Success reports a response with a good status and a body of the announced
+	// length.
 	Success bool
-	// Whole says that the body was a complete answer.
+	// Whole reports that the body was complete and unchanged.
 	Whole bool
-	// AnswerTo and AnswerFrom are what the answer names.
+	// AnswerTo and AnswerFrom are the operation and the service that the body names.
 	AnswerTo, AnswerFrom string
-	Err                  string
+	// Err is the error or the problem detail of a failed attempt.
+	Err string
 }
 
-// take notes what a success carried and reports whether it is the answer to o.
-func (s *Sending) take(body []byte, o *Outcome) bool {
+// recordBody records the body of a success and reports whether it is the response to o.
+func (s *Attempt) recordBody(body []byte, o *Outcome) bool {
 	s.Success = true
 	var a upstream.Response
 	if err := json.Unmarshal(body, &a); err != nil {
@@ -60,45 +64,46 @@
 	return s.Whole && a.Op == o.Op && a.Service == o.Kind.Service
 }
 
-// Outcome is one caller's request from its first sending to its end.
+// Outcome is one caller's request with all its attempts.
 type Outcome struct {
 	Op      string
 	Kind    Request
 	Level   callctx.Level
 	Arrived time.Duration // since the run's start
 	Latency time.Duration
-	Good    bool
-	// Poison requests crash the upstreams that run them and can't be answered.
+	// Good reports that the complete response to this request arrived within Patience.
+	Good bool
+	// Poison requests crash every upstream that runs them, so they never succeed.
 	Poison bool
-	// issued is when the request's key was made.
-	issued time.Time
-	Sends  []Sending
+	// keyIssuedAt is the issue time of the request's idempotency key.
+	keyIssuedAt time.Time
+	Attempts    []Attempt
 }
 
-// callers makes open-loop arrivals.
-type callers struct {
-	world  *World
-	client *http.Client
-	start  time.Time
-	rng    *rand.Rand
-	next   atomic.Int64
-	// poison is the share of poisonous requests at present.
-	poison float64
+// loadGenerator sends requests in open loop: arrivals don't wait for responses.
+type loadGenerator struct {
+	world   *World
+	client  *http.Client
+	start   time.Time
+	rng     *rand.Rand
+	opCount atomic.Int64
+	// poisonShare is the current probability that a request is poison.
+	poisonShare float64
 
-	// late is how far arrivals fell behind their time at worst.
-	late  time.Duration
-	meter meter
+	// maxLateness is the longest delay of an arrival behind its due time.
+	maxLateness time.Duration
+	meter       meter
 
 	mu       sync.Mutex
 	outcomes []*Outcome
 	wg       sync.WaitGroup
 }
 
-func newCallers(w *World) *callers {
-	return &callers{
+func newLoadGenerator(w *World) *loadGenerator {
+	return &loadGenerator{
 		world: w,
 		client: &http.Client{Transport: &http.Transport{
-			DialContext:         w.holding(w.network.Dialer(clients), nil),
+			DialContext:         w.pausableDial(w.network.Dialer(clientsLocation), nil),
 			MaxIdleConnsPerHost: ConnsPerHost,
 			MaxConnsPerHost:     ConnsPerHost,
 		}},
@@ -107,20 +112,21 @@
 	}
 }
 
-// offer makes Poisson arrivals at a rate for a time. It sleeps in steps of a
-// few milliseconds and makes what is due, so that a late timer loses nothing.
-func (c *callers) offer(rate float64, d time.Duration) {
+// offer generates Poisson arrivals at a rate, in requests per second, for d. It
+// wakes every 2 ms and starts all requests that are due, so that a late timer
+// delays arrivals but drops none.
+func (g *loadGenerator) offer(rate float64, d time.Duration) {
 	begin := time.Now()
-	due := c.rng.ExpFloat64() / rate
+	due := g.rng.ExpFloat64() / rate
 	for {
 		elapsed := time.Since(begin)
 		for due <= elapsed.Seconds() {
 			if due > d.Seconds() {
 				return
 			}
-			c.late = max(c.late, time.Since(begin)-time.Duration(due*float64(time.Second)))
-			c.arrive()
-			due += c.rng.ExpFloat64() / rate
+			g.maxLateness = max(g.maxLateness, time.Since(begin)-time.Duration(due*float64(time.Second)))
+			g.startRequest()
+			due += g.rng.ExpFloat64() / rate
 		}
 		if elapsed >= d {
 			return
@@ -129,43 +135,43 @@
 	}
 }
 
-func (c *callers) arrive() {
+func (g *loadGenerator) startRequest() {
 	o := &Outcome{
-		Op:      fmt.Sprintf("op%d", c.next.Add(1)),
-		Kind:    c.pickKind(),
-		Level:   c.pickLevel(),
-		Arrived: time.Since(c.start),
-		issued:  time.Now(),
+		Op:          fmt.Sprintf("op%d", g.opCount.Add(1)),
+		Kind:        g.pickKind(),
+		Level:       g.pickLevel(),
+		Arrived:     time.Since(g.start),
+		keyIssuedAt: time.Now(),
 	}
-	o.Poison = c.rng.Float64() < c.poison
-	caller := strconv.Itoa(c.rng.IntN(distinctCallers))
-	vms := c.world.all()
-	entry := vms[c.rng.IntN(len(vms))]
-	again := vms[c.rng.IntN(len(vms))]
-	c.meter.arrived()
-	c.mu.Lock()
-	c.outcomes = append(c.outcomes, o)
-	c.mu.Unlock()
-	c.wg.Add(1)
+	o.Poison = g.rng.Float64() < g.poisonShare
+	caller := strconv.Itoa(g.rng.IntN(distinctCallers))
+	vms := g.world.allVMs()
+	entry := vms[g.rng.IntN(len(vms))]
+	retryEntry := vms[g.rng.IntN(len(vms))]
+	g.meter.recordArrival()
+	g.mu.Lock()
+	g.outcomes = append(g.outcomes, o)
+	g.mu.Unlock()
+	g.wg.Add(1)
 	go func() {
-		defer c.wg.Done()
-		c.request(o, caller, []*vm{entry, again})
+		defer g.wg.Done()
+		g.sendWithRetries(o, caller, []*vm{entry, retryEntry})
 	}()
 }
 
-func (c *callers) pickKind() Request {
-	x := c.rng.Float64()
-	for _, k := range c.world.deployment.Mix {
+func (g *loadGenerator) pickKind() Request {
+	x := g.rng.Float64()
+	for _, k := range g.world.deployment.Mix {
 		if x -= k.Share; x < 0 {
 			return k
 		}
 	}
-	return c.world.deployment.Mix[0]
+	return g.world.deployment.Mix[0]
 }
 
-func (c *callers) pickLevel() callctx.Level {
-	x := c.rng.Float64()
-	for l, share := range c.world.deployment.LevelShares {
+func (g *loadGenerator) pickLevel() callctx.Level {
+	x := g.rng.Float64()
+	for l, share := range g.world.deployment.LevelShares {
 		if x -= share; x < 0 {
 			return callctx.Level(l)
 		}
@@ -173,64 +179,65 @@
 	return callctx.LevelLow
 }
 
-// request sends until there is an answer, patience ends or the sends do.
-func (c *callers) request(o *Outcome, caller string, entries []*vm) {
+// sendWithRetries sends attempts until one succeeds, Patience has passed or MaxSends
+// is reached. The attempts use the entry nodes in turn.
+func (g *loadGenerator) sendWithRetries(o *Outcome, caller string, entries []*vm) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), Patience)
 	defer cancel()
 	for i := range MaxSends {
-		s := Sending{Attempt: o.Op + "." + strconv.Itoa(i)}
-		ok := c.send(ctx, o, &s, caller, entries[i%len(entries)])
-		o.Sends = append(o.Sends, s)
+		s := Attempt{ID: o.Op + "." + strconv.Itoa(i)}
+		ok := g.sendAttempt(ctx, o, &s, caller, entries[i%len(entries)])
+		o.Attempts = append(o.Attempts, s)
 		if ok {
 			o.Latency = time.Since(began)
 			o.Good = o.Latency <= Patience
 			if o.Good {
-				c.meter.answered(o.Latency, c.world.deployment.Worth[o.Level])
+				g.meter.recordResponse(o.Latency, g.world.deployment.Worth[o.Level])
 			}
 			return
 		}
 		select {
-		case <-time.After(resendPause):
+		case <-time.After(retryDelay):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *callers) send(ctx context.Context, o *Outcome, s *Sending, caller string, entry *vm) bool {
-	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
+func (g *loadGenerator) sendAttempt(ctx context.Context, o *Outcome, s *Attempt, caller string, entry *vm) bool {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	header := http.Header{}
 	header.Set(upstream.HeaderOp, o.Op)
-	header.Set(upstream.HeaderAttempt, s.Attempt)
-	issued := o.issued.UTC().Format(time.RFC3339Nano)
-	header.Set(callctx.HeaderIssuedAt, issued)
-	header.Set(upstream.HeaderIssued, issued)
+	header.Set(upstream.HeaderAttempt, s.ID)
+	issuedAt := o.keyIssuedAt.UTC().Format(time.RFC3339Nano)
+	header.Set(callctx.HeaderIssuedAt, issuedAt)
+	header.Set(upstream.HeaderIssued, issuedAt)
 	if o.Poison {
 		header.Set(upstream.HeaderPoison, o.Kind.Service)
 	}
-	if c.world.policy == PolicyBaseline {
-		return c.sendBaseline(ctx, o, s, header)
+	if g.world.policy == PolicyBaseline {
+		return g.sendBaselineAttempt(ctx, o, s, header)
 	}
-	to, _ := entry.entry()
-	req, err := http.NewRequestWithContext(ctx, o.Kind.Method, "http://"+to+o.Kind.Path+"?q="+o.Op, nil)
+	addr, _ := entry.addresses()
+	req, err := http.NewRequestWithContext(ctx, o.Kind.Method, "http://"+addr+o.Kind.Path+"?q="+o.Op, nil)
 	if err != nil {
 		return false
 	}
 	req.Header = header
-	header.Set(callctx.HeaderWorkspace, c.world.deployment.Name)
+	header.Set(callctx.HeaderWorkspace, g.world.deployment.Name)
 	header.Set(callctx.HeaderService, o.Kind.Service)
 	header.Set(callctx.HeaderPriority, o.Level.String())
-	header.Set(callctx.HeaderTimeout, sendTimeout.String())
+	header.Set(callctx.HeaderTimeout, attemptTimeout.String())
 	header.Set(callctx.HeaderCaller, caller)
 	if o.Kind.Keyed() {
 		header.Set(callctx.HeaderKey, o.Op)
 	}
-	resp, err := c.client.Do(req)
+	resp, err := g.client.Do(req)
 	if err != nil {
 		s.Err = err.Error()
-		s.Ran = ranUnsent(err)
+		s.Ran = ranAfterError(err)
 		return false
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -247,12 +254,12 @@
 		s.Err = err.Error()
 		return false
 	}
-	return s.take(body, o)
+	return s.recordBody(body, o)
 }
 
-// ranUnsent tells what a caller knows of a sending without an answer: no
-// connection, nothing run.
-func ranUnsent(err error) result.Ran {
+// ranAfterError returns what a caller knows about the execution of an attempt
+// without a response: without a connection, nothing ran; else it is unknown.
+func ranAfterError(err error) result.Ran {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return result.RanNo
@@ -260,17 +267,17 @@
 	return result.RanUnknown
 }
 
-func (c *callers) sendBaseline(ctx context.Context, o *Outcome, s *Sending, header http.Header) bool {
+func (g *loadGenerator) sendBaselineAttempt(ctx context.Context, o *Outcome, s *Attempt, header http.Header) bool {
 	step := upstream.Step{Service: o.Kind.Service, Method: o.Kind.Method, Path: o.Kind.Path}
-	status, body, err := c.world.baseline.call(ctx, clients, step, header)
+	status, body, err := g.world.baseline.call(ctx, clientsLocation, step, header)
 	if err != nil || status != http.StatusOK {
 		return false
 	}
-	return s.take(body, o)
+	return s.recordBody(body, o)
 }
 
-func (c *callers) wait() []*Outcome {
-	c.wg.Wait()
-	c.client.CloseIdleConnections()
-	return c.outcomes
+func (g *loadGenerator) wait() []*Outcome {
+	g.wg.Wait()
+	g.client.CloseIdleConnections()
+	return g.outcomes
 }
--- a/internal/bench/capacity.go
+++ b/internal/bench/capacity.go
@@ -17,13 +17,13 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// StateOptions is the size of the system whose state one node would hold.
+// StateOptions is the size of the system whose replicated state is measured.
 type StateOptions struct {
 	Members, Services, Zones int
 }
 
-// StateResult is what one node's folds hold at that size, in bytes of live
-// heap, and how long the folds took, in milliseconds.
+// StateResult is the memory that one node needs for the replicated state, in bytes
+// of live heap, and the time to fold it from the log, in milliseconds.
 type StateResult struct {
 	StateOptions
 	Records         int   `json:"records"`
@@ -35,8 +35,8 @@
 	TableMillis     int64 `json:"routing_table_ms"`
 }
 
-// MeasureState folds a log of that size as one node does: all instances, all
-// members, and takeovers of every service's key slots.
+// MeasureState generates the log of a system of that size and folds it as one node
+// does: all instances, all members, and takeovers of every service's key slots.
 func MeasureState(opts StateOptions) (StateResult, error) {
 	out := StateResult{StateOptions: opts}
 	entries, err := stateLog(opts)
@@ -55,7 +55,7 @@
 	out.ReplicaBytes = liveHeap() - base
 
 	base = liveHeap()
-	own := control.NewOwnership(lease.DefaultConfig(), node.Identity{Node: "m0", Incarnation: 1, InnerAddr: addrOf(0)})
+	own := control.NewOwnership(lease.DefaultConfig(), node.Identity{Node: "m0", Incarnation: 1, InnerAddr: memberAddr(0)})
 	began = time.Now()
 	own.Apply(now, entries)
 	out.OwnershipMillis = time.Since(began).Milliseconds()
@@ -68,7 +68,7 @@
 	out.TableMillis = time.Since(began).Milliseconds()
 	out.TableBytes = liveHeap() - base
 	if got := len(replica.Policy().Instances()); got != opts.Services {
-		return out, errors.Errorf("%d instances were accepted, want %d", got, opts.Services)
+		return out, errors.Errorf("policy replica holds %d accepted instances, want %d", got, opts.Services)
 	}
 	runtime.KeepAlive(table)
 	runtime.KeepAlive(own)
@@ -76,7 +76,7 @@
 	return out, nil
 }
 
-// liveHeap returns the bytes that are reachable.
+// liveHeap returns the bytes of heap objects that remain after two garbage collections.
 func liveHeap() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -85,15 +85,16 @@
 	return int64(m.HeapAlloc)
 }
 
-func addrOf(i int) string { return fmt.Sprintf("10.%d.%d.%d:7100", i>>16, i>>8&255, i&255) }
+func memberAddr(i int) string { return fmt.Sprintf("10.%d.%d.%d:7100", i>>16, i>>8&255, i&255) }
 
-// stateLog writes the log that such a system leaves once it has settled.
+// stateLog returns the log that a system of that size has after all nodes have joined
+// and own their slots.
 func stateLog(opts StateOptions) ([]logstore.Entry, error) {
 	var entries []logstore.Entry
-	var failed error
+	var firstErr error
 	add := func(rec logstore.Record, err error) {
-		if err != nil && failed == nil {
-			failed = err
+		if err != nil && firstErr == nil {
+			firstErr = err
 		}
 		entries = append(entries, logstore.Entry{Offset: int64(len(entries)), Record: rec})
 	}
@@ -112,7 +113,7 @@
 		record(logstore.KindJoin, membership.Join{Member: membership.Member{
 			Identity: membership.Identity{Node: fmt.Sprintf("m%d", m), Incarnation: 1},
 			Region:   fmt.Sprintf("r%d", m%opts.Zones%11), Zone: fmt.Sprintf("z%d", m%opts.Zones),
-			Service: serviceName(m % opts.Services), InnerAddr: addrOf(m), AdminAddr: addrOf(m),
+			Service: serviceName(m % opts.Services), InnerAddr: memberAddr(m), AdminAddr: memberAddr(m),
 			Slots: 100, Connections: 1000, JoinedAt: time.Unix(0, 0).UTC(),
 		}})
 	}
@@ -120,7 +121,7 @@
 		for m := s; m < opts.Members; m += opts.Services {
 			t := lease.Takeover{
 				Service: serviceName(s), NewOwner: membership.Identity{Node: fmt.Sprintf("m%d", m), Incarnation: 1},
-				Addr: addrOf(m), Folded: int64(len(entries)),
+				Addr: memberAddr(m), Folded: int64(len(entries)),
 			}
 			perService := opts.Members/opts.Services + 1
 			for slot := m / opts.Services; slot < lease.DefaultConfig().Slots; slot += perService {
@@ -129,7 +130,7 @@
 			record(logstore.KindTakeover, t)
 		}
 	}
-	return entries, failed
+	return entries, firstErr
 }
 
 func serviceName(s int) string { return fmt.Sprintf("service-%d", s) }
--- a/internal/bench/child.go
+++ b/internal/bench/child.go
@@ -16,27 +16,30 @@
 )
 
 const (
-	// hopTimeout and hopRetries are the usual settings of a service chain.
+	// hopTimeout and hopRetries apply to each hop under the baseline; they are
+	// common settings of service clients.
 	hopTimeout = time.Second
 	hopRetries = 3
-	// ConnsPerHost is what one site opens to one address at most, so that one
-	// process can hold both ends of a deployment's connections.
+	// ConnsPerHost is the maximum number of connections from one location to one
+	// address. It is bounded because this process holds both ends of all of a
+	// deployment's connections.
 	ConnsPerHost = 120
 )
 
-// childOf returns how an upstream calls deeper services.
-func (w *World) childOf(v *vm) upstream.CallFunc {
+// downstreamCaller returns the function by which an upstream calls downstream
+// services: through its node, or directly under the baseline.
+func (w *World) downstreamCaller(v *vm) upstream.CallFunc {
 	if w.policy == PolicyBaseline {
 		return func(ctx context.Context, step upstream.Step, parent http.Header) (int, []byte, error) {
 			return w.baseline.call(ctx, v.zone, step, parent)
 		}
 	}
 	client := &http.Client{Transport: &http.Transport{
-		DialContext:         w.holding((&net.Dialer{}).DialContext, nil),
+		DialContext:         w.pausableDial((&net.Dialer{}).DialContext, nil),
 		MaxIdleConnsPerHost: 512,
 	}}
 	return func(ctx context.Context, step upstream.Step, parent http.Header) (int, []byte, error) {
-		_, exit := v.entry()
+		_, exit := v.addresses()
 		req, err := childRequest(ctx, "http://"+exit, step, parent)
 		if err != nil {
 			return 0, nil, err
@@ -74,18 +77,18 @@
 	return resp.StatusCode, body, err
 }
 
-// baselineRouter is the plain chain: least-loaded routing by calls in flight,
-// a timeout and three retries at every hop.
+// baselineRouter makes the calls of the baseline: least-loaded routing by calls in
+// flight, with a timeout and three retries at every hop.
 type baselineRouter struct {
 	world   *World
-	clients map[string]*http.Client // by zone
+	clients map[string]*http.Client // by location
 	mu      sync.Mutex
 	loads   map[*vm]*atomic.Int64
 }
 
 func newBaselineRouter(w *World) *baselineRouter {
 	r := &baselineRouter{world: w, clients: map[string]*http.Client{}, loads: map[*vm]*atomic.Int64{}}
-	for _, zone := range append([]string{clients}, w.deployment.Zones...) {
+	for _, zone := range append([]string{clientsLocation}, w.deployment.Zones...) {
 		r.clients[zone] = &http.Client{Transport: &http.Transport{
 			DialContext:         w.network.Dialer(zone),
 			MaxIdleConnsPerHost: 512,
@@ -106,7 +109,7 @@
 		if attempt > 0 {
 			r.world.retries.add(parent.Get(upstream.HeaderAttempt), 1)
 		}
-		status, body, err = r.once(ctx, zone, step, parent)
+		status, body, err = r.attempt(ctx, zone, step, parent)
 		if err == nil && status < http.StatusInternalServerError || ctx.Err() != nil {
 			return status, body, err
 		}
@@ -114,8 +117,8 @@
 	return status, body, err
 }
 
-func (r *baselineRouter) once(ctx context.Context, zone string, step upstream.Step, parent http.Header) (int, []byte, error) {
-	v, load := r.pick(step.Service)
+func (r *baselineRouter) attempt(ctx context.Context, zone string, step upstream.Step, parent http.Header) (int, []byte, error) {
+	v, load := r.leastLoaded(step.Service)
 	load.Add(1)
 	defer load.Add(-1)
 	ctx, cancel := context.WithTimeout(ctx, hopTimeout)
@@ -127,7 +130,7 @@
 	return roundTrip(r.clients[zone], req)
 }
 
-func (r *baselineRouter) pick(service string) (*vm, *atomic.Int64) {
+func (r *baselineRouter) leastLoaded(service string) (*vm, *atomic.Int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var best *vm
@@ -145,7 +148,8 @@
 	return best, r.loads[best]
 }
 
-// retryCounter counts the retries made for each sending of a caller's request.
+// retryCounter counts the retries within the system per attempt of a caller. Safe for
+// concurrent use.
 type retryCounter struct {
 	mu    sync.Mutex
 	count map[string]int
@@ -171,14 +175,14 @@
 func (c *retryCounter) max() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	most := 0
+	highest := 0
 	for _, n := range c.count {
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-// all returns a copy of the counts.
+// all returns a copy of the counts, by attempt ID.
 func (c *retryCounter) all() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/bench/configwatch.go
+++ b/internal/bench/configwatch.go
@@ -9,36 +9,38 @@
 	"github.com/galenagrade/galenagrade/internal/server"
 )
 
-// watchPeriod is the resolution of what the watch sees.
+// watchPeriod is the interval between two checks of all nodes.
 const watchPeriod = 20 * time.Millisecond
 
-// acceptedChange is a publication that won.
+// acceptedChange is a publication that was accepted.
 type acceptedChange struct {
 	service string
 	version policy.Version
 	at      time.Time
 }
 
-// configWatch follows the configuration in force at every node: it must never
-// go back, and should soon be what was accepted.
+// configWatch observes the configuration that each node applies. It counts
+// reverts to older versions, which must not happen, and measures the delay until
+// accepted changes are applied. Safe for concurrent use.
 type configWatch struct {
 	world *World
 
-	mu      sync.Mutex
-	changes []acceptedChange
-	nodes   map[*server.Server]*nodeConfig
-	reverts int
-	worst   time.Duration
+	mu       sync.Mutex
+	changes  []acceptedChange
+	nodes    map[*server.Server]*nodeConfig
+	reverts  int
+	maxDelay time.Duration
 }
 
-// nodeConfig is what one process of a node had in force when last seen.
+// nodeConfig is the configuration that one process of a node applied at the last check.
 type nodeConfig struct {
 	version   policy.Version
 	instances map[string]policy.Version
-	// next is the first change that it did not have.
-	next int
-	// since is when it was started or became reachable again.
-	since time.Time
+	// nextChange is the index of the first change that the node has not applied.
+	nextChange int
+	// reachableSince is the time of the first check, or of the last one at which the
+	// node was unreachable.
+	reachableSince time.Time
 }
 
 func newConfigWatch(w *World) *configWatch {
@@ -49,7 +51,7 @@
 	t := time.NewTicker(watchPeriod)
 	defer t.Stop()
 	for {
-		c.look(time.Now(), false)
+		c.checkAll(time.Now(), false)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -58,74 +60,76 @@
 	}
 }
 
-// accepted notes a change that must now come in force. Changes come in the
-// order of their versions.
-func (c *configWatch) accepted(change acceptedChange) {
+// addAccepted adds a change that every node should apply from now on. Changes must
+// be added in the order of their versions.
+func (c *configWatch) addAccepted(change acceptedChange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.changes = append(c.changes, change)
 }
 
-// look compares every node with what it had. At the end of a run, changes that
-// a node still lacks count with their age.
-func (c *configWatch) look(now time.Time, end bool) {
-	for _, v := range c.world.all() {
-		n := v.running()
+// checkAll compares every node with the last check. The final check also counts the
+// changes that a node has not applied yet, with their age.
+func (c *configWatch) checkAll(now time.Time, final bool) {
+	for _, v := range c.world.allVMs() {
+		n := v.currentNode()
 		if n == nil || v.stopping.Load() {
 			continue
 		}
 		reachable := c.world.reachable(v)
 		c.mu.Lock()
-		c.compareLocked(now, n, reachable, end)
+		c.checkNodeLocked(now, n, reachable, final)
 		c.mu.Unlock()
 	}
 }
 
-func (c *configWatch) compareLocked(now time.Time, n *server.Server, reachable, end bool) {
-	had := c.nodes[n]
-	if had == nil {
-		had = &nodeConfig{instances: map[string]policy.Version{}, since: now}
-		c.nodes[n] = had
+func (c *configWatch) checkNodeLocked(now time.Time, n *server.Server, reachable, final bool) {
+	last := c.nodes[n]
+	if last == nil {
+		last = &nodeConfig{instances: map[string]policy.Version{}, reachableSince: now}
+		c.nodes[n] = last
 	}
 	state := n.Node().Policy()
-	if state.Version() < had.version {
+	if state.Version() < last.version {
 		c.reverts++
 	}
-	had.version = state.Version()
+	last.version = state.Version()
 	for _, svc := range c.world.deployment.Services {
 		v := state.InstanceVersion(c.world.deployment.Name, svc.Name)
-		if v < had.instances[svc.Name] {
+		if v < last.instances[svc.Name] {
 			c.reverts++
 		}
-		had.instances[svc.Name] = v
+		last.instances[svc.Name] = v
 	}
 	if !reachable {
-		had.since = now
+		last.reachableSince = now
 		return
 	}
-	for had.next < len(c.changes) {
-		change := c.changes[had.next]
-		has := had.version >= change.version || had.instances[change.service] >= change.version
-		if has || end {
-			c.worst = max(c.worst, now.Sub(later(change.at, had.since)))
+	for last.nextChange < len(c.changes) {
+		change := c.changes[last.nextChange]
+		applied := last.version >= change.version || last.instances[change.service] >= change.version
+		if applied || final {
+			c.maxDelay = max(c.maxDelay, now.Sub(latest(change.at, last.reachableSince)))
 		}
-		if !has {
+		if !applied {
 			return
 		}
-		had.next++
+		last.nextChange++
 	}
 }
 
-func later(a, b time.Time) time.Time {
+// latest returns the later of two times.
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// figures returns the falls seen, the worst time in force and the changes.
+// figures returns the number of reverts, the longest delay from acceptance to
+// application at a node, in ms, and the number of accepted changes.
 func (c *configWatch) figures() (reverts int, worstMillis int64, changes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.reverts, c.worst.Milliseconds(), len(c.changes)
+	return c.reverts, c.maxDelay.Milliseconds(), len(c.changes)
 }
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -21,47 +21,50 @@
 )
 
 const (
-	// controlSettle is how long nothing must have been appended before nodes
-	// are measured: zones have their readers by then, keys their owners.
-	controlSettle = 12 * time.Second
-	// settleLimit bounds the wait for that.
-	settleLimit = 4 * time.Minute
-	// controlLimit bounds each wait for the nodes.
-	controlLimit = time.Minute
-	// controlPoll is how often a state awaited is looked at.
-	controlPoll = 2 * time.Millisecond
-	// packetBytes is what a TCP segment adds over IPv4 with time stamps.
-	packetBytes = 52
+	// controlQuietPeriod is the time without appends to the log after which the nodes
+	// count as settled: then each zone has its log readers and each key its owner.
+	controlQuietPeriod = 12 * time.Second
+	// settleTimeout bounds the wait for the quiet period.
+	settleTimeout = 4 * time.Minute
+	// controlTimeout bounds each wait for a state of the nodes.
+	controlTimeout = time.Minute
+	// controlPollInterval is the interval at which an awaited state is checked.
+	controlPollInterval = 2 * time.Millisecond
+	// packetHeaderBytes is the size of the IPv4 and TCP headers of a segment, with
+	// the timestamps option.
+	packetHeaderBytes = 52
 )
 
-// ControlOptions say what is measured.
+// ControlOptions configure MeasureControl.
 type ControlOptions struct {
-	// Members is the number of nodes, Zones in how many availability zones.
+	// Members is the number of nodes, Zones the number of availability zones that
+	// they are spread over.
 	Members, Zones int
-	// Duration is how long the nodes are measured at rest.
+	// Duration is the length of the measurement of idle nodes.
 	Duration time.Duration
-	// ChangeEvery is the time between two publications while they are; 0 for
-	// none.
+	// ChangeEvery is the time between two publications during that measurement; 0
+	// for none.
 	ChangeEvery time.Duration
-	// Changes is how many publications are timed afterwards, of each kind.
+	// Changes is the number of publications that are timed afterwards, each with the
+	// log up and with the log out.
 	Changes int
 }
 
-// ControlResult are the figures of one run. Bytes are those of the connections
-// between nodes and to the log, HTTP and its headers included.
+// ControlResult is the cost of the control plane in one run. Bytes are counted on the
+// connections between nodes and to the log, HTTP headers included.
 type ControlResult struct {
 	Members int `json:"members"`
 	Zones   int `json:"zones"`
-	// Settled is how long after the start the last record was appended that
-	// had to do with it.
+	// Settled is the time from the moment at which all nodes know each other to the
+	// last append that the start caused, in seconds.
 	Settled float64 `json:"settled_seconds"`
-	// SentBytes is what a node sends a second to other nodes; it receives as
-	// much on average.
+	// SentBytes is the rate at which a node sends to other nodes; on average it
+	// receives as much.
 	SentBytes float64 `json:"sent_bytes_per_second_per_node"`
-	// WireBytes is what it sends and receives.
+	// WireBytes is the sum of what a node sends and receives.
 	WireBytes float64 `json:"sent_and_received_bytes_per_second_per_node"`
-	// PacketBytes is WireBytes with an estimate for TCP and IP: a header for
-	// each write, and one for its acknowledgement.
+	// PacketBytes is WireBytes plus an estimate for TCP and IP: one header per write
+	// and one per acknowledgement.
 	PacketBytes float64 `json:"with_tcp_ip_estimate_bytes_per_second_per_node"`
 	LogBytes    float64 `json:"log_bytes_per_second_per_node"`
 	Messages    float64 `json:"messages_per_second_per_node"`
@@ -70,42 +73,44 @@
 	Dials       float64 `json:"dials_per_second_per_node"`
 	LogReads    float64 `json:"log_reads_per_second"`
 	LogAppends  float64 `json:"log_appends_per_second"`
-	// ProofAge is the age of the newest proof of the log's head: the median
-	// of all nodes and samples, and the oldest.
-	ProofAge    float64 `json:"proof_age_ms_median"`
-	ProofOldest float64 `json:"proof_age_ms_oldest"`
-	// CPU is of one core; the whole process, log and harness included, over
-	// the members.
+	// HeadAge is the median age of a node's newest observation of the log's head,
+	// over all nodes and samples; MaxHeadAge is the highest.
+	HeadAge    float64 `json:"proof_age_ms_median"`
+	MaxHeadAge float64 `json:"proof_age_ms_oldest"`
+	// CPU is the CPU time of the whole process, log and harness included, divided by
+	// the number of nodes, in percent of one core.
 	CPU       float64 `json:"cpu_percent_per_node"`
 	HeapBytes float64 `json:"heap_bytes_per_node"`
-	// Resident is the process's memory over its members.
+	// Resident is the resident memory of the process divided by the number of nodes.
 	Resident float64 `json:"resident_bytes_per_node"`
-	// Accepted is the time from the append to the worst node that has the
-	// configuration in force; AcceptedOut the same when the log goes out as
-	// soon as the first node has it.
+	// Accepted are the times from the append until the last node applies the
+	// configuration. AcceptedOut are the times from an outage of the log, which
+	// begins as soon as the first node applies it, until the last node does.
 	Accepted    []float64 `json:"config_ms_worst_node_log_up"`
 	AcceptedOut []float64 `json:"config_ms_worst_node_log_out"`
 }
 
-// traffic counts the bytes of all connections that nodes dialled.
+// traffic counts the dials of the nodes, and the reads, writes and bytes on these
+// connections.
 type traffic struct{ bytes, packets, dials atomic.Int64 }
 
+// countedConn counts its traffic.
 type countedConn struct {
 	net.Conn
-	to *traffic
+	counter *traffic
 }
 
 // Read implements net.Conn.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.to.count(n)
+	c.counter.count(n)
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.to.count(n)
+	c.counter.count(n)
 	return n, err
 }
 
@@ -123,11 +128,11 @@
 			return nil, err
 		}
 		t.dials.Add(1)
-		return countedConn{Conn: c, to: t}, nil
+		return countedConn{Conn: c, counter: t}, nil
 	}
 }
 
-// controlWorld is many nodes without calls.
+// controlWorld is a log and many nodes that get no calls.
 type controlWorld struct {
 	opts    ControlOptions
 	log     *logd.Server
@@ -140,19 +145,19 @@
 	changes int
 }
 
-// MeasureControl runs nodes without calls and measures what control costs.
+// MeasureControl runs nodes without calls and measures the cost of the control plane.
 func MeasureControl(opts ControlOptions) (ControlResult, error) {
 	if opts.Members < 1 || opts.Zones < 1 || opts.Members < opts.Zones {
-		return ControlResult{}, errors.Errorf("members = %d, zones = %d: at least one member a zone", opts.Members, opts.Zones)
+		return ControlResult{}, errors.Errorf("members = %d, zones = %d: members must be at least zones, and both at least 1", opts.Members, opts.Zones)
 	}
 	w := &controlWorld{opts: opts, log: logd.New(logd.Options{}), network: link.New(func(string, string) time.Duration { return 0 })}
 	defer w.close()
 	if err := w.start(); err != nil {
 		return ControlResult{}, err
 	}
-	settled := w.settle()
-	result := w.atRest()
-	result.Settled = settled.Seconds()
+	settledAfter := w.settle()
+	result := w.measureIdle()
+	result.Settled = settledAfter.Seconds()
 	err := w.timeChanges(&result)
 	return result, err
 }
@@ -163,7 +168,7 @@
 		return errors.Wrap(err, "log")
 	}
 	w.url = "http://" + l.Addr().String()
-	w.http = &http.Server{Handler: w.log.Handler(), ReadHeaderTimeout: controlLimit}
+	w.http = &http.Server{Handler: w.log.Handler(), ReadHeaderTimeout: controlTimeout}
 	go func() { _ = w.http.Serve(l) }()
 	if _, err := w.publish(); err != nil {
 		return err
@@ -173,7 +178,7 @@
 			return err
 		}
 	}
-	return w.await("all members known", func() bool {
+	return w.await("all nodes to know all members", func() bool {
 		for _, n := range w.nodes {
 			if len(n.LiveMembers()) < w.opts.Members || n.Node().Policy().Version() == 0 {
 				return false
@@ -183,18 +188,18 @@
 	})
 }
 
-// settle waits until nothing is appended any more and returns how long that
-// took.
+// settle waits until no record has been appended for controlQuietPeriod, at most for
+// settleTimeout. It returns the time until the last append.
 func (w *controlWorld) settle() time.Duration {
 	began := time.Now()
-	last, since := w.log.Appends(), began
-	for time.Since(since) < controlSettle && time.Since(began) < settleLimit {
-		time.Sleep(controlPoll)
+	last, lastChange := w.log.Appends(), began
+	for time.Since(lastChange) < controlQuietPeriod && time.Since(began) < settleTimeout {
+		time.Sleep(controlPollInterval)
 		if now := w.log.Appends(); now != last {
-			last, since = now, time.Now()
+			last, lastChange = now, time.Now()
 		}
 	}
-	return since.Sub(began)
+	return lastChange.Sub(began)
 }
 
 func (w *controlWorld) startNode(i int) error {
@@ -205,7 +210,7 @@
 	cfg.Callers.Address, cfg.Upstream.Address = "127.0.0.1:0", "127.0.0.1:0"
 	cfg.Inner.Address, cfg.Inner.Advertised = "127.0.0.1:0", "127.0.0.1:0"
 	cfg.Admin.Address = "127.0.0.1:0"
-	// The upstream is announced once and stands still.
+	// The upstream announces itself only once; a long timeout keeps it registered.
 	cfg.Timing.UpstreamSilence = settings.Duration(time.Hour)
 	transport := &http.Transport{DialContext: w.logs.dial((&net.Dialer{}).DialContext)}
 	n, err := server.Start(cfg, server.Options{
@@ -232,16 +237,15 @@
 }
 
 func (w *controlWorld) await(what string, ok func() bool) error {
-	for end := time.Now().Add(controlLimit); time.Now().Before(end); time.Sleep(controlPoll) {
+	for end := time.Now().Add(controlTimeout); time.Now().Before(end); time.Sleep(controlPollInterval) {
 		if ok() {
 			return nil
 		}
 	}
-	return errors.Errorf("%s: not within %s", what, controlLimit)
+	return errors.Errorf("timeout waiting for %s: not reached within %s", what, controlTimeout)
 }
 
-// publish appends a change of configuration of about 1 KB and returns the
-// version that holds it.
+// publish appends a configuration change of about 1 KB and returns its version.
 func (w *controlWorld) publish() (policy.Version, error) {
 	w.changes++
 	t := policy.Library()[0]
--- a/internal/bench/control_measure.go
+++ b/internal/bench/control_measure.go
@@ -16,7 +16,7 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// controlCounts is where all counters stand at a moment.
+// controlCounts is a snapshot of all counters, summed over the nodes.
 type controlCounts struct {
 	at                             time.Time
 	cpu                            time.Duration
@@ -42,18 +42,19 @@
 	return c
 }
 
-// atRest measures nodes that nothing happens to but a change now and then.
-func (w *controlWorld) atRest() ControlResult {
+// measureIdle measures the nodes for Duration, while nothing but a publication every
+// ChangeEvery happens.
+func (w *controlWorld) measureIdle() ControlResult {
 	before := w.counts()
 	end := time.NewTimer(w.opts.Duration)
 	defer end.Stop()
-	every := w.opts.ChangeEvery
-	if every <= 0 {
-		every = 2 * w.opts.Duration
+	changeInterval := w.opts.ChangeEvery
+	if changeInterval <= 0 {
+		changeInterval = 2 * w.opts.Duration
 	}
-	t := time.NewTicker(every)
-	defer t.Stop()
-	sample := time.NewTicker(proofSample)
+	changes := time.NewTicker(changeInterval)
+	defer changes.Stop()
+	sample := time.NewTicker(headAgeSamplePeriod)
 	defer sample.Stop()
 	var ages []time.Duration
 	for running := true; running; {
@@ -62,7 +63,7 @@
 			for _, n := range w.nodes {
 				ages = append(ages, n.ControlStats().HeadAge)
 			}
-		case <-t.C:
+		case <-changes.C:
 			_, _ = w.publish()
 		case <-end.C:
 			running = false
@@ -71,43 +72,43 @@
 	r := w.result(before, w.counts())
 	slices.Sort(ages)
 	if len(ages) > 0 {
-		r.ProofAge = float64(ages[len(ages)/2].Microseconds()) / 1000
-		r.ProofOldest = float64(ages[len(ages)-1].Microseconds()) / 1000
+		r.HeadAge = float64(ages[len(ages)/2].Microseconds()) / 1000
+		r.MaxHeadAge = float64(ages[len(ages)-1].Microseconds()) / 1000
 	}
 	return r
 }
 
-// proofSample is the time between two looks at the age of all proofs; it is no
-// multiple of the exchange's period.
-const proofSample = 330 * time.Millisecond
+// headAgeSamplePeriod is the interval between two samples of the head age of all nodes.
+// It is no multiple of the exchange period, so that the samples fall on all phases of it.
+const headAgeSamplePeriod = 330 * time.Millisecond
 
-func (w *controlWorld) result(a, b controlCounts) ControlResult {
-	seconds := b.at.Sub(a.at).Seconds()
+func (w *controlWorld) result(before, after controlCounts) ControlResult {
+	seconds := after.at.Sub(before.at).Seconds()
 	perNode := seconds * float64(w.opts.Members)
-	sent := float64(b.peerBytes-a.peerBytes) / perNode
-	packets := float64(b.packets-a.packets) / perNode
-	messages := b.stats.Exchanges + b.stats.Probes + b.stats.Gossips + b.stats.Fetches
-	messages -= a.stats.Exchanges + a.stats.Probes + a.stats.Gossips + a.stats.Fetches
+	sent := float64(after.peerBytes-before.peerBytes) / perNode
+	packets := float64(after.packets-before.packets) / perNode
+	messages := after.stats.Exchanges + after.stats.Probes + after.stats.Gossips + after.stats.Fetches
+	messages -= before.stats.Exchanges + before.stats.Probes + before.stats.Gossips + before.stats.Fetches
 	heap, resident := memory()
 	return ControlResult{
 		Members: w.opts.Members, Zones: w.opts.Zones,
 		SentBytes: sent, WireBytes: 2 * sent,
-		PacketBytes: 2 * (sent + 2*packetBytes*packets),
-		LogBytes:    float64(b.log-a.log) / perNode,
+		PacketBytes: 2 * (sent + 2*packetHeaderBytes*packets),
+		LogBytes:    float64(after.log-before.log) / perNode,
 		Messages:    float64(messages) / perNode,
-		Exchanges:   float64(b.stats.Exchanges-a.stats.Exchanges) / perNode,
-		Probes:      float64(b.stats.Probes-a.stats.Probes) / perNode,
-		Dials:       float64(b.dials-a.dials) / perNode,
-		LogReads:    float64(b.stats.Reads-a.stats.Reads) / seconds,
-		LogAppends:  float64(b.stats.Appends-a.stats.Appends) / seconds,
-		CPU:         100 * (b.cpu - a.cpu).Seconds() / perNode,
+		Exchanges:   float64(after.stats.Exchanges-before.stats.Exchanges) / perNode,
+		Probes:      float64(after.stats.Probes-before.stats.Probes) / perNode,
+		Dials:       float64(after.dials-before.dials) / perNode,
+		LogReads:    float64(after.stats.Reads-before.stats.Reads) / seconds,
+		LogAppends:  float64(after.stats.Appends-before.stats.Appends) / seconds,
+		CPU:         100 * (after.cpu - before.cpu).Seconds() / perNode,
 		HeapBytes:   heap / float64(w.opts.Members),
 		Resident:    resident / float64(w.opts.Members),
 	}
 }
 
-// timeChanges times publications with the log up, then with the log out as
-// soon as one node has them.
+// timeChanges times publications with the log up, then with an outage of the log that
+// begins as soon as the first node applies the change.
 func (w *controlWorld) timeChanges(r *ControlResult) error {
 	for range w.opts.Changes {
 		took, err := w.timeChange(false)
@@ -123,15 +124,15 @@
 		}
 		r.AcceptedOut = append(r.AcceptedOut, took)
 		w.log.Update(func(k *logd.Knobs) { k.Outage = false })
-		time.Sleep(controlSettle / 4)
+		time.Sleep(controlQuietPeriod / 4)
 	}
 	return nil
 }
 
 func (w *controlWorld) timeChange(outage bool) (float64, error) {
 	if outage {
-		// Every reader's long poll is shaken off first, so that not all of
-		// them are answered by the append itself.
+		// A short outage ends the long polls of all readers first. Otherwise the
+		// append itself would answer all of them.
 		w.log.Update(func(k *logd.Knobs) { k.Outage = true })
 		time.Sleep(50 * time.Millisecond)
 		w.log.Update(func(k *logd.Knobs) { k.Outage = false })
@@ -142,18 +143,18 @@
 	}
 	began := time.Now()
 	if outage {
-		if err := w.await("first node", func() bool { return w.having(version) > 0 }); err != nil {
+		if err := w.await("the first node to apply the change", func() bool { return w.nodesAtVersion(version) > 0 }); err != nil {
 			return 0, err
 		}
 		w.log.Update(func(k *logd.Knobs) { k.Outage = true })
 		began = time.Now()
 	}
-	err = w.await("last node", func() bool { return w.having(version) == len(w.nodes) })
+	err = w.await("the last node to apply the change", func() bool { return w.nodesAtVersion(version) == len(w.nodes) })
 	return float64(time.Since(began).Microseconds()) / 1000, err
 }
 
-// having counts the nodes that have a version in force.
-func (w *controlWorld) having(v policy.Version) int {
+// nodesAtVersion returns the number of nodes that apply version v or a newer one.
+func (w *controlWorld) nodesAtVersion(v policy.Version) int {
 	count := 0
 	for _, n := range w.nodes {
 		if n.Node().Policy().Version() >= v {
@@ -163,6 +164,7 @@
 	return count
 }
 
+// processTime returns the CPU time of this process, user and system; 0 on failure.
 func processTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -171,7 +173,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memory returns the live heap and the resident set, in bytes.
+// memory returns the live heap and the resident set, in bytes. The resident set is 0
+// when it can't be read.
 func memory() (heap, resident float64) {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/bench/deployment.go
+++ b/internal/bench/deployment.go
@@ -1,5 +1,6 @@
-// Package bench runs small deployments of real nodes on loopback, puts them
-// under load and faults, and measures what callers got. Scenarios are data.
+// Package bench runs small deployments of real nodes on loopback, applies load and
+// faults to them, and measures the outcome for the callers. Scenarios are declared as
+// data.
 package bench
 
 import (
@@ -11,40 +12,45 @@
 	"github.com/galenagrade/galenagrade/internal/standin/upstream"
 )
 
-// Service is one service of a deployment.
+// Service is one service of a deployment. Slots and Connections are per upstream.
 type Service struct {
 	Name        string
 	Upstreams   int
 	Slots       int
 	Connections int
-	Operations  map[string]upstream.Operation
+	// Operations are by path.
+	Operations map[string]upstream.Operation
 }
 
 // Request is one kind of request that callers make.
 type Request struct {
 	Name, Service, Method, Path string
-	// Share of the arrivals.
+	// Share is the share of all arrivals.
 	Share float64
 }
 
-// Keyed reports whether the request must run at most once.
+// Keyed reports whether the request carries an idempotency key, since it must run at
+// most once.
 func (r Request) Keyed() bool { return r.Method == "POST" }
 
-// Deployment is one user's services and callers.
+// Deployment describes the services and callers of one user.
 type Deployment struct {
-	Name, Region           string
-	Zones                  []string
+	Name, Region string
+	Zones        []string
+	// ZoneDelay is the one-way delay between zones, ClientDelay that between callers
+	// and zones.
 	ZoneDelay, ClientDelay time.Duration
 	Services               []Service
 	Mix                    []Request
-	// LevelShares are the shares of arrivals by level.
+	// LevelShares are the shares of arrivals by priority level, Worth is the value of
+	// one request by level.
 	LevelShares [callctx.Levels]float64
 	Worth       [callctx.Levels]float64
-	// SteadyLoad is the share of capacity offered in ordinary times.
+	// SteadyLoad is the steady load as a share of FullCapacity.
 	SteadyLoad float64
 }
 
-// Deepest returns the service that the chains end in.
+// Deepest returns the name of the service at the end of the call chains.
 func (d *Deployment) Deepest() string { return d.Services[len(d.Services)-1].Name }
 
 const (
@@ -52,7 +58,8 @@
 	post = "POST"
 )
 
-// Chikugo is the employment verification bureau: goodput counts first.
+// Chikugo returns the deployment of the employment verification bureau, whose main
+// objective is goodput.
 func Chikugo() *Deployment {
 	return &Deployment{
 		Name: "chikugo", Region: "kyushu",
@@ -86,7 +93,8 @@
 	}
 }
 
-// Yardstick is the dinghy handicap authority: worth and recovery count first.
+// Yardstick returns the deployment of the dinghy handicap authority, whose main
+// objectives are worth-weighted goodput and recovery.
 func Yardstick() *Deployment {
 	return &Deployment{
 		Name: "yardstick", Region: "ga-north",
@@ -117,7 +125,7 @@
 	}
 }
 
-// Deployments returns both users' deployments.
+// Deployments returns the deployments of both users.
 func Deployments() []*Deployment { return []*Deployment{Chikugo(), Yardstick()} }
 
 func (d *Deployment) service(name string) *Service {
@@ -125,13 +133,14 @@
 	return &d.Services[i]
 }
 
-// hold returns how long one request of that path occupies a slot of its own
-// service, and adds what it occupies of every service to use, in seconds.
-func (d *Deployment) hold(service, path string, slowdown map[string]float64, use map[string]float64) float64 {
+// occupancy returns the time, in seconds, for which one request for path occupies a
+// slot of its own service. It adds the slot seconds that the request uses at each
+// service, downstream calls included, to use.
+func (d *Deployment) occupancy(service, path string, slowdown map[string]float64, use map[string]float64) float64 {
 	op := d.service(service).Operations[path]
 	t := op.Mean.Seconds() * factor(slowdown, service)
 	for _, step := range op.Steps {
-		t += d.hold(step.Service, step.Path, slowdown, use)
+		t += d.occupancy(step.Service, step.Path, slowdown, use)
 	}
 	use[service] += t
 	return t
@@ -144,58 +153,58 @@
 	return 1
 }
 
-// Capacity returns how many requests a second the upstreams could serve out of
-// the rates offered of each kind: kinds that need least of the scarcest
-// service come first. gone is the share of each service's upstreams that are
-// away.
-func (d *Deployment) Capacity(offered map[string]float64, slowdown, gone map[string]float64) float64 {
-	room := map[string]float64{}
+// Capacity returns the number of requests per second that the upstreams can serve of
+// the offered rates, which are by kind. Kinds that need the least of their scarcest
+// service are served first. lost is the share of each service's upstreams that are
+// down; slowdown is the factor on its service times.
+func (d *Deployment) Capacity(offered map[string]float64, slowdown, lost map[string]float64) float64 {
+	available := map[string]float64{}
 	for _, s := range d.Services {
-		room[s.Name] = float64(s.Upstreams*s.Slots) * (1 - gone[s.Name])
+		available[s.Name] = float64(s.Upstreams*s.Slots) * (1 - lost[s.Name])
 	}
 	type kind struct {
-		rate, most float64
-		use        map[string]float64
+		rate, maxUse float64
+		use          map[string]float64
 	}
 	var kinds []kind
 	for _, r := range d.Mix {
 		k := kind{rate: offered[r.Name], use: map[string]float64{}}
-		d.hold(r.Service, r.Path, slowdown, k.use)
+		d.occupancy(r.Service, r.Path, slowdown, k.use)
 		for s, u := range k.use {
-			k.most = max(k.most, u/room[s])
+			k.maxUse = max(k.maxUse, u/available[s])
 		}
 		kinds = append(kinds, k)
 	}
-	slices.SortFunc(kinds, func(a, b kind) int { return int(math.Copysign(1, a.most-b.most)) })
+	slices.SortFunc(kinds, func(a, b kind) int { return int(math.Copysign(1, a.maxUse-b.maxUse)) })
 	served := 0.0
 	for _, k := range kinds {
 		rate := k.rate
 		for s, u := range k.use {
-			rate = min(rate, room[s]/u)
+			rate = min(rate, available[s]/u)
 		}
 		for s, u := range k.use {
-			room[s] = max(0, room[s]-rate*u)
+			available[s] = max(0, available[s]-rate*u)
 		}
 		served += rate
 	}
 	return served
 }
 
-// FullCapacity is the rate in the deployment's mix at which the scarcest
-// service is busy all the time.
+// FullCapacity returns the rate of requests, in the deployment's mix, at which all
+// slots of the scarcest service are always in use.
 func (d *Deployment) FullCapacity() float64 {
 	use := map[string]float64{}
 	for _, r := range d.Mix {
-		one := map[string]float64{}
-		d.hold(r.Service, r.Path, nil, one)
-		for s, u := range one {
+		perRequest := map[string]float64{}
+		d.occupancy(r.Service, r.Path, nil, perRequest)
+		for s, u := range perRequest {
 			use[s] += r.Share * u
 		}
 	}
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for s, u := range use {
 		svc := d.service(s)
-		least = min(least, float64(svc.Upstreams*svc.Slots)/u)
+		lowest = min(lowest, float64(svc.Upstreams*svc.Slots)/u)
 	}
-	return least
+	return lowest
 }
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -6,15 +6,18 @@
 )
 
 const (
-	// poisonShare is small: now and then a single request crashes upstreams.
+	// poisonShare is the share of poison requests. It is small, so that they come
+	// one at a time.
 	poisonShare = 0.001
-	// crashDowntime is how long a crashed upstream takes to come back.
+	// crashDowntime is the interval at which crashed upstreams are restarted.
 	crashDowntime = time.Second
-	// stopBound is the longest deadline of a call plus the notice of leaving.
-	stopBound = 10 * time.Second
-	// restartPeriod leaves each upstream time to stop and come back.
+	// stopTimeout bounds a planned stop. It covers the longest deadline of a call plus
+	// the drain notice.
+	stopTimeout = 10 * time.Second
+	// restartPeriod is the interval between planned restarts of two upstreams, long
+	// enough for each to stop and start.
 	restartPeriod = 2500 * time.Millisecond
-	// coldStart is how long a restarted upstream is slow.
+	// coldStart is the warmup time of a restarted upstream.
 	coldStart = 3 * time.Second
 )
 
@@ -29,8 +32,8 @@
 			Name:        "silent-connections",
 			Description: "every open connection between nodes goes silent for good, twice, while new ones work",
 			Events: func(*Deployment) []Event {
-				silence := func(w *World) { w.network.Blackhole(clients) }
-				return []Event{{time.Second, silence}, {5 * time.Second, silence}}
+				blackhole := func(w *World) { w.network.Blackhole(clientsLocation) }
+				return []Event{{time.Second, blackhole}, {5 * time.Second, blackhole}}
 			},
 		},
 		{
@@ -44,14 +47,14 @@
 			Events: func(d *Deployment) []Event {
 				return []Event{{0, slowOneDeepest(slowFactor)}, {phasePressure, slowOneDeepest(1)}}
 			},
-			Gone: func(d *Deployment) map[string]float64 {
+			LostCapacity: func(d *Deployment) map[string]float64 {
 				return map[string]float64{d.Deepest(): 1 / float64(d.service(d.Deepest()).Upstreams)}
 			},
 		},
 		{
-			Name:        "cold-start",
-			Description: "half of the deepest service's upstreams restart at once and are slow while they warm up",
-			Gone:        deepest(0.5),
+			Name:         "cold-start",
+			Description:  "half of the deepest service's upstreams restart at once and are slow while they warm up",
+			LostCapacity: forDeepest(0.5),
 			Events: func(d *Deployment) []Event {
 				return []Event{{0, coldRestart}}
 			},
@@ -72,8 +75,8 @@
 	}
 }
 
-// rollingRestart replaces the upstreams of the deepest and the first service
-// one after another.
+// rollingRestart restarts the upstreams of the deepest and of the first service one
+// after another, the two services half a period apart.
 func rollingRestart(d *Deployment) []Event {
 	var events []Event
 	for offset, service := range []string{d.Deepest(), d.Services[0].Name} {
@@ -86,7 +89,8 @@
 	return events
 }
 
-// replace stops an upstream with its node as planned and starts it again.
+// replace stops the node of an upstream as planned and starts a new one. Under the
+// baseline, which has no nodes, it restarts the upstream.
 func (w *World) replace(v *vm) {
 	if w.policy == PolicyBaseline {
 		w.crash(v)
@@ -94,11 +98,11 @@
 		return
 	}
 	v.stopping.Store(true)
-	asked := time.Now()
-	ctx, cancel := context.WithTimeout(w.ctx, stopBound)
+	requested := time.Now()
+	ctx, cancel := context.WithTimeout(w.ctx, stopTimeout)
 	defer cancel()
-	cut := v.running().Shutdown(ctx)
-	w.noteStop(cut, v.server.LastStart().Sub(asked))
+	cutCalls := v.currentNode().Shutdown(ctx)
+	w.recordStop(cutCalls, v.server.LastStart().Sub(requested))
 	if err := w.startNode(v); err != nil {
 		return
 	}
@@ -106,17 +110,18 @@
 	w.announceOnce(v)
 }
 
-// noteStop records what a planned stop cut and how long after it was asked for
-// the upstream still began new work.
-func (w *World) noteStop(cut int, newWork time.Duration) {
+// recordStop records the number of calls that a planned stop cut off, and the time
+// from the stop request to the last call that the upstream started.
+func (w *World) recordStop(cutCalls int, lastNewWork time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cut += cut
-	w.newWork = max(w.newWork, newWork)
+	w.cutCalls += cutCalls
+	w.newWorkAfterStop = max(w.newWorkAfterStop, lastNewWork)
 }
 
-// revive restarts upstreams that a request crashed, as their platform would.
-func (w *World) revive() {
+// restartCrashed restarts crashed upstreams periodically, as the platform does, while
+// restartsCrashed is set.
+func (w *World) restartCrashed() {
 	t := time.NewTicker(crashDowntime)
 	defer t.Stop()
 	for {
@@ -125,10 +130,10 @@
 		case <-w.ctx.Done():
 			return
 		}
-		if !w.reviving.Load() {
+		if !w.restartsCrashed.Load() {
 			continue
 		}
-		for _, v := range w.all() {
+		for _, v := range w.allVMs() {
 			w.restart(v)
 		}
 	}
--- a/internal/bench/promises_test.go
+++ b/internal/bench/invariants_test.go
@@ -11,8 +11,8 @@
 	"github.com/galenagrade/galenagrade/internal/standin/upstream"
 )
 
-// small is a chain of two services with two upstreams each.
-func small() *Deployment {
+// chainDeployment is a chain of two services with two upstreams each.
+func chainDeployment() *Deployment {
 	return &Deployment{
 		Name: "small", Region: "r", Zones: []string{"a", "b"},
 		Services: []Service{
@@ -34,20 +34,22 @@
 	}
 }
 
-// Guards against a letter sent twice, a false refusal or a foreign answer when faults meet.
-func TestPromisesUnderFaults(t *testing.T) {
+// Guards against duplicate executions, false refusals and mismatched responses when a
+// crashed upstream and blackholed connections coincide. Checks also that the run records
+// its history.
+func TestInvariantsUnderFaults(t *testing.T) {
 	s := Scenario{
 		Name: "faults", Before: 100 * time.Millisecond, Pressure: 600 * time.Millisecond, After: 100 * time.Millisecond,
 		Events: func(*Deployment) []Event {
 			return []Event{
 				{50 * time.Millisecond, func(w *World) { w.crash(w.upstreamsOf("consent")[0]) }},
 				{200 * time.Millisecond, func(w *World) { w.restart(w.upstreamsOf("consent")[0]) }},
-				{400 * time.Millisecond, func(w *World) { w.network.Blackhole(clients) }},
+				{400 * time.Millisecond, func(w *World) { w.network.Blackhole(clientsLocation) }},
 			}
 		},
 	}
-	fillPhases(&s)
-	_, h, err := RunWith(s, small(), Options{Policy: PolicyGalenagrade, Seed: 1})
+	setDefaults(&s)
+	_, h, err := RunWith(s, chainDeployment(), Options{Policy: PolicyGalenagrade, Seed: 1})
 	must.NoError(t, err)
 	must.SliceEmpty(t, history.Check(h))
 	must.Positive(t, len(h.Sends))
--- a/internal/bench/latency.go
+++ b/internal/bench/latency.go
@@ -15,8 +15,8 @@
 	"github.com/galenagrade/galenagrade/internal/standin/upstream"
 )
 
-// Added is what a hop through the nodes adds to a direct call, as differences
-// of quantiles of one run in which both kinds alternate.
+// Added is the latency that a hop through the nodes adds to a direct call: the
+// difference of the quantiles of both kinds of call, which alternate in one run.
 type Added struct {
 	Rate      float64 `json:"rate_rps"`
 	Nodes     int     `json:"nodes"`
@@ -29,17 +29,18 @@
 }
 
 const (
-	latencyService = 5 * time.Millisecond
-	entryService   = "front"
-	// settleAfterRun lets what a run left behind end before a measurement.
-	settleAfterRun = 2 * time.Second
-	echoService    = "echo"
+	echoServiceTime = 5 * time.Millisecond
+	entryService    = "front"
+	// cooldown is the pause before a measurement, in which connections and goroutines
+	// of an earlier run end.
+	cooldown    = 2 * time.Second
+	echoService = "echo"
 )
 
-// latencyDeployment has four nodes in one zone: callers enter at the two that
-// do not serve the called service, so that each call takes one hop.
+// latencyDeployment returns four nodes in one zone. Callers use the two nodes that
+// don't serve the called service as entry nodes, so that each call takes one hop.
 func latencyDeployment() *Deployment {
-	op := map[string]upstream.Operation{"/echo": {Mean: latencyService, Fixed: true}}
+	op := map[string]upstream.Operation{"/echo": {Mean: echoServiceTime, Fixed: true}}
 	return &Deployment{
 		Name: "latency", Region: "local", Zones: []string{"one"},
 		Services: []Service{
@@ -50,33 +51,34 @@
 	}
 }
 
-// MeasureAdded calls at a rate for a time, every other call directly.
+// MeasureAdded makes rate calls per second for d, every other one directly to the
+// upstream, and returns the added latency.
 func MeasureAdded(rate float64, d time.Duration, seed uint64) (Added, error) {
-	// A run before this one in the same process leaves connections that close
-	// and a heap to collect.
-	time.Sleep(settleAfterRun)
+	// An earlier run in this process leaves closing connections and garbage on the
+	// heap, which would disturb the measurement.
+	time.Sleep(cooldown)
 	runtime.GC()
 	w, err := NewWorld(latencyDeployment(), PolicyGalenagrade, seed)
 	if err != nil {
 		return Added{}, err
 	}
 	defer w.Close()
-	warm := &latencyRun{world: w, client: latencyClient()}
-	warm.offer(rate, time.Second)
-	run := &latencyRun{world: w, client: warm.client}
+	warmup := &latencyRun{world: w, client: latencyClient()}
+	warmup.offer(rate, time.Second)
+	run := &latencyRun{world: w, client: warmup.client}
 	run.offer(rate, d)
-	if len(run.direct) == 0 || len(run.through) == 0 {
-		return Added{}, errors.New("no call succeeded")
+	if len(run.direct) == 0 || len(run.routed) == 0 {
+		return Added{}, errors.New("no direct call or no routed call succeeded")
 	}
 	slices.Sort(run.direct)
-	slices.Sort(run.through)
+	slices.Sort(run.routed)
 	micros := func(list []time.Duration, q float64) int64 { return quantile(list, q).Microseconds() }
 	return Added{
-		Rate: rate, Nodes: len(w.all()), Calls: len(run.direct) + len(run.through), Failed: run.failed,
+		Rate: rate, Nodes: len(w.allVMs()), Calls: len(run.direct) + len(run.routed), Failed: run.failed,
 		DirectP50: micros(run.direct, 0.50),
 		DirectP99: micros(run.direct, 0.99),
-		AddedP50:  micros(run.through, 0.50) - micros(run.direct, 0.50),
-		AddedP99:  micros(run.through, 0.99) - micros(run.direct, 0.99),
+		AddedP50:  micros(run.routed, 0.50) - micros(run.direct, 0.50),
+		AddedP99:  micros(run.routed, 0.99) - micros(run.direct, 0.99),
 	}, nil
 }
 
@@ -84,14 +86,15 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: ConnsPerHost}}
 }
 
+// latencyRun makes calls at a constant rate and collects their latencies by kind.
 type latencyRun struct {
 	world  *World
 	client *http.Client
 
-	mu              sync.Mutex
-	direct, through []time.Duration
-	failed          int
-	wg              sync.WaitGroup
+	mu             sync.Mutex
+	direct, routed []time.Duration
+	failed         int
+	wg             sync.WaitGroup
 }
 
 func (l *latencyRun) offer(rate float64, d time.Duration) {
@@ -119,7 +122,7 @@
 	base := echoes[pick%len(echoes)].server.Addr()
 	direct := i%2 == 0
 	if !direct {
-		base, _ = fronts[pick%len(fronts)].entry()
+		base, _ = fronts[pick%len(fronts)].addresses()
 	}
 	req, err := http.NewRequestWithContext(context.Background(), get, "http://"+base+"/echo", nil)
 	if err != nil {
@@ -138,7 +141,7 @@
 	case direct:
 		l.direct = append(l.direct, took)
 	default:
-		l.through = append(l.through, took)
+		l.routed = append(l.routed, took)
 	}
 }
 
--- a/internal/bench/measure.go
+++ b/internal/bench/measure.go
@@ -9,16 +9,18 @@
 )
 
 const (
-	// binWidth is the resolution of recovery.
+	// binWidth is the width of the time bins in which recovery is measured.
 	binWidth = 250 * time.Millisecond
-	// recoveredShare of a bin's requests must be answered usefully.
+	// recoveredShare is the share of good requests that a recovered bin needs.
 	recoveredShare = 0.95
-	// recoveredLatency bounds a recovered bin's median by the one before.
+	// recoveredLatency is the maximum median latency of a recovered bin, as a
+	// multiple of the median before pressure.
 	recoveredLatency = 2.0
 )
 
-// phases are the boundaries of a run, since its start.
-type phases struct{ pressure, heal, end time.Duration }
+// phases holds the start times of the pressure and the recovery phase and the end of
+// the recovery phase, as times since the run's start.
+type phases struct{ pressure, recovery, end time.Duration }
 
 func (w *World) measure(s Scenario, seed uint64, outcomes []*Outcome, ph phases, h *history.History) Result {
 	d := w.deployment
@@ -30,101 +32,104 @@
 	r := Result{
 		Scenario: s.Name, Deployment: d.Name, Policy: w.policy, Seed: seed,
 		Offered:  offered,
-		Capacity: d.Capacity(rates, s.Slowdown(d), s.Gone(d)),
+		Capacity: d.Capacity(rates, s.Slowdown(d), s.LostCapacity(d)),
 		Codes:    map[int]int{},
 		Details:  map[int]string{},
 	}
 	w.measureGoodput(&r, outcomes, ph)
 	r.RecoverySeconds, r.Recovered = recovery(outcomes, ph)
-	measureKinds(&r, outcomes, ph)
-	w.measurePromises(&r, outcomes, h)
-	r.ConfigReverts, r.ConfigInForce, r.ConfigChanges = w.watch.figures()
+	measureIdempotency(&r, outcomes, ph)
+	w.measureInvariants(&r, outcomes, h)
+	r.ConfigReverts, r.ConfigInForce, r.ConfigChanges = w.configWatch.figures()
 	if w.operators != nil {
 		r.RaceRounds, r.RaceViolations = w.operators.figures()
 	}
 	return r
 }
 
-// arrivalRates returns how many requests of each kind came a second while
-// pressure lasted.
+// arrivalRates returns the arrivals per second during pressure, by kind of request.
 func arrivalRates(outcomes []*Outcome, ph phases) map[string]float64 {
 	rates := map[string]float64{}
-	seconds := (ph.heal - ph.pressure).Seconds()
+	seconds := (ph.recovery - ph.pressure).Seconds()
 	for _, o := range outcomes {
-		if ph.during(o.Arrived) {
+		if ph.underPressure(o.Arrived) {
 			rates[o.Kind.Name] += 1 / seconds
 		}
 	}
 	return rates
 }
 
-// during reports whether t lies in the time of pressure.
-func (ph phases) during(t time.Duration) bool { return t >= ph.pressure && t < ph.heal }
+// underPressure reports whether t lies in the pressure phase.
+func (ph phases) underPressure(t time.Duration) bool { return t >= ph.pressure && t < ph.recovery }
 
-// measureGoodput counts answers by when they were given: those given after the
-// pressure, to requests that came before its end, were served by upstreams that
-// had healed.
+// measureGoodput counts responses that arrived in the pressure phase. A later response
+// doesn't count, even if its request arrived during pressure: upstreams that have
+// recovered served it.
 func (w *World) measureGoodput(r *Result, outcomes []*Outcome, ph phases) {
 	var good, goodWorth float64
-	var critical share
+	var critical shareCounter
 	var latencies []time.Duration
 	for _, o := range outcomes {
 		if o.Poison {
 			continue
 		}
-		if o.Level == callctx.LevelCritical && ph.during(o.Arrived) {
+		if o.Level == callctx.LevelCritical && ph.underPressure(o.Arrived) {
 			critical.add(o.Good)
 		}
-		if !o.Good || !ph.during(o.Arrived+o.Latency) {
+		if !o.Good || !ph.underPressure(o.Arrived+o.Latency) {
 			continue
 		}
 		good++
 		goodWorth += w.deployment.Worth[o.Level]
 		latencies = append(latencies, o.Latency)
 	}
-	seconds := (ph.heal - ph.pressure).Seconds()
+	seconds := (ph.recovery - ph.pressure).Seconds()
 	served := r.Capacity * seconds
 	r.Goodput = ratio(good, served)
-	r.WeightedGoodput = ratio(goodWorth, w.bestWorth(outcomes, ph, served))
+	r.WeightedGoodput = ratio(goodWorth, w.maxWorth(outcomes, ph, served))
 	r.CriticalServed = ratio(critical.good, critical.all)
 	slices.Sort(latencies)
 	r.P50Millis = millis(quantile(latencies, 0.50))
 	r.P99Millis = millis(quantile(latencies, 0.99))
 }
 
-// bestWorth is the worth of the served requests if the most important of those
-// offered are served.
-func (w *World) bestWorth(outcomes []*Outcome, ph phases, served float64) float64 {
+// maxWorth returns the highest worth that served requests can have: that of the
+// requests with the highest priority among those that arrived during pressure.
+func (w *World) maxWorth(outcomes []*Outcome, ph phases, served float64) float64 {
 	var count [callctx.Levels]float64
 	for _, o := range outcomes {
-		if ph.during(o.Arrived) {
+		if ph.underPressure(o.Arrived) {
 			count[o.Level]++
 		}
 	}
 	worth := 0.0
 	for l, n := range count {
-		take := min(n, served)
-		served -= take
-		worth += take * w.deployment.Worth[l]
+		admitted := min(n, served)
+		served -= admitted
+		worth += admitted * w.deployment.Worth[l]
 	}
 	return worth
 }
 
-// recovery is the time from the end of pressure until requests are answered
-// as before it: most of them, at no more than twice the usual median.
+// recovery returns the seconds from the end of pressure to the end of the last bin
+// that is not recovered, and whether a recovered bin follows. A bin is recovered if
+// its share of good requests is at least recoveredShare and its median latency at
+// most recoveredLatency times that of the second half of the phase before pressure.
 func recovery(outcomes []*Outcome, ph phases) (float64, bool) {
-	usual := binOf(outcomes, ph.pressure/2, ph.pressure)
-	limit := time.Duration(float64(usual.median) * recoveredLatency)
-	last := ph.heal
-	for from := ph.heal; from+binWidth <= ph.end; from += binWidth {
+	normal := binOf(outcomes, ph.pressure/2, ph.pressure)
+	limit := time.Duration(float64(normal.median) * recoveredLatency)
+	lastUnrecovered := ph.recovery
+	for from := ph.recovery; from+binWidth <= ph.end; from += binWidth {
 		b := binOf(outcomes, from, from+binWidth)
 		if b.share < recoveredShare || b.median > limit {
-			last = from + binWidth
+			lastUnrecovered = from + binWidth
 		}
 	}
-	return (last - ph.heal).Seconds(), last+binWidth <= ph.end
+	return (lastUnrecovered - ph.recovery).Seconds(), lastUnrecovered+binWidth <= ph.end
 }
 
+// bin holds the share of good requests among those that arrived in a time bin, and
+// their median latency.
 type bin struct {
 	share  float64
 	median time.Duration
@@ -150,25 +155,26 @@
 	return bin{share: good / all, median: quantile(latencies, 0.5)}
 }
 
-// measurePromises counts what must never happen, from what callers got and
-// what upstreams recorded by themselves.
-// maxEvidence bounds the broken promises that a result tells of.
+// maxEvidence is the maximum number of invariant violations that a result describes.
 const maxEvidence = 5
 
-// mostDeaths returns the most upstreams that one request killed.
-func mostDeaths(runs []history.Run) int {
-	deaths := map[string]int{}
+// maxCrashesOfOneRequest returns the highest number of upstreams that one request
+// crashed.
+func maxCrashesOfOneRequest(runs []history.Run) int {
+	crashes := map[string]int{}
 	most := 0
 	for _, r := range runs {
 		if r.Killed {
-			deaths[r.Request]++
-			most = max(most, deaths[r.Request])
+			crashes[r.Request]++
+			most = max(most, crashes[r.Request])
 		}
 	}
 	return most
 }
 
-func (w *World) measurePromises(r *Result, outcomes []*Outcome, h *history.History) {
+// measureInvariants counts violations of the invariants. It compares what callers
+// received with what upstreams recorded independently.
+func (w *World) measureInvariants(r *Result, outcomes []*Outcome, h *history.History) {
 	violations := history.Check(h)
 	r.Duplicates = history.Count(violations, history.AtMostOnce)
 	r.FalseRefusals = history.Count(violations, history.TrueRefusal)
@@ -177,9 +183,9 @@
 	for _, v := range violations[:min(len(violations), maxEvidence)] {
 		r.Evidence = append(r.Evidence, v.Error())
 	}
-	r.MaxCrashes = mostDeaths(h.Runs)
+	r.MaxCrashes = maxCrashesOfOneRequest(h.Runs)
 	for _, o := range outcomes {
-		for _, s := range o.Sends {
+		for _, s := range o.Attempts {
 			r.Codes[s.Code]++
 			if s.Err != "" {
 				r.Details[s.Code] = s.Err
@@ -188,24 +194,25 @@
 	}
 	r.MaxRetries = w.retries.max()
 	if w.managed() {
-		r.RetryAllowance = w.allowance()
+		r.RetryAllowance = w.retryAllowance()
 	}
 	w.mu.Lock()
-	r.CutInFlight = w.cut
-	r.NewWorkAfterDrain = max(0, w.newWork.Milliseconds())
+	r.CutInFlight = w.cutCalls
+	r.NewWorkAfterDrain = max(0, w.newWorkAfterStop.Milliseconds())
 	w.mu.Unlock()
-	for _, v := range w.all() {
+	for _, v := range w.allVMs() {
 		r.UpstreamCrashes += v.server.Crashes()
 	}
 }
 
-// allowance is asked of every node: one that has just been replaced may not
-// have read its configuration yet.
-func (w *World) allowance() int {
+// retryAllowance returns the highest retry allowance of any service at any node. It
+// reads all nodes, since a node that was just replaced may not have its
+// configuration yet.
+func (w *World) retryAllowance() int {
 	most := 0
-	for _, v := range w.all() {
+	for _, v := range w.allVMs() {
 		for _, svc := range w.deployment.Services {
-			if eff, ok := v.running().Node().Policy().Lookup(w.deployment.Name, svc.Name); ok {
+			if eff, ok := v.currentNode().Node().Policy().Lookup(w.deployment.Name, svc.Name); ok {
 				most = max(most, eff.RetryAllowance)
 			}
 		}
@@ -213,6 +220,7 @@
 	return most
 }
 
+// ratio returns a/b, and 1 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 1
@@ -220,6 +228,7 @@
 	return a / b
 }
 
+// quantile returns the q-quantile of an ascending list; 0 for an empty one.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/bench/measure_keyed.go
+++ b/internal/bench/measure_keyed.go
@@ -7,8 +7,8 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// stateRefusals are the codes that refuse a call for the state of the system,
-// not for its load.
+// stateRefusals are the codes of refusals that are caused by the state of the system
+// instead of its load.
 var stateRefusals = map[int]bool{
 	int(result.Draining):       true,
 	int(result.NoUpstream):     true,
@@ -18,24 +18,25 @@
 	int(result.Starting):       true,
 }
 
-// measureKinds tells idempotent requests from those that may run only once.
-func measureKinds(r *Result, outcomes []*Outcome, ph phases) {
-	var before, during share
+// measureIdempotency measures idempotent requests and keyed ones, which must run at
+// most once, separately.
+func measureIdempotency(r *Result, outcomes []*Outcome, ph phases) {
+	var before, during shareCounter
 	var latencies []time.Duration
 	for _, o := range outcomes {
 		if o.Poison {
 			continue
 		}
-		pressed := ph.during(o.Arrived)
+		underPressure := ph.underPressure(o.Arrived)
 		if o.Kind.Keyed() {
-			r.addKeyed(o)
-			if pressed && o.Good {
+			r.countKeyedFailure(o)
+			if underPressure && o.Good {
 				latencies = append(latencies, o.Latency)
 			}
 			continue
 		}
 		switch {
-		case pressed:
+		case underPressure:
 			during.add(o.Good)
 		case o.Arrived < ph.pressure:
 			before.add(o.Good)
@@ -48,28 +49,28 @@
 	r.IdempotentGoodputBefore = ratio(before.good, before.all)
 }
 
-// addKeyed counts a non-idempotent request without an answer by its last
-// sending. One whose last sending says "not run" may have an earlier one
-// whose outcome is unknown; then its caller can't know either. One that an
-// upstream ran and failed is neither.
-func (r *Result) addKeyed(o *Outcome) {
-	if o.Good || len(o.Sends) == 0 {
+// countKeyedFailure classifies a non-idempotent request without a good response. The
+// outcome is unknown if that of any attempt is unknown, even if the last attempt
+// reports "not run". Otherwise the request counts as refused if the last attempt has a
+// state refusal. A request that an upstream ran and failed is neither.
+func (r *Result) countKeyedFailure(o *Outcome) {
+	if o.Good || len(o.Attempts) == 0 {
 		return
 	}
-	for _, s := range o.Sends {
+	for _, s := range o.Attempts {
 		if s.Ran == result.RanUnknown || s.Ran == "" {
 			r.UnknownOutcomes++
 			return
 		}
 	}
-	if stateRefusals[o.Sends[len(o.Sends)-1].Code] {
+	if stateRefusals[o.Attempts[len(o.Attempts)-1].Code] {
 		r.RefusedNonIdempotent++
 	}
 }
 
-type share struct{ good, all float64 }
+type shareCounter struct{ good, all float64 }
 
-func (s *share) add(good bool) {
+func (s *shareCounter) add(good bool) {
 	s.all++
 	if good {
 		s.good++
--- a/internal/bench/operators.go
+++ b/internal/bench/operators.go
@@ -13,38 +13,43 @@
 )
 
 const (
-	// publishPeriod is the least time between two rounds: two changes a second.
+	// publishPeriod is the minimum time between two rounds, which gives at most two
+	// changes per second.
 	publishPeriod = 500 * time.Millisecond
-	// decisionWait bounds how long an operator waits to be told.
-	decisionWait = 5 * time.Second
-	decisionPoll = 5 * time.Millisecond
-	// publishRepeat is the pause before a publication in doubt is repeated.
-	publishRepeat = 20 * time.Millisecond
-	// keepAnswersBase is the least value published; no call is affected by
-	// values of minutes within a run of seconds.
-	keepAnswersBase = 300
+	// decisionTimeout bounds the wait of an operator for the decision on its
+	// publication.
+	decisionTimeout = 5 * time.Second
+	decisionPoll    = 5 * time.Millisecond
+	// appendRetryDelay is the delay before an append is retried that failed or has an
+	// unknown outcome.
+	appendRetryDelay = 20 * time.Millisecond
+	// minKeepAnswersSeconds is the lower bound of the published values of
+	// keep_answers. Values of minutes affect no call in a run of seconds.
+	minKeepAnswersSeconds = 300
 )
 
-// operators publish changes of the instances, several at once when they race.
+// operators publishes changes of the instances on behalf of count operators, which
+// compete in each round.
 type operators struct {
-	world *World
-	watch *configWatch
-	count int
-	value atomic.Int64
+	world     *World
+	watch     *configWatch
+	count     int
+	published atomic.Int64
 
 	mu sync.Mutex
-	// rounds were decided; violations are those in which not exactly one
-	// operator won, or another was not told by whom.
+	// rounds counts the rounds in which every operator got a decision. violations
+	// counts those of them in which not exactly one publication was accepted, or a
+	// rejected one does not name the accepted one's author.
 	rounds, violations int
 }
 
-// run publishes round after round until ctx ends.
+// run starts a round every publishPeriod until ctx ends.
 func (o *operators) run(ctx context.Context) {
 	services := o.world.deployment.Services
 	t := time.NewTicker(publishPeriod)
 	defer t.Stop()
 	for i := 0; ; i++ {
-		o.round(ctx, i, services[i%len(services)].Name)
+		o.runRound(ctx, i, services[i%len(services)].Name)
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -53,17 +58,18 @@
 	}
 }
 
-// told is what one operator learned of its publication.
-type told struct {
+// publishResult is the decision on one operator's publication.
+type publishResult struct {
 	author   string
 	decision policy.Decision
-	at       time.Time
-	ok       bool
+	// at is the time at which the append took effect.
+	at      time.Time
+	decided bool
 }
 
-func (o *operators) round(ctx context.Context, round int, service string) {
-	base := o.base(service)
-	all := make([]told, o.count)
+func (o *operators) runRound(ctx context.Context, round int, service string) {
+	base := o.baseVersion(service)
+	all := make([]publishResult, o.count)
 	var wg sync.WaitGroup
 	for i := range all {
 		wg.Go(func() {
@@ -73,39 +79,42 @@
 		})
 	}
 	wg.Wait()
-	o.judge(service, all)
+	o.countRound(service, all)
 }
 
-// base is the version that the operators saw: the newest at any node.
-func (o *operators) base(service string) policy.Version {
+// baseVersion returns the newest version of the instance at any node, on which the
+// operators of a round base their publications.
+func (o *operators) baseVersion(service string) policy.Version {
 	var newest policy.Version
-	for _, v := range o.world.all() {
-		if n := v.running(); n != nil {
+	for _, v := range o.world.allVMs() {
+		if n := v.currentNode(); n != nil {
 			newest = max(newest, n.Node().Policy().InstanceVersion(o.world.deployment.Name, service))
 		}
 	}
 	return newest
 }
 
-func (o *operators) publish(ctx context.Context, id, author, service string, base policy.Version) told {
+func (o *operators) publish(ctx context.Context, id, author, service string, base policy.Version) publishResult {
 	p := policy.Publication{ID: id, Author: author, BaseVersion: base, Instance: &policy.Instance{
 		Workspace: o.world.deployment.Name, Service: service, Template: "balanced", Revision: 1,
-		Values: map[string]string{"keep_answers": fmt.Sprintf("%ds", keepAnswersBase+o.value.Add(1))},
+		Values: map[string]string{"keep_answers": fmt.Sprintf("%ds", minKeepAnswersSeconds+o.published.Add(1))},
 	}}
 	rec, err := p.Record(time.Now())
 	if err != nil {
-		return told{author: author}
+		return publishResult{author: author}
 	}
-	at, ok := o.append(ctx, rec)
+	at, ok := o.appendRecord(ctx, rec)
 	if !ok {
-		return told{author: author}
+		return publishResult{author: author}
 	}
-	d, ok := o.await(ctx, id)
-	return told{author: author, decision: d, at: at, ok: ok}
+	d, ok := o.awaitDecision(ctx, id)
+	return publishResult{author: author, decision: d, at: at, decided: ok}
 }
 
-// append repeats a record in doubt, and returns when it first took effect.
-func (o *operators) append(ctx context.Context, rec logstore.Record) (time.Time, bool) {
+// appendRecord appends a record and retries while the outcome is unknown or the log is
+// overloaded. It returns the time of the first append that may have taken effect, and
+// whether there is one.
+func (o *operators) appendRecord(ctx context.Context, rec logstore.Record) (time.Time, bool) {
 	var first time.Time
 	for ctx.Err() == nil {
 		_, err := o.world.log.Append(ctx, []logstore.Record{rec})
@@ -119,16 +128,17 @@
 		if !uncertain && !errors.Is(err, logstore.ErrOverloaded) {
 			return first, !first.IsZero()
 		}
-		time.Sleep(publishRepeat)
+		time.Sleep(appendRetryDelay)
 	}
 	return first, !first.IsZero()
 }
 
-// await asks the nodes, as an operator does, until one has the decision.
-func (o *operators) await(ctx context.Context, id string) (policy.Decision, bool) {
-	for end := time.Now().Add(decisionWait); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(decisionPoll) {
-		for _, v := range o.world.all() {
-			n := v.running()
+// awaitDecision polls all nodes until one has the decision on publication id. It
+// returns false after decisionTimeout.
+func (o *operators) awaitDecision(ctx context.Context, id string) (policy.Decision, bool) {
+	for end := time.Now().Add(decisionTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(decisionPoll) {
+		for _, v := range o.world.allVMs() {
+			n := v.currentNode()
 			if n == nil {
 				continue
 			}
@@ -140,37 +150,39 @@
 	return policy.Decision{}, false
 }
 
-// judge counts a round in which every operator was told, and hands the change
-// that won to the watch.
-func (o *operators) judge(service string, all []told) {
-	var winners []told
+// countRound passes the accepted change to the configWatch, and counts the round if
+// every operator got a decision.
+func (o *operators) countRound(service string, all []publishResult) {
+	var winners []publishResult
 	for _, t := range all {
-		if t.ok && t.decision.Outcome == policy.Accepted {
+		if t.decided && t.decision.Outcome == policy.Accepted {
 			winners = append(winners, t)
-			o.watch.accepted(acceptedChange{service: service, version: t.decision.Version, at: t.at})
+			o.watch.addAccepted(acceptedChange{service: service, version: t.decision.Version, at: t.at})
 		}
 	}
 	for _, t := range all {
-		if !t.ok {
+		if !t.decided {
 			return
 		}
 	}
-	fair := len(winners) == 1
+	consistent := len(winners) == 1
 	for _, t := range all {
-		if fair && t.author != winners[0].author && !toldOf(t.decision, winners[0].author) {
-			fair = false
+		if consistent && t.author != winners[0].author && !conflictsWith(t.decision, winners[0].author) {
+			consistent = false
 		}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.rounds++
-	if !fair {
+	if !consistent {
 		o.violations++
 	}
 }
 
-func toldOf(d policy.Decision, winner string) bool {
-	return d.Outcome == policy.Lost && d.Lost != nil && d.Lost.Author == winner
+// conflictsWith reports whether a publication was rejected with a version conflict
+// that names author as the winner.
+func conflictsWith(d policy.Decision, author string) bool {
+	return d.Outcome == policy.Lost && d.Lost != nil && d.Lost.Author == author
 }
 
 func (o *operators) figures() (rounds, violations int) {
--- a/internal/bench/outages.go
+++ b/internal/bench/outages.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// ackLoss is the share of appends whose acknowledgement is lost.
+	// ackLoss is the probability that the acknowledgement of an append is lost.
 	ackLoss = 0.3
-	// pauseFor is longer than the validity of an owner's authority, 3 s.
-	pauseFor = 4500 * time.Millisecond
-	// racers is how many operators publish against each other.
-	racers = 3
-	// replacePeriod is how often another node is replaced.
+	// pauseDuration exceeds the validity of an owner's authority, which is 3 s.
+	pauseDuration = 4500 * time.Millisecond
+	// racingOperators is the number of operators that publish conflicting changes.
+	racingOperators = 3
+	// replacePeriod is the interval between replacements of two nodes.
 	replacePeriod = 1200 * time.Millisecond
 )
 
-// outageScenarios are those of the log, the network and the control plane.
-// Operators publish changes throughout.
+// outageScenarios returns the scenarios with faults of the log, the network and the
+// control plane. Operators publish changes during the whole run.
 func outageScenarios() []Scenario {
 	return []Scenario{
 		{
@@ -34,8 +34,8 @@
 			Operators:   1,
 			Events: func(*Deployment) []Event {
 				return []Event{
-					{0, knobs(func(k *logd.Knobs) { k.AckLoss = ackLoss })},
-					{phasePressure, knobs(func(k *logd.Knobs) { k.AckLoss = 0 })},
+					{0, setLogFaults(func(k *logd.Knobs) { k.AckLoss = ackLoss })},
+					{phasePressure, setLogFaults(func(k *logd.Knobs) { k.AckLoss = 0 })},
 				}
 			},
 		},
@@ -53,66 +53,68 @@
 			Operators:   1,
 			Events: func(*Deployment) []Event {
 				return []Event{
-					{500 * time.Millisecond, pauseHolder(0)},
-					{5500 * time.Millisecond, pauseHolder(1)},
+					{500 * time.Millisecond, pauseOwner(0)},
+					{5500 * time.Millisecond, pauseOwner(1)},
 				}
 			},
 		},
 		{
 			Name:        "racing-operators",
 			Description: "three operators publish conflicting values of one instance, again and again",
-			Operators:   racers,
+			Operators:   racingOperators,
 		},
 		vmCrash(),
 		{
 			Name:        "replace-all",
 			Description: "every node is replaced as planned, one after another, under load",
 			Operators:   1,
-			Pressure:    replaceAllTime,
+			Pressure:    replaceAllDuration,
 			Events:      replaceAll,
 		},
 	}
 }
 
-// vmCrash takes two VMs away for good.
+// vmCrash returns the scenario in which two VMs crash and don't come back.
 func vmCrash() Scenario {
 	return Scenario{
-		Name:        "vm-crash",
-		Description: "a VM of the first and one of the deepest service die with their nodes, in the middle of calls, and stay away",
-		Operators:   1,
-		Gone:        oneGone,
+		Name:         "vm-crash",
+		Description:  "a VM of the first and one of the deepest service die with their nodes, in the middle of calls, and stay away",
+		Operators:    1,
+		LostCapacity: capacityLostToVMCrash,
 		Events: func(d *Deployment) []Event {
 			return []Event{
-				{time.Second, func(w *World) { w.kill(w.upstreamsOf(d.Services[0].Name)[0]) }},
-				{3 * time.Second, func(w *World) { w.kill(w.upstreamsOf(d.Deepest())[0]) }},
+				{time.Second, func(w *World) { w.killVM(w.upstreamsOf(d.Services[0].Name)[0]) }},
+				{3 * time.Second, func(w *World) { w.killVM(w.upstreamsOf(d.Deepest())[0]) }},
 			}
 		},
 	}
 }
 
-// oneGone is the capacity that the two VMs of vm-crash take with them.
-func oneGone(d *Deployment) map[string]float64 {
-	gone := map[string]float64{}
+// capacityLostToVMCrash returns the share of upstreams that each service loses with the
+// two VMs of vm-crash.
+func capacityLostToVMCrash(d *Deployment) map[string]float64 {
+	lost := map[string]float64{}
 	for _, service := range []string{d.Services[0].Name, d.Deepest()} {
-		gone[service] = 1 / float64(d.service(service).Upstreams)
+		lost[service] = 1 / float64(d.service(service).Upstreams)
 	}
-	return gone
+	return lost
 }
 
-// kill ends a VM: its node and its upstream die in the same moment.
-func (w *World) kill(v *vm) {
+// killVM emulates the crash of a VM: its upstream and its node end at the same time.
+func (w *World) killVM(v *vm) {
 	v.stopping.Store(true)
 	v.server.Crash()
-	if n := v.running(); n != nil {
+	if n := v.currentNode(); n != nil {
 		n.Kill()
 	}
 }
 
-// replaceAllTime is enough for the 17 nodes of the larger deployment and the
-// last one's stop.
-const replaceAllTime = 17*replacePeriod + 5*time.Second
+// replaceAllDuration is long enough to replace the 17 nodes of the larger deployment,
+// including the stop of the last one.
+const replaceAllDuration = 17*replacePeriod + 5*time.Second
 
-func knobs(change func(*logd.Knobs)) func(*World) {
+// setLogFaults returns an event action that changes the limits and faults of the log.
+func setLogFaults(change func(*logd.Knobs)) func(*World) {
 	return func(w *World) { w.log.Update(change) }
 }
 
@@ -120,26 +122,27 @@
 	crash := func(w *World) { w.crash(w.upstreamsOf(d.Deepest())[0]) }
 	restart := func(w *World) { w.restart(w.upstreamsOf(d.Deepest())[0]) }
 	return []Event{
-		{0, knobs(func(k *logd.Knobs) { k.Outage = true })},
+		{0, setLogFaults(func(k *logd.Knobs) { k.Outage = true })},
 		{1 * time.Second, crash},
 		{2 * time.Second, restart},
 		{3 * time.Second, joinDeepest},
 		{6 * time.Second, crash},
 		{7 * time.Second, restart},
-		{phasePressure, knobs(func(k *logd.Knobs) { k.Outage = false })},
+		{phasePressure, setLogFaults(func(k *logd.Knobs) { k.Outage = false })},
 	}
 }
 
-// joinDeepest starts one more VM of the deepest service.
+// joinDeepest starts an additional VM of the deepest service.
 func joinDeepest(w *World) {
 	svc := *w.deployment.service(w.deployment.Deepest())
 	_ = w.startVM(svc, svc.Name+"-joined", w.deployment.Zones[0])
 }
 
-// setPartition cuts the last zone off, or ends that.
-func setPartition(cut bool) func(*World) {
+// setPartition starts or ends the partition of the last zone from the platform and from
+// the other zones.
+func setPartition(partitioned bool) func(*World) {
 	set := func(w *World, a, b string) {
-		if cut {
+		if partitioned {
 			w.network.Partition(a, b)
 		} else {
 			w.network.Heal(a, b)
@@ -148,23 +151,23 @@
 	return func(w *World) {
 		zones := w.deployment.Zones
 		last := zones[len(zones)-1]
-		set(w, last, platformPlace)
+		set(w, last, platformLocation)
 		for _, other := range zones[:len(zones)-1] {
 			set(w, last, other)
 		}
 	}
 }
 
-// pauseHolder pauses a node of the first service, whose requests carry keys.
-// Without nodes there is nothing to pause.
-func pauseHolder(i int) func(*World) {
+// pauseOwner pauses node i of the first service for pauseDuration. Requests of that
+// service carry keys, so the node owns keys. The baseline has no nodes to pause.
+func pauseOwner(i int) func(*World) {
 	return func(w *World) {
 		if !w.managed() {
 			return
 		}
 		v := w.upstreamsOf(w.deployment.Services[0].Name)[i]
 		v.gate.pause()
-		t := time.NewTimer(pauseFor)
+		t := time.NewTimer(pauseDuration)
 		defer t.Stop()
 		select {
 		case <-t.C:
@@ -174,12 +177,12 @@
 	}
 }
 
-// replaceAll takes the services in turn, so that the stops of two nodes of one
-// service seldom overlap.
+// replaceAll replaces all nodes. It alternates between the services, so that the stops
+// of two nodes of one service rarely overlap.
 func replaceAll(d *Deployment) []Event {
 	var events []Event
 	at := time.Duration(0)
-	for i := range mostUpstreams(d) {
+	for i := range maxUpstreams(d) {
 		for _, svc := range d.Services {
 			if i >= svc.Upstreams {
 				continue
@@ -191,7 +194,7 @@
 	return events
 }
 
-func mostUpstreams(d *Deployment) int {
+func maxUpstreams(d *Deployment) int {
 	most := 0
 	for _, svc := range d.Services {
 		most = max(most, svc.Upstreams)
@@ -199,20 +202,20 @@
 	return most
 }
 
-// publishing runs the scenario's operators and the watch until the returned
-// function is called.
-func (w *World) publishing(count int) (stop func()) {
+// startOperators runs the scenario's operators and the configWatch until the returned
+// function is called, which makes the final check.
+func (w *World) startOperators(count int) (stop func()) {
 	if !w.managed() {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
-	w.wg.Go(func() { w.watch.run(ctx) })
+	w.wg.Go(func() { w.configWatch.run(ctx) })
 	if count > 0 {
-		w.operators = &operators{world: w, watch: w.watch, count: count}
+		w.operators = &operators{world: w, watch: w.configWatch, count: count}
 		w.wg.Go(func() { w.operators.run(ctx) })
 	}
 	return func() {
 		cancel()
-		w.watch.look(time.Now(), true)
+		w.configWatch.checkAll(time.Now(), true)
 	}
 }
--- a/internal/bench/record.go
+++ b/internal/bench/record.go
@@ -10,19 +10,19 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// versionPeriod is how often the configuration versions of the nodes are seen.
+// versionPeriod is the interval at which the nodes' configuration versions are read.
 const versionPeriod = 20 * time.Millisecond
 
-// versionLog collects the configuration versions in force at each node, in the
-// order in which they were seen. Safe for concurrent use.
+// versionLog records the configuration versions that each node applied, in the order
+// of observation. Safe for concurrent use.
 type versionLog struct {
-	mu   sync.Mutex
-	seen []history.Version
-	last map[string]int64
+	mu       sync.Mutex
+	versions []history.Version
+	last     map[string]int64
 }
 
-// see keeps a version that differs from the last one of its node.
-func (l *versionLog) see(node string, version int64) {
+// record appends a version if it differs from the last one of its node.
+func (l *versionLog) record(node string, version int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.last == nil {
@@ -32,16 +32,17 @@
 		return
 	}
 	l.last[node] = version
-	l.seen = append(l.seen, history.Version{Node: node, Version: version})
+	l.versions = append(l.versions, history.Version{Node: node, Version: version})
 }
 
-func (l *versionLog) list() []history.Version {
+func (l *versionLog) snapshot() []history.Version {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.seen)
+	return slices.Clone(l.versions)
 }
 
-// watchVersions looks at every node until the world ends.
+// watchVersions records the version of every node each versionPeriod until the World
+// is closed.
 func (w *World) watchVersions() {
 	t := time.NewTicker(versionPeriod)
 	defer t.Stop()
@@ -50,7 +51,7 @@
 			v.mu.Lock()
 			n := v.node
 			v.mu.Unlock()
-			w.versions.see(v.name, int64(n.Node().Policy().Version()))
+			w.versions.record(v.name, int64(n.Node().Policy().Version()))
 		}
 		select {
 		case <-t.C:
@@ -60,11 +61,12 @@
 	}
 }
 
-// history joins what callers, upstreams and nodes recorded by themselves.
+// history returns the run's history, joined from the independent records of callers,
+// upstreams and nodes.
 func (w *World) history(outcomes []*Outcome) *history.History {
-	h := &history.History{Versions: w.versions.list()}
+	h := &history.History{Versions: w.versions.snapshot()}
 	for _, o := range outcomes {
-		for _, s := range o.Sends {
+		for _, s := range o.Attempts {
 			h.Sends = append(h.Sends, sendRecord(o, s))
 		}
 	}
@@ -77,7 +79,7 @@
 	}
 	allowance := history.Unbounded
 	if w.managed() {
-		allowance = w.allowance()
+		allowance = w.retryAllowance()
 	}
 	counts := w.retries.all()
 	for _, root := range slices.Sorted(maps.Keys(counts)) {
@@ -86,9 +88,9 @@
 	return h
 }
 
-func sendRecord(o *Outcome, s Sending) history.Send {
+func sendRecord(o *Outcome, s Attempt) history.Send {
 	return history.Send{
-		Request: o.Op, Attempt: s.Attempt, Service: o.Kind.Service,
+		Request: o.Op, Attempt: s.ID, Service: o.Kind.Service,
 		Code: result.Code(s.Code), Success: s.Success, Whole: s.Whole,
 		AnswerTo: s.AnswerTo, AnswerFrom: s.AnswerFrom, Err: s.Err,
 	}
--- a/internal/bench/report/chart.go
+++ b/internal/bench/report/chart.go
@@ -22,16 +22,18 @@
 	chartHeight = 7 * vg.Centimeter
 	textSize    = vg.Length(10)
 	lineWidth   = vg.Length(1.6)
-	// headroom and loggedHeadroom keep the highest line clear of the legend.
-	headroom       = 1.45
-	loggedHeadroom = 6
-	// tickSeconds is the distance of labels on the axis of time.
+	// headroom and logHeadroom are the factors of the upper end of a linear and of a
+	// logarithmic axis over the highest value. They keep the lines clear of the legend.
+	headroom    = 1.45
+	logHeadroom = 6
+	// tickSeconds is the distance between labels on the time axis.
 	tickSeconds = 5
-	// leastLogged is the lower end of a logarithmic axis, in its unit.
-	leastLogged = 10
+	// minLogValue is the lower end of a logarithmic axis, in the unit of the axis.
+	minLogValue = 10
 )
 
-// Colours that a colour-blind reader can tell apart (Okabe and Ito).
+// palette is the colours of the lines, from the palette of Okabe and Ito for
+// colour-blind readers.
 var palette = []color.Color{
 	color.RGBA{R: 0x99, G: 0x99, B: 0x99, A: 0xff},
 	color.RGBA{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
@@ -40,19 +42,22 @@
 
 var pressureColour = color.RGBA{R: 0xfb, G: 0xf0, B: 0xdc, A: 0xff}
 
-// series is one line of a chart.
+// series is one line of a chart. A series without a value function reserves its colour
+// and draws nothing.
 type series struct {
 	name  string
 	value func(*bench.Sample) float64
 }
 
-// chart is one row of the report, drawn for each policy on the same scale.
+// chart is one row of the report. It is drawn for each policy on the same scale.
 type chart struct {
 	title, unit string
 	log         bool
 	series      []series
 }
 
+// charts returns the charts of the report, one per row. The position of a series in its
+// chart selects its colour.
 func charts(deepest string) []chart {
 	return []chart{
 		{title: "Requests a second", unit: "requests/s", series: []series{
@@ -81,28 +86,28 @@
 	}
 }
 
-// top is the highest value of any run, so that charts beside each other share
-// their scale.
-func (c *chart) top(runs []Run) float64 {
-	most := 1.0
+// maxValue returns the highest value in all runs, and at least 1. It gives the charts of
+// a row a common scale.
+func (c *chart) maxValue(runs []Run) float64 {
+	highest := 1.0
 	for i := range runs {
 		for _, line := range c.series {
-			most = max(most, runs[i].top(line))
+			highest = max(highest, runs[i].maxValue(line))
 		}
 	}
-	return most
+	return highest
 }
 
-// top is the highest value of a series; 0 when the run has none of it, as the
-// baseline has no limit.
-func (r *Run) top(s series) float64 {
-	most := 0.0
+// maxValue returns the highest value of a series in the run; 0 if the run has no such
+// values, as the limit under the baseline.
+func (r *Run) maxValue(s series) float64 {
+	highest := 0.0
 	for i := range r.Samples {
 		if s.value != nil {
-			most = max(most, s.value(&r.Samples[i]))
+			highest = max(highest, s.value(&r.Samples[i]))
 		}
 	}
-	return most
+	return highest
 }
 
 // draw returns the chart of one run as SVG.
@@ -116,7 +121,7 @@
 	p.X.Tick.Marker = plot.TickerFunc(timeTicks)
 	p.Y.Min, p.Y.Max = 0, top*headroom
 	if c.log {
-		p.Y.Min, p.Y.Max = leastLogged, max(top, leastLogged)*loggedHeadroom
+		p.Y.Min, p.Y.Max = minLogValue, max(top, minLogValue)*logHeadroom
 		p.Y.Scale = plot.LogScale{}
 		p.Y.Tick.Marker = plot.LogTicks{Prec: -1}
 	}
@@ -125,7 +130,7 @@
 	}
 	p.Add(plotter.NewGrid())
 	for i, line := range c.series {
-		if line.value == nil || run.top(line) == 0 {
+		if line.value == nil || run.maxValue(line) == 0 {
 			continue
 		}
 		if err := addLine(p, run, line, palette[i], c.log); err != nil {
@@ -135,7 +140,7 @@
 	return svg(p)
 }
 
-// timeTicks marks each second and labels some.
+// timeTicks returns a tick for each second, with a label every tickSeconds.
 func timeTicks(from, to float64) []plot.Tick {
 	var ticks []plot.Tick
 	for second := int(math.Ceil(from)); float64(second) <= to; second++ {
@@ -163,9 +168,9 @@
 	p.Legend.Padding = 2
 }
 
-// addPressure shades the time of pressure.
+// addPressure shades the pressure phase.
 func addPressure(p *plot.Plot, run *Run) error {
-	from, to := run.pressure()
+	from, to := run.pressurePeriod()
 	if to <= from {
 		return nil
 	}
@@ -181,45 +186,45 @@
 	return nil
 }
 
-// addLine draws one series. A logarithmic axis has no place for nothing, so
-// that periods without an answer leave a gap.
+// addLine draws one series. A logarithmic axis can't show 0, so periods without a
+// response, whose value is 0, leave a gap in the line.
 func addLine(p *plot.Plot, run *Run, s series, colour color.Color, log bool) error {
-	var part plotter.XYs
-	named := false
+	var segment plotter.XYs
+	inLegend := false
 	flush := func() error {
-		if len(part) == 0 {
+		if len(segment) == 0 {
 			return nil
 		}
-		line, err := plotter.NewLine(part)
+		line, err := plotter.NewLine(segment)
 		if err != nil {
 			return err
 		}
 		line.Color = colour
 		line.Width = lineWidth
 		p.Add(line)
-		if !named {
+		if !inLegend {
 			p.Legend.Add(s.name, line)
-			named = true
+			inLegend = true
 		}
-		part = nil
+		segment = nil
 		return nil
 	}
 	for i := range run.Samples {
 		sample := &run.Samples[i]
 		value := s.value(sample)
-		if log && value < leastLogged {
+		if log && value < minLogValue {
 			if err := flush(); err != nil {
 				return err
 			}
 			continue
 		}
-		part = append(part, plotter.XY{X: sample.At.Seconds(), Y: value})
+		segment = append(segment, plotter.XY{X: sample.At.Seconds(), Y: value})
 	}
 	return flush()
 }
 
-// svg returns the plot as an element to stand inside a page: without the
-// document's prolog.
+// svg returns the plot as an svg element to embed in HTML, without the XML prolog of
+// the document.
 func svg(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(chartWidth, chartHeight)
 	p.Draw(draw.New(canvas))
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -1,5 +1,5 @@
-// Package report draws the course of runs into one HTML file that needs
-// nothing else: the charts are SVG inside it.
+// Package report renders the samples and results of runs as one self-contained HTML
+// file, with the charts as embedded SVG. It also prints outcomes per second as text.
 package report
 
 import (
@@ -11,14 +11,15 @@
 	"github.com/galenagrade/galenagrade/internal/bench"
 )
 
-// Run is one run with its course.
+// Run is the result of one run with its samples.
 type Run struct {
 	Result  bench.Result
 	Samples []bench.Sample
 }
 
-// pressure returns from when to when pressure lasted, in seconds.
-func (r *Run) pressure() (from, to float64) {
+// pressurePeriod returns the start and the end of the pressure phase, in seconds since
+// the run's start; both are 0 without one.
+func (r *Run) pressurePeriod() (from, to float64) {
 	for i := range r.Samples {
 		s := &r.Samples[i]
 		if s.Phase != bench.PhasePressure {
@@ -37,31 +38,33 @@
 
 var page = template.Must(template.New("page").Parse(pageText))
 
-// row is one chart for each run.
+// row holds the same chart for each run, as SVG.
 type row struct{ Charts []template.HTML }
 
-// figure is one line of the table.
+// figure is one row of the table, with a value per run.
 type figure struct {
 	Name, Help string
 	Values     []string
 }
 
+// document is the data of the template page.html.
 type document struct {
-	Scenario, Story, Deployment string
-	Seed                        uint64
-	Offered, Capacity           string
-	Policies                    []string
-	Figures                     []figure
-	Rows                        []row
+	Scenario, Description, Deployment string
+	Seed                              uint64
+	Offered, Capacity                 string
+	Policies                          []string
+	Figures                           []figure
+	Rows                              []row
 }
 
-// Write draws runs of one scenario on one deployment, beside each other.
+// Write writes the HTML report that compares runs of one scenario on one deployment.
+// It returns an error if runs is empty.
 func Write(w io.Writer, s bench.Scenario, d *bench.Deployment, runs []Run) error {
 	if len(runs) == 0 {
 		return fmt.Errorf("report: runs is empty, must hold at least one")
 	}
 	doc := document{
-		Scenario: s.Name, Story: s.Description, Deployment: d.Name,
+		Scenario: s.Name, Description: s.Description, Deployment: d.Name,
 		Seed:     runs[0].Result.Seed,
 		Offered:  fmt.Sprintf("%.0f", runs[0].Result.Offered),
 		Capacity: fmt.Sprintf("%.0f", runs[0].Result.Capacity),
@@ -86,7 +89,7 @@
 
 func drawRow(c *chart, runs []Run, seconds float64) (row, error) {
 	var r row
-	top := c.top(runs)
+	top := c.maxValue(runs)
 	for i := range runs {
 		drawn, err := c.draw(&runs[i], top, seconds)
 		if err != nil {
--- a/internal/bench/report/report_test.go
+++ b/internal/bench/report/report_test.go
@@ -12,14 +12,15 @@
 	"github.com/galenagrade/galenagrade/internal/bench/report"
 )
 
-func course(policy string, latency time.Duration) report.Run {
+// sampledRun returns a run of 8 samples, the last 4 under pressure.
+func sampledRun(policy string, latency time.Duration) report.Run {
 	run := report.Run{Result: bench.Result{Policy: policy, Seed: 1}}
 	for i := range 8 {
 		s := bench.Sample{At: time.Duration(i+1) * bench.SamplePeriod, Phase: bench.PhaseSteady, Offered: 10, Good: float64(i)}
 		if i >= 4 {
 			s.Phase = bench.PhasePressure
 		}
-		if i != 5 { // a period without an answer
+		if i != 5 { // a period without a response
 			s.Latencies = []time.Duration{latency}
 		}
 		run.Samples = append(run.Samples, s)
@@ -27,20 +28,22 @@
 	return run
 }
 
-// The file is opened where there is no network: it must hold all that it shows.
+// Guards against a report that references external resources: it is opened without
+// network access.
 func TestWriteIsSelfContained(t *testing.T) {
-	runs := []report.Run{course(bench.PolicyBaseline, 3*time.Second), course(bench.PolicyGalenagrade, 100*time.Millisecond)}
+	runs := []report.Run{sampledRun(bench.PolicyBaseline, 3*time.Second), sampledRun(bench.PolicyGalenagrade, 100*time.Millisecond)}
 	var out bytes.Buffer
 	must.NoError(t, report.Write(&out, bench.Scenario{Name: "surge", Description: "a < b"}, bench.Chikugo(), runs))
 	text := out.String()
 	must.Eq(t, 10, strings.Count(text, "<svg"))
 	must.StrContains(t, text, "a &lt; b")
 	must.StrContains(t, text, "never")
-	for _, outside := range []string{"<script", "src=", "<link", "url(http"} {
-		must.StrNotContains(t, text, outside)
+	for _, externalRef := range []string{"<script", "src=", "<link", "url(http"} {
+		must.StrNotContains(t, text, externalRef)
 	}
 }
 
-func TestWriteOfNothingFails(t *testing.T) {
+// Guards against an empty report when no runs are given.
+func TestWriteWithoutRunsFails(t *testing.T) {
 	must.Error(t, report.Write(&bytes.Buffer{}, bench.Scenario{}, bench.Chikugo(), nil))
 }
--- a/internal/bench/report/seconds.go
+++ b/internal/bench/report/seconds.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// Outcome is what a caller got for one request.
+// Outcome is the outcome of one request for its caller.
 type Outcome struct {
 	Begun  time.Time
 	Took   time.Duration
-	Status int // 0: no answer
+	Status int // HTTP status; 0 without a response
 }
 
-// Seconds prints a line for each of so many seconds from begun on. note is what the line
-// of a second ends with; the argument is the time since begun.
-func Seconds(out io.Writer, got []Outcome, begun time.Time, seconds int, note func(time.Duration) string) {
+// Seconds prints a table with one line for each of the seconds after begun, with the
+// outcomes of the requests that began in it. note returns the text at the end of a line;
+// its argument is the time from begun to the start of that second.
+func Seconds(out io.Writer, outcomes []Outcome, begun time.Time, seconds int, note func(time.Duration) string) {
 	fmt.Fprintln(out, "second  sent  served  refused  failed   p50 ms   p99 ms")
 	for second := range seconds {
 		at := time.Duration(second) * time.Second
 		from := begun.Add(at)
 		var took []time.Duration
 		sent, refused, failed := 0, 0, 0
-		for _, o := range got {
+		for _, o := range outcomes {
 			if o.Begun.Before(from) || !o.Begun.Before(from.Add(time.Second)) {
 				continue
 			}
@@ -44,6 +45,7 @@
 	}
 }
 
+// milliseconds returns a quantile of ascending durations in ms; 0 for an empty list.
 func milliseconds(sorted []time.Duration, quantile float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/bench/report/seconds_test.go
+++ b/internal/bench/report/seconds_test.go
@@ -10,7 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestReportCountsWhatCallersGot(t *testing.T) {
+// Guards against outcomes that are counted in the wrong second or column.
+func TestSecondsCountsOutcomesPerSecond(t *testing.T) {
 	begun := time.Now()
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
 	var out bytes.Buffer
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -15,23 +15,24 @@
 	PhaseSteady   = "steady"
 	PhasePressure = "pressure"
 	PhaseRecovery = "recovery"
-	// PhaseFinish has no arrivals; the last requests end.
+	// PhaseFinish has no arrivals; requests in flight complete.
 	PhaseFinish = "finish"
 )
 
-// probeRate is the calls a second of the latency probe before a run's load.
+// probeRate is the rate of the latency probe before a run, in calls per second.
 const probeRate = 2000
 
-// Options say how a scenario is run.
+// Options configure the run of a scenario.
 type Options struct {
 	// Policy is PolicyGalenagrade, PolicyClaims or PolicyBaseline.
 	Policy string
-	// Seed of arrivals and faults.
+	// Seed seeds arrivals and faults.
 	Seed uint64
-	// Probe is how long the added latency is measured first; 0 for not at all.
+	// Probe is the duration of the measurement of added latency before the run; 0
+	// for none.
 	Probe time.Duration
-	// OnSample may be nil; it gets what was seen in each SamplePeriod and must
-	// not block.
+	// OnSample is called with the sample of each SamplePeriod. It must not block and
+	// may be nil.
 	OnSample func(Sample)
 }
 
@@ -41,13 +42,13 @@
 	return r, err
 }
 
-// RunWith runs one scenario on a deployment and also returns the history that
-// the figures on promises come from.
+// RunWith runs one scenario on a deployment. It also returns the run's history, on
+// which the figures on invariants are based.
 func RunWith(s Scenario, d *Deployment, opts Options) (Result, *history.History, error) {
-	var added Added
+	var latency Added
 	if opts.Probe > 0 && opts.Policy != PolicyBaseline {
 		var err error
-		if added, err = MeasureAdded(probeRate, opts.Probe, opts.Seed); err != nil {
+		if latency, err = MeasureAdded(probeRate, opts.Probe, opts.Seed); err != nil {
 			return Result{}, nil, errors.Wrap(err, "latency probe")
 		}
 	}
@@ -56,53 +57,54 @@
 		return Result{}, nil, err
 	}
 	defer w.Close()
-	r, h := w.play(s, opts)
-	r.AddedP50, r.AddedP99 = added.AddedP50, added.AddedP99
+	r, h := w.run(s, opts)
+	r.AddedP50, r.AddedP99 = latency.AddedP50, latency.AddedP99
 	return r, h, nil
 }
 
-// play offers the scenario's load and faults, and measures.
-func (w *World) play(s Scenario, opts Options) (Result, *history.History) {
-	c := newCallers(w)
+// run applies the scenario's load and faults, and measures the result.
+func (w *World) run(s Scenario, opts Options) (Result, *history.History) {
+	load := newLoadGenerator(w)
 	var phase atomic.Value
 	phase.Store(PhaseSteady)
-	stopSampling := w.sample(c, &phase, opts.OnSample)
-	stopPublishing := w.publishing(s.Operators)
+	stopSampling := w.startSampling(load, &phase, opts.OnSample)
+	stopPublishing := w.startOperators(s.Operators)
 	steady := w.deployment.FullCapacity() * w.deployment.SteadyLoad
 	if s.Rate > 0 {
 		steady = s.Rate
 	}
-	c.offer(steady, s.Before)
+	load.offer(steady, s.Before)
 	var ph phases
-	ph.pressure = time.Since(c.start)
+	ph.pressure = time.Since(load.start)
 	appends := w.log.Appends()
 	phase.Store(PhasePressure)
-	stopEvents := w.schedule(s)
-	w.reviving.Store(s.Poison > 0)
-	c.poison = s.Poison
-	c.offer(steady*s.Surge, s.Pressure)
-	c.poison = 0
-	ph.heal = time.Since(c.start)
+	stopEvents := w.startEvents(s)
+	w.restartsCrashed.Store(s.Poison > 0)
+	load.poisonShare = s.Poison
+	load.offer(steady*s.Surge, s.Pressure)
+	load.poisonShare = 0
+	ph.recovery = time.Since(load.start)
 	appends = w.log.Appends() - appends
 	phase.Store(PhaseRecovery)
-	c.offer(steady, s.After)
-	ph.end = time.Since(c.start)
+	load.offer(steady, s.After)
+	ph.end = time.Since(load.start)
 	phase.Store(PhaseFinish)
 	stopPublishing()
-	outcomes := c.wait()
+	outcomes := load.wait()
 	stopSampling()
 	stopEvents()
 	h := w.history(outcomes)
 	r := w.measure(s, opts.Seed, outcomes, ph, h)
-	r.LateArrivals = c.late.Milliseconds()
-	r.AppendsPerSecond = float64(appends) / (ph.heal - ph.pressure).Seconds()
+	r.LateArrivals = load.maxLateness.Milliseconds()
+	r.AppendsPerSecond = float64(appends) / (ph.recovery - ph.pressure).Seconds()
 	return r, h
 }
 
-// schedule starts the scenario's events. The returned function drops those to
-// come and waits for those that go on: a planned stop is measured to its end.
-func (w *World) schedule(s Scenario) (stop func()) {
-	dropped := make(chan struct{})
+// startEvents schedules the scenario's events. The returned function cancels the
+// events that have not started and waits for the others, since a planned stop must be
+// measured to its end.
+func (w *World) startEvents(s Scenario) (stop func()) {
+	cancelled := make(chan struct{})
 	var wg sync.WaitGroup
 	for _, e := range s.Events(w.deployment) {
 		wg.Go(func() {
@@ -111,12 +113,12 @@
 			select {
 			case <-t.C:
 				e.Do(w)
-			case <-dropped:
+			case <-cancelled:
 			}
 		})
 	}
 	return func() {
-		close(dropped)
+		close(cancelled)
 		wg.Wait()
 	}
 }
--- a/internal/bench/sample.go
+++ b/internal/bench/sample.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// SamplePeriod is the resolution of a run's course.
+// SamplePeriod is the time between two samples of a run.
 const SamplePeriod = 250 * time.Millisecond
 
-// Sample is what one SamplePeriod saw. Rates are per second. Limit, InFlight
-// and Queue are of the deepest service, over all its upstreams.
+// Sample holds the figures of one SamplePeriod. Rates are per second. Limit, InFlight
+// and Queue are sums over all upstreams of the deepest service.
 type Sample struct {
-	// At is the end of the period, since the run's start.
+	// At is the end of the period, as time since the run's start.
 	At    time.Duration
 	Phase string
-	// Offered counts requests that came, Good those answered usefully, and
-	// Weighted the worth of the latter.
+	// Offered is the rate of arrivals, Good that of good responses, and Weighted the
+	// worth of the latter per second.
 	Offered, Good, Weighted float64
-	// Latencies of the good ones, ascending.
+	// Latencies are those of the good responses, ascending.
 	Latencies []time.Duration
-	// Limit is the guards' bound on calls at once; 0 under the baseline.
+	// Limit is the concurrency limit of the guards; 0 under the baseline.
 	Limit float64
-	// InFlight counts slots in use.
+	// InFlight is the number of slots in use.
 	InFlight float64
-	// Queue counts calls that wait at the guards or for a slot.
-	Queue   float64
+	// Queue is the number of calls that wait at the guards or for a slot.
+	Queue float64
+	// Retries is the rate of retries within the system, at all services.
 	Retries float64
 }
 
@@ -36,7 +37,8 @@
 // P99 returns the 99th percentile of latency in ms.
 func (s *Sample) P99() float64 { return millis(quantile(s.Latencies, 0.99)) }
 
-// meter counts between two samples.
+// meter counts arrivals and good responses since the last sample. Safe for concurrent
+// use.
 type meter struct {
 	mu        sync.Mutex
 	offered   int
@@ -44,20 +46,20 @@
 	latencies []time.Duration
 }
 
-func (m *meter) arrived() {
+func (m *meter) recordArrival() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.offered++
 }
 
-func (m *meter) answered(latency time.Duration, worth float64) {
+func (m *meter) recordResponse(latency time.Duration, worth float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.worth += worth
 	m.latencies = append(m.latencies, latency)
 }
 
-func (m *meter) take() (offered int, worth float64, latencies []time.Duration) {
+func (m *meter) reset() (offered int, worth float64, latencies []time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	offered, worth, latencies = m.offered, m.worth, m.latencies
@@ -65,8 +67,9 @@
 	return offered, worth, latencies
 }
 
-// sample reports to onSample until the returned function is called.
-func (w *World) sample(c *callers, phase *atomic.Value, onSample func(Sample)) (stop func()) {
+// startSampling calls onSample every SamplePeriod until the returned function is
+// called.
+func (w *World) startSampling(load *loadGenerator, phase *atomic.Value, onSample func(Sample)) (stop func()) {
 	if onSample == nil {
 		return func() {}
 	}
@@ -83,8 +86,8 @@
 			case <-t.C:
 			}
 			now := time.Now()
-			s := c.course(now.Sub(last))
-			s.At = now.Sub(c.start)
+			s := load.sampleRequests(now.Sub(last))
+			s.At = now.Sub(load.start)
 			s.Phase = phase.Load().(string)
 			total := w.retries.total()
 			s.Retries = float64(total-retries) / now.Sub(last).Seconds()
@@ -99,8 +102,8 @@
 	}
 }
 
-func (c *callers) course(d time.Duration) Sample {
-	offered, worth, latencies := c.meter.take()
+func (g *loadGenerator) sampleRequests(d time.Duration) Sample {
+	offered, worth, latencies := g.meter.reset()
 	slices.Sort(latencies)
 	return Sample{
 		Offered:   float64(offered) / d.Seconds(),
@@ -115,7 +118,7 @@
 		busy, waiting := v.server.Load()
 		s.InFlight += float64(busy)
 		s.Queue += float64(waiting)
-		if n := v.running(); n != nil {
+		if n := v.currentNode(); n != nil {
 			load := n.Node().Guard().Load()
 			s.Limit += float64(load.Limit)
 			s.Queue += float64(load.Queued)
@@ -123,7 +126,7 @@
 	}
 }
 
-// Percentile returns a quantile of latencies in ms, and sorts them.
+// Percentile sorts latencies in place and returns their q-quantile in ms.
 func Percentile(latencies []time.Duration, q float64) float64 {
 	slices.Sort(latencies)
 	return millis(quantile(latencies, q))
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -2,31 +2,35 @@
 
 import "time"
 
-// Event is one thing that happens to a world.
+// Event is an action on the World at a point in time, for example a fault.
 type Event struct {
-	// At is counted from the start of the pressure phase.
+	// At is the time since the start of the pressure phase.
 	At time.Duration
 	Do func(w *World)
 }
 
-// Scenario is one run's load and faults.
+// Scenario describes the load and the faults of a run.
 type Scenario struct {
 	Name        string
 	Description string
-	// Pressure lasts this long, between Before and After of steady load.
+	// Before, Pressure and After are the durations of the phases. Load is steady in
+	// Before and After.
 	Before, Pressure, After time.Duration
-	// Surge multiplies arrivals while pressure lasts.
+	// Surge is the factor on the steady load during pressure.
 	Surge float64
-	// Slowdown and Gone describe the capacity that is left while it lasts.
-	Slowdown func(d *Deployment) map[string]float64
-	Gone     func(d *Deployment) map[string]float64
-	Events   func(d *Deployment) []Event
-	// Operators publish changes throughout; more than one race.
+	// Slowdown is the factor on service times, LostCapacity the share of upstreams
+	// that are down during pressure, both by service. They only serve to compute the
+	// available capacity; Events cause the faults.
+	Slowdown     func(d *Deployment) map[string]float64
+	LostCapacity func(d *Deployment) map[string]float64
+	Events       func(d *Deployment) []Event
+	// Operators is the number of operators that publish changes during the whole run.
+	// More than one publish conflicting changes.
 	Operators int
-	// Rate is the load in ordinary times, in requests a second; 0 takes the
-	// deployment's.
+	// Rate is the steady load, in requests per second; 0 means that of the
+	// deployment.
 	Rate float64
-	// Poison is the share of requests that crash the upstreams which run them.
+	// Poison is the share of requests that crash every upstream that runs them.
 	Poison float64
 }
 
@@ -38,7 +42,8 @@
 	surgeFactor   = 3
 )
 
-func deepest(value float64) func(d *Deployment) map[string]float64 {
+// forDeepest returns a function that maps the deepest service to value.
+func forDeepest(value float64) func(d *Deployment) map[string]float64 {
 	return func(d *Deployment) map[string]float64 { return map[string]float64{d.Deepest(): value} }
 }
 
@@ -50,7 +55,7 @@
 	}
 }
 
-// Scenarios returns all scenarios.
+// Scenarios returns all scenarios, with the defaults of unset fields.
 func Scenarios() []Scenario {
 	list := []Scenario{
 		{
@@ -66,17 +71,17 @@
 		{
 			Name:        "slow-deep",
 			Description: "the deepest service takes ten times as long for ten seconds, then heals",
-			Slowdown:    deepest(slowFactor),
+			Slowdown:    forDeepest(slowFactor),
 			Events: func(*Deployment) []Event {
 				return []Event{{0, slowDeepest(slowFactor)}, {phasePressure, slowDeepest(1)}}
 			},
 		},
 		{
-			Name:        "storm",
-			Description: "three times the load, the deepest service ten times as slow, and half of its upstreams die",
-			Surge:       surgeFactor,
-			Slowdown:    deepest(slowFactor),
-			Gone:        deepest(0.5),
+			Name:         "storm",
+			Description:  "three times the load, the deepest service ten times as slow, and half of its upstreams die",
+			Surge:        surgeFactor,
+			Slowdown:     forDeepest(slowFactor),
+			LostCapacity: forDeepest(0.5),
 			Events: func(*Deployment) []Event {
 				return []Event{
 					{0, slowDeepest(slowFactor)},
@@ -90,12 +95,13 @@
 	list = append(list, faultScenarios()...)
 	list = append(list, outageScenarios()...)
 	for i := range list {
-		fillPhases(&list[i])
+		setDefaults(&list[i])
 	}
 	return list
 }
 
-func fillPhases(s *Scenario) {
+// setDefaults sets the defaults of unset fields.
+func setDefaults(s *Scenario) {
 	if s.Before == 0 {
 		s.Before = phaseBefore
 	}
@@ -115,8 +121,8 @@
 	if s.Slowdown == nil {
 		s.Slowdown = none
 	}
-	if s.Gone == nil {
-		s.Gone = none
+	if s.LostCapacity == nil {
+		s.LostCapacity = none
 	}
 }
 
--- a/internal/bench/vmlog.go
+++ b/internal/bench/vmlog.go
@@ -8,71 +8,73 @@
 	"github.com/galenagrade/galenagrade/internal/standin/link"
 )
 
-// platformPlace is where the log is.
-const platformPlace = "platform"
+// platformLocation is the location of the log.
+const platformLocation = "platform"
 
-// cutLogDelay is how long a request to a log out of reach takes to fail.
-const cutLogDelay = 200 * time.Millisecond
+// partitionErrorDelay is the time after which a request to the log fails when a
+// partition separates the VM from it.
+const partitionErrorDelay = 200 * time.Millisecond
 
-// vmLog is the log as one VM reaches it: out of reach while the zone is cut
-// off, standing still while the VM is paused.
+// vmLog is the connection of one VM to the log. Requests fail while the VM's zone is
+// partitioned from the platform, and block while the VM is paused.
 type vmLog struct {
 	log     logstore.Log
 	network *link.Network
 	zone    string
-	gate    *gate
+	gate    *pauseGate
 }
 
 var _ logstore.Log = (*vmLog)(nil)
 
-// pass is taken by a request on its way and by the answer on its way back.
-func (l *vmLog) pass(ctx context.Context) error {
+// awaitPath emulates one way between VM and log, for a request or for a response. It
+// blocks while the VM is paused and fails with ErrUnavailable over a partition.
+func (l *vmLog) awaitPath(ctx context.Context) error {
 	if err := l.gate.wait(ctx); err != nil {
 		return &logstore.UnavailableError{Cause: err}
 	}
-	if !l.network.IsPartitioned(l.zone, platformPlace) {
+	if !l.network.IsPartitioned(l.zone, platformLocation) {
 		return nil
 	}
 	select {
-	case <-time.After(cutLogDelay):
+	case <-time.After(partitionErrorDelay):
 	case <-ctx.Done():
 	}
 	return &logstore.UnavailableError{Cause: link.ErrPartitioned}
 }
 
-// Append implements logstore.Log. When the cut comes before the answer does,
-// the append took effect and its writer can't know.
+// Append implements logstore.Log. If the partition begins after the append took
+// effect and before the response, the append fails with ErrUncertain.
 func (l *vmLog) Append(ctx context.Context, records []logstore.Record) (int64, error) {
-	if err := l.pass(ctx); err != nil {
+	if err := l.awaitPath(ctx); err != nil {
 		return 0, err
 	}
 	first, err := l.log.Append(ctx, records)
-	if lost := l.pass(ctx); lost != nil {
-		return 0, &logstore.UncertainError{Cause: lost}
+	if pathErr := l.awaitPath(ctx); pathErr != nil {
+		return 0, &logstore.UncertainError{Cause: pathErr}
 	}
 	return first, err
 }
 
 // Read implements logstore.Log.
 func (l *vmLog) Read(ctx context.Context, from int64, max int, wait time.Duration) (logstore.Page, error) {
-	if err := l.pass(ctx); err != nil {
+	if err := l.awaitPath(ctx); err != nil {
 		return logstore.Page{}, err
 	}
 	page, err := l.log.Read(ctx, from, max, wait)
-	if lost := l.pass(ctx); lost != nil {
-		return logstore.Page{}, lost
+	if pathErr := l.awaitPath(ctx); pathErr != nil {
+		return logstore.Page{}, pathErr
 	}
 	return page, err
 }
 
 // Head implements logstore.Log.
 func (l *vmLog) Head(ctx context.Context) (int64, error) {
-	if err := l.pass(ctx); err != nil {
+	if err := l.awaitPath(ctx); err != nil {
 		return 0, err
 	}
 	head, err := l.log.Head(ctx)
-	if lost := l.pass(ctx); lost != nil {
-		return 0, lost
+	if pathErr := l.awaitPath(ctx); pathErr != nil {
+		return 0, pathErr
 	}
 	return head, err
 }
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -25,22 +25,24 @@
 )
 
 const (
-	// PolicyGalenagrade runs the calls through nodes.
+	// PolicyGalenagrade routes all calls through nodes.
 	PolicyGalenagrade = "galenagrade"
-	// PolicyBaseline runs them from service to service with the usual
-	// timeouts, three retries a hop and least-loaded routing.
+	// PolicyBaseline has services call each other directly, with a timeout and three
+	// retries per hop and least-loaded routing.
 	PolicyBaseline = "baseline"
 	// PolicyClaims is PolicyGalenagrade with a claim in the log for each
-	// non-idempotent call, in place of ownership.
+	// non-idempotent call, instead of ownership of keys.
 	PolicyClaims = "claims"
-	// clients is where callers are.
-	clients = "clients"
-	// announcePeriod is how often an upstream announces itself.
+	// clientsLocation is the network location of all callers.
+	clientsLocation = "clients"
+	// announcePeriod is the interval at which an upstream announces itself to its
+	// node.
 	announcePeriod = time.Second
 	readyTimeout   = 15 * time.Second
-	// seedPeerCount is how many nodes each node's settings name.
+	// seedPeerCount is the maximum number of seed peers in a node's settings.
 	seedPeerCount = 3
-	// logAppends and logDelayMillis are the platform's log as the brief has it.
+	// logAppends and logDelayMillis are the specified rate limit, in appends per
+	// second, and the latency of the platform's log.
 	logAppends     = 400
 	logDelayMillis = 2
 )
@@ -51,8 +53,8 @@
 	slots               int
 	server              *upstream.Server
 	stopping            atomic.Bool
-	// gate is shut while the VM's node is paused.
-	gate *gate
+	// gate is closed while the VM's node is paused.
+	gate *pauseGate
 
 	mu            sync.Mutex
 	node          *server.Server
@@ -60,49 +62,49 @@
 	inner         string
 }
 
-// entry returns where callers and the upstream reach the node at present.
-func (v *vm) entry() (callers, exit string) {
+// addresses returns the current addresses of the node for callers and for the upstream.
+func (v *vm) addresses() (callers, exit string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.callers, v.exit
 }
 
-// running returns the node's present process; nil under the baseline.
-func (v *vm) running() *server.Server {
+// currentNode returns the current process of the node; nil under the baseline.
+func (v *vm) currentNode() *server.Server {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.node
 }
 
-// World is a running deployment.
+// World is a running deployment with its log, network, nodes and upstreams.
 type World struct {
-	deployment *Deployment
-	policy     string
-	seed       uint64
-	log        *logd.Server
-	network    *link.Network
-	ledger     *upstream.Ledger
-	retries    *retryCounter
-	versions   versionLog
-	baseline   *baselineRouter
-	reviving   atomic.Bool
-	watch      *configWatch
-	operators  *operators
-	// gates finds the gate of the process that listens at an address.
-	gates sync.Map
+	deployment      *Deployment
+	policy          string
+	seed            uint64
+	log             *logd.Server
+	network         *link.Network
+	ledger          *upstream.Ledger
+	retries         *retryCounter
+	versions        versionLog
+	baseline        *baselineRouter
+	restartsCrashed atomic.Bool
+	configWatch     *configWatch
+	operators       *operators
+	// gatesByAddr maps the listen addresses of a process to its *pauseGate.
+	gatesByAddr sync.Map
 
-	mu      sync.Mutex
-	vms     []*vm // replaced as a whole when one joins
-	cut     int
-	newWork time.Duration
+	mu               sync.Mutex
+	vms              []*vm // copied on write
+	cutCalls         int
+	newWorkAfterStop time.Duration
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 }
 
-// NewWorld starts a deployment under a policy and waits until every node
-// knows every other.
+// NewWorld starts a deployment under a policy and waits until every node routes to
+// every upstream. The caller must close the World.
 func NewWorld(d *Deployment, policyName string, seed uint64) (*World, error) {
 	w := &World{
 		deployment: d,
@@ -113,13 +115,13 @@
 		ledger:     &upstream.Ledger{},
 		retries:    newRetryCounter(),
 	}
-	w.watch = newConfigWatch(w)
+	w.configWatch = newConfigWatch(w)
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	w.baseline = newBaselineRouter(w)
 	w.wg.Add(1)
 	go func() {
 		defer w.wg.Done()
-		w.revive()
+		w.restartCrashed()
 	}()
 	if err := w.startAll(); err != nil {
 		w.Close()
@@ -130,7 +132,7 @@
 
 func (d *Deployment) delay(from, to string) time.Duration {
 	switch {
-	case from == clients || to == clients:
+	case from == clientsLocation || to == clientsLocation:
 		return d.ClientDelay
 	case from != to:
 		return d.ZoneDelay
@@ -164,8 +166,8 @@
 	return w.awaitReady()
 }
 
-// publish puts the templates and the deployment's instances into the log, as
-// operators would.
+// publish appends the templates and the deployment's instances to the log, like the
+// publications of operators.
 func (w *World) publish() error {
 	var records []logstore.Record
 	add := func(p *policy.Publication) error {
@@ -199,21 +201,21 @@
 }
 
 func (w *World) startVM(svc Service, name, zone string) error {
-	v := &vm{name: name, zone: zone, service: svc.Name, slots: svc.Slots, gate: newGate()}
+	v := &vm{name: name, zone: zone, service: svc.Name, slots: svc.Slots, gate: newPauseGate()}
 	v.server = upstream.New(upstream.Config{
 		Name: name, Service: svc.Name, Slots: svc.Slots, Connections: svc.Connections,
-		Operations: svc.Operations, Seed: w.seed*1000 + uint64(len(w.all())+1),
-	}, w.childOf(v), w.ledger)
+		Operations: svc.Operations, Seed: w.seed*1000 + uint64(len(w.allVMs())+1),
+	}, w.downstreamCaller(v), w.ledger)
 	if err := v.server.Start(); err != nil {
 		return err
 	}
 	w.network.SetLocation(v.server.Addr(), zone)
 	if w.policy == PolicyBaseline {
-		w.add(v)
+		w.addVM(v)
 		return nil
 	}
 	err := w.startNode(v)
-	w.add(v)
+	w.addVM(v)
 	if err != nil {
 		return err
 	}
@@ -238,7 +240,7 @@
 	cfg.SeedPeers = w.seedPeers(v)
 	n, err := server.Start(cfg, server.Options{
 		Log:       &vmLog{log: w.log, network: w.network, zone: v.zone, gate: v.gate},
-		Dial:      w.holding(w.network.Dialer(v.zone), v.gate),
+		Dial:      w.pausableDial(w.network.Dialer(v.zone), v.gate),
 		Logger:    zerolog.Nop(),
 		Observer:  w.retries,
 		BeforeRun: v.gate.wait,
@@ -253,17 +255,17 @@
 	w.network.SetLocation(callers, v.zone)
 	w.network.SetLocation(inner, v.zone)
 	for _, addr := range []string{callers, exit, inner} {
-		w.gates.Store(addr, v.gate)
+		w.gatesByAddr.Store(addr, v.gate)
 	}
 	return nil
 }
 
-// seedPeers are the first few other nodes, which a node's settings name so
-// that it finds the others while the log is out.
-func (w *World) seedPeers(of *vm) []string {
+// seedPeers returns the addresses of the first seedPeerCount other nodes. With them a
+// node can join the others during an outage of the log.
+func (w *World) seedPeers(exclude *vm) []string {
 	var addrs []string
-	for _, v := range w.all() {
-		if v == of || len(addrs) == seedPeerCount {
+	for _, v := range w.allVMs() {
+		if v == exclude || len(addrs) == seedPeerCount {
 			continue
 		}
 		v.mu.Lock()
@@ -276,28 +278,30 @@
 	return addrs
 }
 
-// managed reports whether the calls run through nodes.
+// managed reports whether the policy routes calls through nodes.
 func (w *World) managed() bool { return w.policy != PolicyBaseline }
 
-// all returns the VMs; the slice must not be changed.
-func (w *World) all() []*vm {
+// allVMs returns the VMs. The caller must not modify the slice.
+func (w *World) allVMs() []*vm {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.vms
 }
 
-func (w *World) add(v *vm) {
+func (w *World) addVM(v *vm) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.vms = append(slices.Clone(w.vms), v)
 }
 
-// reachable reports whether a node runs and its zone is not cut off.
+// reachable reports whether a node is not paused and its zone is not partitioned from
+// the platform.
 func (w *World) reachable(v *vm) bool {
-	return !v.gate.paused() && !w.network.IsPartitioned(v.zone, platformPlace)
+	return !v.gate.paused() && !w.network.IsPartitioned(v.zone, platformLocation)
 }
 
-// announce tells the node of the upstream, at once and then every second.
+// announce registers the upstream at its node, immediately and then every
+// announcePeriod, while the upstream listens and is not stopping.
 func (w *World) announce(v *vm) {
 	t := time.NewTicker(announcePeriod)
 	defer t.Stop()
@@ -314,7 +318,7 @@
 }
 
 func (w *World) announceOnce(v *vm) {
-	_, exit := v.entry()
+	_, exit := v.addresses()
 	body, err := json.Marshal(node.Announcement{Service: v.service, Address: v.server.Addr(), Slots: v.slots})
 	if err != nil {
 		return
@@ -328,7 +332,7 @@
 	}
 }
 
-// awaitReady returns once every node routes to every upstream.
+// awaitReady waits until all nodes are ready, at most for readyTimeout.
 func (w *World) awaitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
@@ -340,9 +344,11 @@
 	return errors.Errorf("nodes were not ready within %s", readyTimeout)
 }
 
+// ready reports whether every node routes to every upstream, has its configuration and
+// the owners of keys are settled.
 func (w *World) ready() bool {
-	for _, v := range w.all() {
-		n := v.running()
+	for _, v := range w.allVMs() {
+		n := v.currentNode()
 		for _, svc := range w.deployment.Services {
 			if len(n.Node().Table().Targets(svc.Name)) < svc.Upstreams {
 				return false
@@ -357,7 +363,7 @@
 
 func (w *World) upstreamsOf(service string) []*vm {
 	var list []*vm
-	for _, v := range w.all() {
+	for _, v := range w.allVMs() {
 		if v.service == service {
 			list = append(list, v)
 		}
@@ -376,13 +382,13 @@
 	}
 }
 
-// Close ends everything.
+// Close stops all nodes and upstreams and closes the connections.
 func (w *World) Close() {
 	w.cancel()
 	w.wg.Wait()
-	for _, v := range w.all() {
+	for _, v := range w.allVMs() {
 		v.gate.resume()
-		if n := v.running(); n != nil {
+		if n := v.currentNode(); n != nil {
 			n.Kill()
 		}
 		v.server.Crash()
