--- a/internal/standin/logd/http.go
+++ b/internal/standin/logd/http.go
@@ -103,7 +103,8 @@
 	return err == nil
 }
 
-// reply writes v, or the error response and status that stand for err on the wire.
+// reply writes v, or for an error the status and body that the log client maps back to
+// err.
 func reply(w http.ResponseWriter, v any, err error) {
 	var truncated *logstore.TruncatedError
 	var overloaded *logstore.OverloadedError
