--- a/internal/bench/measure_test.go
+++ b/internal/bench/measure_test.go
@@ -36,7 +36,7 @@
 	letter := Request{Service: "letters", Method: post}
 	attempt := func(code result.Code) Attempt { return Attempt{Code: int(code), Ran: code.Ran()} }
 	for _, c := range []struct {
-		sends            []Attempt
+		attempts         []Attempt
 		refused, unknown int
 	}{
 		{[]Attempt{attempt(result.NoAuthority)}, 1, 0},
@@ -46,7 +46,7 @@
 		{[]Attempt{attempt(result.UpstreamFailed)}, 0, 0},
 	} {
 		var r Result
-		measureIdempotency(&r, []*Outcome{{Kind: letter, Attempts: c.sends}}, phases{})
+		measureIdempotency(&r, []*Outcome{{Kind: letter, Attempts: c.attempts}}, phases{})
 		must.Eq(t, c.refused, r.RefusedNonIdempotent)
 		must.Eq(t, c.unknown, r.UnknownOutcomes)
 	}
--- a/internal/bench/operators.go
+++ b/internal/bench/operators.go
@@ -69,17 +69,17 @@
 
 func (o *operators) runRound(ctx context.Context, round int, service string) {
 	base := o.baseVersion(service)
-	all := make([]publishResult, o.count)
+	results := make([]publishResult, o.count)
 	var wg sync.WaitGroup
-	for i := range all {
+	for i := range results {
 		wg.Go(func() {
 			author := fmt.Sprintf("operator-%d", i)
 			id := fmt.Sprintf("round-%d-%d", round, i)
-			all[i] = o.publish(ctx, id, author, service, base)
+			results[i] = o.publish(ctx, id, author, service, base)
 		})
 	}
 	wg.Wait()
-	o.countRound(service, all)
+	o.countRound(service, results)
 }
 
 // baseVersion returns the newest version of the instance at any node, on which the
@@ -152,21 +152,21 @@
 
 // countRound passes the accepted change to the configWatch, and counts the round if
 // every operator got a decision.
-func (o *operators) countRound(service string, all []publishResult) {
+func (o *operators) countRound(service string, results []publishResult) {
 	var winners []publishResult
-	for _, t := range all {
+	for _, t := range results {
 		if t.decided && t.decision.Outcome == policy.Accepted {
 			winners = append(winners, t)
 			o.watch.addAccepted(acceptedChange{service: service, version: t.decision.Version, at: t.at})
 		}
 	}
-	for _, t := range all {
+	for _, t := range results {
 		if !t.decided {
 			return
 		}
 	}
 	consistent := len(winners) == 1
-	for _, t := range all {
+	for _, t := range results {
 		if consistent && t.author != winners[0].author && !conflictsWith(t.decision, winners[0].author) {
 			consistent = false
 		}
