--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -101,7 +101,7 @@
 
 func guardConfig() node.GuardConfig {
 	cfg := node.DefaultGuardConfig()
-	cfg.Quarantine.Proven = maxProvenRequests
+	cfg.Quarantine.MaxRecentSuccesses = maxProvenRequests
 	cfg.KeepDone = completedRetention
 	cfg.KeepDoneBytes = maxCompletedBytes
 	return cfg
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -187,7 +187,7 @@
 			candidates = append(candidates, node)
 		}
 	}
-	return quarantine.Home(d.call.Fingerprint(), candidates)
+	return quarantine.AssignedGuard(d.call.Fingerprint(), candidates)
 }
 
 func (d *Dispatch) send(now time.Time, target *routing.Target) Action {
--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -36,9 +36,9 @@
 	// that the guard receives the records of concurrent crashes at other guards first. It must
 	// cover twice the propagation time of a record plus the longest run.
 	SettleFor time.Duration
-	// Proven is the number of recently successful fingerprints that are kept. Such a request is not
+	// MaxRecentSuccesses is the number of recently successful fingerprints that are kept. Such a request is not
 	// suspected when an upstream crashes while running it. 0 keeps none.
-	Proven int
+	MaxRecentSuccesses int
 }
 
 // DefaultConfig returns the default parameters; Proven is 0.
--- a/internal/quarantine/successes_test.go
+++ b/internal/quarantine/successes_test.go
@@ -11,7 +11,7 @@
 // several upstreams, as when a rack fails, although it succeeded before.
 func TestSucceededRequestIsNotSuspectedAfterCrashes(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.Proven = 64
+	cfg.MaxRecentSuccesses = 64
 	const common, crasher = Fingerprint(1), Fingerprint(2)
 	tracker := New(cfg)
 	now := time.Unix(1000, 0)
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -215,7 +215,7 @@
 func (t *Tracker) Finished(now time.Time, f Fingerprint, ok bool) []CrashRecord {
 	r := t.running[f]
 	if ok {
-		t.successes.add(f, t.cfg.Proven)
+		t.successes.add(f, t.cfg.MaxRecentSuccesses)
 	}
 	if r.count == 0 {
 		return nil
@@ -264,8 +264,8 @@
 	)
 }
 
-// Proven reports whether f recently succeeded here; a crash then raises no suspicion against it.
-func (t *Tracker) Proven(f Fingerprint) bool { return t.successes.has(f) }
+// RecentlySucceeded reports whether f recently succeeded here; a crash then raises no suspicion against it.
+func (t *Tracker) RecentlySucceeded(f Fingerprint) bool { return t.successes.has(f) }
 
 // Suspected reports whether f is suspected. A suspected request may run only at the guard that
 // Home selects.
@@ -273,11 +273,11 @@
 	return t.currentAssessment(now, f) != unsuspected
 }
 
-// Home returns the candidate at which the suspected request f may run, or "" if there are no
+// AssignedGuard returns the candidate at which the suspected request f may run, or "" if there are no
 // candidates. It uses rendezvous hashing, so all nodes with the same candidates select the same
 // one. Otherwise two guards could each run f as their only suspect at the same time. Both
 // upstreams would crash, three in total with the first crash.
-func Home(f Fingerprint, candidates []string) string {
+func AssignedGuard(f Fingerprint, candidates []string) string {
 	home := ""
 	var maxScore uint64
 	for _, c := range candidates {
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -222,7 +222,7 @@
 	tr := c.guards[guard]
 	if tr.Suspected(c.now, f) {
 		for i, name := range c.names {
-			if name == Home(f, c.names) {
+			if name == AssignedGuard(f, c.names) {
 				mergeAll(c.now, tr.CrashRecords(c.now, f), c.guards[i])
 				guard, tr = i, c.guards[i]
 			}
@@ -322,14 +322,14 @@
 	names := []string{"a", "b", "c", "d"}
 	moved := 0
 	for f := range Fingerprint(1000) {
-		home := Home(f, names)
-		must.Eq(t, home, Home(f, []string{"d", "c", "b", "a"}))
-		if rest := Home(f, names[:3]); home != "d" && rest != home {
+		home := AssignedGuard(f, names)
+		must.Eq(t, home, AssignedGuard(f, []string{"d", "c", "b", "a"}))
+		if rest := AssignedGuard(f, names[:3]); home != "d" && rest != home {
 			moved++
 		}
 	}
 	must.Eq(t, 0, moved)
-	must.Eq(t, "", Home(1, nil))
+	must.Eq(t, "", AssignedGuard(1, nil))
 }
 
 func TestValidateNamesFieldValueAndBound(t *testing.T) {
