--- a/internal/admission/refusals.go
+++ b/internal/admission/refusals.go
@@ -55,31 +55,31 @@
 	switch why {
 	case reasonQueueFull:
 		return result.Refuse(result.Shed, "queue is full: %d of %d places taken, %d of %d slots in use",
-			c.queue.len(), c.cfg.QueueLimit, c.inFlight, c.limiter.limit).After(retryAfter)
+			c.queue.len(), c.cfg.QueueLimit, c.inFlight, c.limiter.limit).WithRetryAfter(retryAfter)
 	case reasonDisplaced:
 		return result.Refuse(result.Shed, "displaced from the full queue by a more important call, %d places in the queue, %d of %d slots in use",
-			c.cfg.QueueLimit, c.inFlight, c.limiter.limit).After(retryAfter)
+			c.cfg.QueueLimit, c.inFlight, c.limiter.limit).WithRetryAfter(retryAfter)
 	case reasonThreshold:
 		return result.Refuse(result.Shed, "rank of this %s caller is at or above the shed threshold %#08x, %d of %d slots in use",
-			level, c.shedder.threshold, c.inFlight, c.limiter.limit).After(retryAfter)
+			level, c.shedder.threshold, c.inFlight, c.limiter.limit).WithRetryAfter(retryAfter)
 	case reasonNeverWaits:
 		return result.Refuse(result.Shed, "calls of level %s have worth 0 and do not wait, %d of %d slots in use",
-			level, c.inFlight, c.limiter.limit).After(retryAfter)
+			level, c.inFlight, c.limiter.limit).WithRetryAfter(retryAfter)
 	case reasonDeadline:
 		wait := c.expectedWait(level, 0)
 		return result.Refuse(result.DeadlineTooNear, "time until the deadline is shorter than service time %v (10%% quantile) plus expected wait %v",
-			c.serviceTime(level), wait).After(max(minRetryAfter, wait))
+			c.serviceTime(level), wait).WithRetryAfter(max(minRetryAfter, wait))
 	case reasonExpired:
 		return result.Refuse(result.QueueExpired, "no slot became free within the maximum wait (at most %v), %d of %d slots in use",
-			c.cfg.MaxWait, c.inFlight, c.limiter.limit).After(retryAfter)
+			c.cfg.MaxWait, c.inFlight, c.limiter.limit).WithRetryAfter(retryAfter)
 	}
 	return result.Refuse(result.Draining, "upstream is draining and accepts no new calls, %d calls are still running",
-		c.inFlight).After(drainRetryAfter)
+		c.inFlight).WithRetryAfter(drainRetryAfter)
 }
 
 // refuseDuplicate refuses a call whose ID is already running or waiting. It reports an unknown
 // outcome instead of "not run", because the first call with this ID may take effect.
 func refuseDuplicate(id string) Decision {
-	r := result.Refuse(result.OutcomeUnknown, "a call with this ID is already running or waiting here").After(minRetryAfter)
+	r := result.Refuse(result.OutcomeUnknown, "a call with this ID is already running or waiting here").WithRetryAfter(minRetryAfter)
 	return Decision{ID: id, Verdict: Refuse, Refusal: r}
 }
--- a/internal/admission/tree.go
+++ b/internal/admission/tree.go
@@ -72,5 +72,5 @@
 	}
 	retryAfter := time.Duration(float64(objective) * (treeMinRetry + treeRetryJitter*v))
 	return result.Refuse(result.ShedEarly, "deeper services shed calls from rank %#08x upwards, according to responses of this route, the latest received %v ago",
-		threshold, now.Sub(g.updated).Round(time.Millisecond)).After(max(retryAfter, minRetryAfter))
+		threshold, now.Sub(g.updated).Round(time.Millisecond)).WithRetryAfter(max(retryAfter, minRetryAfter))
 }
--- a/internal/admission/treemodel_test.go
+++ b/internal/admission/treemodel_test.go
@@ -224,7 +224,7 @@
 // deepest service has not run and may be retried.
 func (f *treeModel) noCapacity(t *treeRequest) {
 	if f.routes[t.route].calls == 0 {
-		f.retryOrRefuse(t, result.Refuse(result.Shed, "").After(300*time.Millisecond))
+		f.retryOrRefuse(t, result.Refuse(result.Shed, "").WithRetryAfter(300*time.Millisecond))
 		return
 	}
 	f.end(t, false)
--- a/internal/control/call_sim_test.go
+++ b/internal/control/call_sim_test.go
@@ -163,7 +163,7 @@
 }
 
 func (n *callSimNode) callNext(call *node.Call, service string, end func(*node.Response)) {
-	child, account, refusal := n.Child(n.sim.Now(), callctx.Raw{Parent: call.Ctx.CallID, Service: service}, "GET")
+	child, account, refusal := n.NewChildCall(n.sim.Now(), callctx.Raw{Parent: call.Ctx.CallID, Service: service}, "GET")
 	if refusal != nil {
 		end(node.Refused(call.Ctx.CallID, refusal))
 		return
@@ -185,7 +185,7 @@
 	next = func() {
 		switch action := d.Next(n.sim.Now()); action.Kind {
 		case node.ActionDone:
-			n.Answered(call, action.Response, d)
+			n.RecordResponse(call, action.Response, d)
 			done(action.Response)
 		case node.ActionPause:
 			n.sim.After(action.Pause, next)
@@ -230,7 +230,7 @@
 	s.After(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), s.generateLoad)
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	raw := callctx.Raw{Workspace: "w", Service: "front", HasLevel: true, Level: callctx.Level(s.rng.IntN(callctx.Levels)), Timeout: time.Second}
-	call, allowance, refusal := n.Root(s.Now(), raw, "GET", fmt.Sprint(s.rng.IntN(50)))
+	call, allowance, refusal := n.NewRootCall(s.Now(), raw, "GET", fmt.Sprint(s.rng.IntN(50)))
 	if refusal != nil {
 		s.lines = append(s.lines, refusal.Error())
 		return
--- a/internal/lease/authority.go
+++ b/internal/lease/authority.go
@@ -81,7 +81,7 @@
 		return refuseOwnedElsewhere(i, s.releasedTo)
 	case now.Before(s.effectiveAt):
 		a := refuse(result.NoAuthority, "takeover of slot %d is not in effect yet", i)
-		a.Refusal = a.Refusal.After(s.effectiveAt.Sub(now))
+		a.Refusal = a.Refusal.WithRetryAfter(s.effectiveAt.Sub(now))
 		return a
 	}
 	deadline := l.authorityEnd(now, s)
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -133,7 +133,7 @@
 		Guard:          guardConfig(),
 		Seed:           newSeed(),
 		Sample:         timelineSample,
-		Reroutes:       maxReroutes,
+		MaxReroutes:    maxReroutes,
 		Metrics:        m.metrics,
 		OnEvent:        m.logEvent,
 		OnCrashRecords: m.crashReporter.enqueue,
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -97,10 +97,10 @@
 		}
 	}
 	if decision.Unknown || len(decision.Ask) > 0 && answered == 0 {
-		return result.Refuse(result.QuotaUnknown, "no node that holds a part of the quota of %s responds", workspace).After(quotaUnknownRetryAfter)
+		return result.Refuse(result.QuotaUnknown, "no node that holds a part of the quota of %s responds", workspace).WithRetryAfter(quotaUnknownRetryAfter)
 	}
 	retryAfter := q.ledger.Refuse(time.Now(), workspace, rand.Float64())
-	return result.Refuse(result.QuotaExceeded, "the quota of %s is exhausted at this node and at %d other nodes that were asked", workspace, answered).After(retryAfter)
+	return result.Refuse(result.QuotaExceeded, "the quota of %s is exhausted at this node and at %d other nodes that were asked", workspace, answered).WithRetryAfter(retryAfter)
 }
 
 // requestToken requests a token from a holder. An error means that the holder did not respond.
--- a/internal/mesh/stop.go
+++ b/internal/mesh/stop.go
@@ -40,7 +40,7 @@
 	m.announceStop()
 	grace := m.Settings().Stop.Grace.Std()
 	end := started.Add(grace - stopReserve)
-	m.node.Guard().EndBy(end)
+	m.node.Guard().SetStopTime(end)
 	m.awaitNoCallers(started, started.Add(time.Duration((1-answerShare)*float64(grace))))
 	m.node.Guard().Drain(m.node.Now())
 	cut := m.shutdownServers(end)
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -10,8 +10,8 @@
 	"github.com/galenagrade/galenagrade/internal/retry"
 )
 
-// Routed holds what a route and the caller's headers specify for a request.
-type Routed struct {
+// RoutedRequest holds what a route and the caller's headers specify for a request.
+type RoutedRequest struct {
 	// RequestID is the request ID sent by the caller; an invalid one is replaced.
 	RequestID string
 	Service   string
@@ -29,7 +29,7 @@
 
 // Accept builds the call of a request that matched a route, and the account from which its
 // retries are paid.
-func (n *Node) Accept(now time.Time, r Routed) (*Call, *retry.Account) {
+func (n *Node) Accept(now time.Time, r RoutedRequest) (*Call, *retry.Account) {
 	id := n.NewID()
 	call := &Call{Routed: true, Ctx: callctx.Context{
 		RequestID:    r.RequestID,
@@ -80,7 +80,7 @@
 // The child has the level of its root, ends no later than its parent, and its retries are paid
 // from the allowance of the whole tree. AcceptChild returns false when parent does not run on
 // this node.
-func (n *Node) AcceptChild(now time.Time, r Routed, parent string) (*Call, *retry.Account, bool) {
+func (n *Node) AcceptChild(now time.Time, r RoutedRequest, parent string) (*Call, *retry.Account, bool) {
 	running, account, ok := n.guard.parent(parent)
 	if !ok {
 		return nil, nil, false
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -20,7 +20,7 @@
 	// Host is the Host header of the caller's request; when empty, the upstream's address is
 	// used.
 	Host string
-	// Routed means that the request was matched by a route and not by a template.
+	// RoutedRequest means that the request was matched by a route and not by a template.
 	Routed bool
 	// IsRetry means that an earlier attempt may have reached an upstream, or that the call was
 	// made by a run that was itself a retry.
@@ -88,9 +88,9 @@
 	// Cause is the root cause of a failed response when a call made for it failed; nil when
 	// none did.
 	Cause *result.Cause
-	// Unused is the part of the call's allowance that was not spent and is returned to the
+	// UnusedAllowance is the part of the call's allowance that was not spent and is returned to the
 	// sender.
-	Unused int
+	UnusedAllowance int
 	// Load is the load report of the guard; nil when the response carried none.
 	Load *routing.LoadReport
 	// Upstream is the node that produced the response; empty when none did.
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -210,7 +210,7 @@
 
 // Observe processes the response of the attempt last sent.
 func (d *Dispatch) Observe(now time.Time, a *Response) {
-	d.share.Return(a.Unused)
+	d.share.Return(a.UnusedAllowance)
 	wasEjected := d.target.Ejected()
 	d.target.Done(now, routingOutcome(a), now.Sub(d.sentAt), a.Load)
 	d.attemptTime += now.Sub(d.sentAt)
@@ -278,7 +278,7 @@
 // The attempt did not reach an upstream and added no load to any. A node that still routes to
 // an upstream that has left would otherwise use up the allowance meant for real failures.
 func (d *Dispatch) reroute(a *Response) bool {
-	if d.node == nil || d.reroutes >= d.node.cfg.Reroutes || !didNotReachUpstream(a.Code) {
+	if d.node == nil || d.reroutes >= d.node.cfg.MaxReroutes || !didNotReachUpstream(a.Code) {
 		return false
 	}
 	d.reroutes++
--- a/internal/node/dispatch_property_test.go
+++ b/internal/node/dispatch_property_test.go
@@ -65,7 +65,7 @@
 	a.Refusal.Owner = "addr-n1"
 	a.Refusal.AllFull = rapid.IntRange(0, 4).Draw(t, "all full") == 0
 	a.Refusal.RetryAfter = 50 * time.Millisecond
-	a.Unused = rapid.IntRange(0, 9).Draw(t, "unused")
+	a.UnusedAllowance = rapid.IntRange(0, 9).Draw(t, "unused")
 	if code == result.LostAnswer && rapid.Bool().Draw(t, "crashed") {
 		a.Crashed = 7
 	}
@@ -147,7 +147,7 @@
 		}
 		must.EqOp(t, ActionSend, action.Kind)
 		a := refusedWith(action.Attempt, code)
-		a.Unused = action.Attempt.Allowance
+		a.UnusedAllowance = action.Attempt.Allowance
 		d.Observe(now, a)
 	}
 	action := d.Next(now)
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// Answered records the end of a call at its entry or exit node. Successful calls are only
+// RecordResponse records the end of a call at its entry or exit node. Successful calls are only
 // recorded when sampled, so that they cost almost nothing.
-func (n *Node) Answered(call *Call, a *Response, d *Dispatch) {
+func (n *Node) RecordResponse(call *Call, a *Response, d *Dispatch) {
 	if n.cfg.Observer != nil {
 		n.cfg.Observer.CallEnded(call.Ctx.RequestID, d.retries)
 	}
@@ -65,8 +65,8 @@
 	n.Event(now, e)
 }
 
-// Reattached records that an attempt was sent again on a new connection.
-func (n *Node) Reattached(call *Call, upstream string, a *Response) {
+// RecordReattach records that an attempt was sent again on a new connection.
+func (n *Node) RecordReattach(call *Call, upstream string, a *Response) {
 	n.cfg.Metrics.Inc(metrics.CallsReattached, 1)
 	n.cfg.Metrics.Inc(metrics.ConnectionsReplaced, 1)
 	n.Event(n.Now(), timeline.Event{Kind: timeline.ConnReplaced, Upstream: upstream, Detail: "no response on the reused connection; a new connection works"})
--- a/internal/node/guard_arrive.go
+++ b/internal/node/guard_arrive.go
@@ -149,7 +149,7 @@
 
 func (g *Guard) refusalResponseLocked(call *Call, r *result.Refusal) *Response {
 	a := Refused(call.Ctx.CallID, r)
-	a.Unused = call.Allowance
+	a.UnusedAllowance = call.Allowance
 	a.Load = g.loadLocked()
 	return a
 }
--- a/internal/node/guard_end.go
+++ b/internal/node/guard_end.go
@@ -13,7 +13,7 @@
 func (g *Guard) endLocked(now time.Time, e *execution, a *Response, deferred *callbacks) {
 	e.phase = phaseDone
 	e.ended = now
-	a.Unused = e.account.Close()
+	a.UnusedAllowance = e.account.Close()
 	a.Load = g.loadLocked()
 	a.ShedsFrom = e.shedsFrom
 	a.ShedsBy = e.shedsBy
@@ -153,12 +153,12 @@
 
 func replayedResponse(call *Call, stored *idempotency.Response) *Response {
 	return &Response{
-		CallID: call.Ctx.CallID,
-		Code:   result.Replayed,
-		Status: stored.Status,
-		Header: stored.Header,
-		Body:   stored.Body,
-		Unused: call.Allowance,
+		CallID:          call.Ctx.CallID,
+		Code:            result.Replayed,
+		Status:          stored.Status,
+		Header:          stored.Header,
+		Body:            stored.Body,
+		UnusedAllowance: call.Allowance,
 
 		ShedsFrom: routing.NoThreshold,
 	}
@@ -170,7 +170,7 @@
 func joinedResponse(callID string, a *Response) *Response {
 	c := *a
 	c.CallID = callID
-	c.Unused = 0
+	c.UnusedAllowance = 0
 	if c.Whole() {
 		c.Code = result.Replayed
 	}
--- a/internal/node/guard_model_test.go
+++ b/internal/node/guard_model_test.go
@@ -135,8 +135,8 @@
 		m.t.Fatalf("attachment of %s got the response of %s", s.call.Ctx.CallID, a.CallID)
 	}
 	_, ran := m.started[a.CallID]
-	if a.Unused > s.call.Allowance-m.spent[a.CallID] {
-		m.t.Fatalf("call %s returns %d of its allowance of %d, %d spent", a.CallID, a.Unused, s.call.Allowance, m.spent[a.CallID])
+	if a.UnusedAllowance > s.call.Allowance-m.spent[a.CallID] {
+		m.t.Fatalf("call %s returns %d of its allowance of %d, %d spent", a.CallID, a.UnusedAllowance, s.call.Allowance, m.spent[a.CallID])
 	}
 	if s.call.Reattach && !ran && a.Code.Ran() == result.RanNo {
 		m.refusedReattach[a.CallID] = m.now
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -203,7 +203,7 @@
 		now = now.Add(50 * time.Millisecond)
 		g.Finish(now, id, wholeResponseOf(newCall(id, now), "ok"))
 	}
-	g.EndBy(now.Add(time.Second))
+	g.SetStopTime(now.Add(time.Second))
 	var in inbox
 	_, response := g.Arrive(now.Add(700*time.Millisecond), newCall("short", now.Add(time.Minute)), in.put)
 	must.Nil(t, response)
--- a/internal/node/guard_upstream.go
+++ b/internal/node/guard_upstream.go
@@ -114,9 +114,9 @@
 // to be accepted. Hardly any call takes longer than that.
 const stopLatencyFactor = 4
 
-// EndBy sets the time at which the node's process stops. A call that would probably still run
+// SetStopTime sets the time at which the node's process stops. A call that would probably still run
 // then is refused, since it would be interrupted; a short one is still served.
-func (g *Guard) EndBy(at time.Time) {
+func (g *Guard) SetStopTime(at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.stopAt = at
@@ -158,15 +158,15 @@
 	return l
 }
 
-// Kept is the number of keys and bytes of responses retained for resends, with their bounds.
-type Kept struct{ Keys, MaxKeys, Bytes, MaxBytes int64 }
+// RetentionUsage is the number of keys and bytes of responses retained for resends, with their bounds.
+type RetentionUsage struct{ Keys, MaxKeys, Bytes, MaxBytes int64 }
 
-// Kept returns the number of keys and bytes of responses that are retained.
-func (g *Guard) Kept() Kept {
+// RetentionUsage returns the number of keys and bytes of responses that are retained.
+func (g *Guard) Kept() RetentionUsage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	bounds := g.cfg.Keys
-	return Kept{
+	return RetentionUsage{
 		Keys:     int64(g.keys.Len()),
 		MaxKeys:  int64(bounds.MaxKeys),
 		Bytes:    g.keys.Bytes() + g.doneBytes,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,9 +59,9 @@
 	Sample int
 	// Observer receives the end of every call; may be nil.
 	Observer Observer
-	// Reroutes is how many times a call that did not reach an upstream is sent to another one
+	// MaxReroutes is how many times a call that did not reach an upstream is sent to another one
 	// without spending its retry allowance.
-	Reroutes int
+	MaxReroutes int
 	// MaxQueue bounds the guard's queue, in addition to the bound of the template; 0 means no
 	// further bound.
 	MaxQueue int
@@ -229,9 +229,9 @@
 	n.Event(now, timeline.Event{Kind: timeline.ConfigApplied, Detail: fmt.Sprintf("version %d", change)})
 }
 
-// Root builds the call of a caller's request from its headers and its template. It returns the
+// NewRootCall builds the call of a caller's request from its headers and its template. It returns the
 // call and the retry allowance of the call's tree.
-func (n *Node) Root(now time.Time, raw callctx.Raw, method, caller string) (*Call, int, *result.Refusal) {
+func (n *Node) NewRootCall(now time.Time, raw callctx.Raw, method, caller string) (*Call, int, *result.Refusal) {
 	eff, refusal := n.lookup(raw.Workspace, raw.Service)
 	if refusal != nil {
 		return nil, 0, refusal
@@ -263,9 +263,9 @@
 	return call, eff.RetryAllowance, nil
 }
 
-// Child builds a call that the local upstream makes while it runs another call. It returns the
+// NewChildCall builds a call that the local upstream makes while it runs another call. It returns the
 // call and the account of the running call, from which the retries of the child are paid.
-func (n *Node) Child(now time.Time, raw callctx.Raw, method string) (*Call, *retry.Account, *result.Refusal) {
+func (n *Node) NewChildCall(now time.Time, raw callctx.Raw, method string) (*Call, *retry.Account, *result.Refusal) {
 	running, account, ok := n.guard.parent(raw.Parent)
 	if !ok {
 		return nil, nil, result.Refuse(result.ParentGone, "call %s is not running here", raw.Parent)
@@ -316,7 +316,7 @@
 		return eff, nil
 	}
 	if state.Version() == 0 {
-		return nil, result.Refuse(result.Starting, "no configuration has reached this node yet").After(time.Second)
+		return nil, result.Refuse(result.Starting, "no configuration has reached this node yet").WithRetryAfter(time.Second)
 	}
 	return nil, result.Refuse(result.UnknownService, "workspace %q has no instance for service %q", workspace, service)
 }
@@ -339,7 +339,7 @@
 // RefuseCall returns the response to a call that is refused before it reaches the guard.
 func (n *Node) RefuseCall(call *Call, r *result.Refusal) *Response {
 	a := Refused(call.Ctx.CallID, r)
-	a.Unused = call.Allowance
+	a.UnusedAllowance = call.Allowance
 	return a
 }
 
--- a/internal/node/observe_test.go
+++ b/internal/node/observe_test.go
@@ -44,7 +44,7 @@
 		n.guard.events.offered(at, call, admission.Run, admission.Load{})
 		n.guard.events.started(at, e)
 		n.guard.events.finished(at, e, whole)
-		n.Answered(call, whole, d)
+		n.RecordResponse(call, whole, d)
 		n.ObserveClock(n.Stamp(call))
 	})
 	must.Eq(t, 0, allocs)
--- a/internal/node/prior_work_test.go
+++ b/internal/node/prior_work_test.go
@@ -30,7 +30,7 @@
 }
 
 func acceptChild(t *testing.T, n *Node, parent string) *Call {
-	call, _, ok := n.AcceptChild(epoch, Routed{RequestID: "q.1", Workspace: callctx.NoWorkspace, Service: "tracker", Timeout: time.Second}, parent)
+	call, _, ok := n.AcceptChild(epoch, RoutedRequest{RequestID: "q.1", Workspace: callctx.NoWorkspace, Service: "tracker", Timeout: time.Second}, parent)
 	must.True(t, ok)
 	return call
 }
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -54,7 +54,7 @@
 	}
 	g.leave(size)
 	g.rejected.Add(1)
-	return refusal.After(limitRetryAfter)
+	return refusal.WithRetryAfter(limitRetryAfter)
 }
 
 // addBytes adds n to the bytes of a counted call and returns n.
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -122,12 +122,12 @@
 
 func decodeAnswer(h *innerpb.AnswerHeader, httpResp *h1.Response, fromNode string) *node.Response {
 	resp := &node.Response{
-		CallID:   h.GetCallId(),
-		Code:     result.Code(h.GetCode()),
-		Unused:   int(h.GetUnusedAllowance()),
-		Load:     decodeLoad(h.GetLoad()),
-		Crashed:  h.GetCrashedIncarnation(),
-		Upstream: fromNode,
+		CallID:          h.GetCallId(),
+		Code:            result.Code(h.GetCode()),
+		UnusedAllowance: int(h.GetUnusedAllowance()),
+		Load:            decodeLoad(h.GetLoad()),
+		Crashed:         h.GetCrashedIncarnation(),
+		Upstream:        fromNode,
 	}
 	resp.ShedsFrom, resp.ShedsBy = decodeSheds(httpResp.Header.Get(headerSheds))
 	resp.Cause = result.DecodeCause(httpResp.Header.Get(headerCause))
@@ -224,7 +224,7 @@
 	h := &innerpb.AnswerHeader{
 		CallId:             resp.CallID,
 		Code:               uint32(resp.Code),
-		UnusedAllowance:    uint32(resp.Unused),
+		UnusedAllowance:    uint32(resp.UnusedAllowance),
 		Load:               encodeLoad(resp.Load),
 		CrashedIncarnation: resp.Crashed,
 		Whole:              resp.Whole(),
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -319,7 +319,7 @@
 	call.Reattach = true
 	resp := c.roundTrip(c.ctx, c.peer.freshPool, &call)
 	if resp.Code != result.Unreachable {
-		c.peers.node.Reattached(c.call, c.endpoint.Node, resp)
+		c.peers.node.RecordReattach(c.call, c.endpoint.Node, resp)
 	}
 	return resp
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -87,7 +87,7 @@
 }
 
 func (p *Proxy) serveRoot(w http.ResponseWriter, r *http.Request, raw callctx.Raw) {
-	call, allowance, refusal := p.node.Root(p.node.Now(), raw, r.Method, callerOf(raw, r))
+	call, allowance, refusal := p.node.NewRootCall(p.node.Now(), raw, r.Method, callerOf(raw, r))
 	if refusal != nil {
 		p.reject(w, raw, "", refusal)
 		return
@@ -96,7 +96,7 @@
 }
 
 func (p *Proxy) serveChild(w http.ResponseWriter, r *http.Request, raw callctx.Raw) {
-	call, account, refusal := p.node.Child(p.node.Now(), raw, r.Method)
+	call, account, refusal := p.node.NewChildCall(p.node.Now(), raw, r.Method)
 	if refusal != nil {
 		p.reject(w, raw, "", refusal)
 		return
@@ -192,7 +192,7 @@
 		action := dispatch.Next(p.node.Now())
 		switch action.Kind {
 		case node.ActionDone:
-			p.node.Answered(call, action.Response, dispatch)
+			p.node.RecordResponse(call, action.Response, dispatch)
 			return action.Response
 		case node.ActionPause:
 			wait.For(ctx, action.Pause)
--- a/internal/proxy/routed.go
+++ b/internal/proxy/routed.go
@@ -87,7 +87,7 @@
 	}
 	table := h.table.Load()
 	if table == nil {
-		h.reject(w, in.RequestID, result.Refuse(result.Starting, "node has not received routes yet").After(startingRetryAfter))
+		h.reject(w, in.RequestID, result.Refuse(result.Starting, "node has not received routes yet").WithRetryAfter(startingRetryAfter))
 		return
 	}
 	if bound := table.Config().Limits.HeaderBytes; bound > 0 && headerSize(r) > bound {
@@ -148,7 +148,7 @@
 // accept creates the call of a request. A request with an API key is a new root whatever its request
 // ID is; requests of the local upstream contain no API key.
 func (h *routeHandler) accept(in Intake, table *routes.Table, route *routes.Entry) (*node.Call, *retry.Account, *result.Refusal) {
-	request := node.Routed{
+	request := node.RoutedRequest{
 		RequestID:  in.RequestID,
 		Workspace:  callctx.NoWorkspace,
 		Level:      route.Level,
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -186,16 +186,16 @@
 	age := now.Sub(e.latest())
 	if remaining := t.quarantineDuration(a, e.crashes()) - age; remaining > 0 {
 		return result.Refuse(result.Quarantined, "request was running at %d upstream crashes, limit is %d",
-			e.crashes(), t.cfg.MaxCrashes).After(remaining)
+			e.crashes(), t.cfg.MaxCrashes).WithRetryAfter(remaining)
 	}
 	if remaining := t.cfg.SettleFor - age; remaining > 0 {
 		return result.Refuse(result.Quarantined, "request was running at %d upstream crashes, delayed until %v after the latest one",
-			e.crashes(), t.cfg.SettleFor).After(remaining)
+			e.crashes(), t.cfg.SettleFor).WithRetryAfter(remaining)
 	}
 	for g := range t.running {
 		if g == f || t.currentAssessment(now, g) != unsuspected {
 			return result.Refuse(result.Quarantined, "request was running at %d upstream crashes, and another suspected request is running here",
-				e.crashes()).After(busyRetryAfter)
+				e.crashes()).WithRetryAfter(busyRetryAfter)
 		}
 	}
 	return nil
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -215,8 +215,8 @@
 	return &Refusal{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy of r with RetryAfter set to d.
-func (r *Refusal) After(d time.Duration) *Refusal {
+// WithRetryAfter returns a copy of r with RetryAfter set to d.
+func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	c := *r
 	c.RetryAfter = d
 	return &c
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -24,7 +24,7 @@
 
 func TestWriteRoundsRetryAfterUp(t *testing.T) {
 	w := httptest.NewRecorder()
-	Refuse(Shed, "limit %d", 5).After(1200*time.Millisecond).Write(w, "r1")
+	Refuse(Shed, "limit %d", 5).WithRetryAfter(1200*time.Millisecond).Write(w, "r1")
 	must.Eq(t, "2", w.Header().Get("Retry-After"))
 	must.Eq(t, "2001", w.Header().Get(HeaderResult))
 	must.Eq(t, 503, w.Code)
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -144,8 +144,8 @@
 	shed.RetryAfter = cfg.RetryAfter
 	return &serviceView{
 		svc:        s,
-		noUpstream: result.Refuse(result.NoUpstream, "no untried upstream of %q", name).After(cfg.RetryAfter),
-		draining:   result.Refuse(result.Draining, "every untried upstream of %q is draining", name).After(cfg.RetryAfter),
+		noUpstream: result.Refuse(result.NoUpstream, "no untried upstream of %q", name).WithRetryAfter(cfg.RetryAfter),
+		draining:   result.Refuse(result.Draining, "every untried upstream of %q is draining", name).WithRetryAfter(cfg.RetryAfter),
 		shedEarly:  shed,
 	}
 }
--- a/internal/server/claim.go
+++ b/internal/server/claim.go
@@ -34,7 +34,7 @@
 	}
 	_, err = c.server.appender.Append(ctx, logstore.Record{ID: uuid.NewString(), Kind: logstore.KindClaim, At: time.Now(), Body: raw})
 	if err != nil {
-		return result.Refuse(result.NoAuthority, "the log did not confirm the claim of the key: %v", err).After(time.Second)
+		return result.Refuse(result.NoAuthority, "the log did not confirm the claim of the key: %v", err).WithRetryAfter(time.Second)
 	}
 	holder, ok := c.claimHolder(hash)
 	if !ok {
