--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -59,7 +59,7 @@
 		return
 	}
 	n.guard.noteShedding(call.Ctx.ParentID, a.ShedsFrom, a.ShedsBy)
-	n.guard.noteShedding(call.Ctx.ParentID, n.table.Load().ShedsFrom(now, call.Ctx.Service), call.Ctx.Service)
+	n.guard.noteShedding(call.Ctx.ParentID, n.table.Load().ShedThreshold(now, call.Ctx.Service), call.Ctx.Service)
 	if a.Good() {
 		n.guard.noteServed(call.Ctx.ParentID)
 		return
