--- a/cmd/galenactl/node.go
+++ b/cmd/galenactl/node.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		selected = append(selected, *m)
-		t.row(m.Node, m.Zone, m.Service, m.Upstream, m.State, !m.Unreached, m.Slots, m.Address)
+		t.row(m.Node, m.Zone, m.Service, m.Upstream, m.State, !m.Unreachable, m.Slots, m.Address)
 	}
 	t.note("as %s knows them, confirmed %s ago, store %s", s.Node, freshnessAge(s.Members), freshnessSource(s.Members))
 	return a.print(selected, t)
--- a/internal/mesh/observe.go
+++ b/internal/mesh/observe.go
@@ -60,8 +60,8 @@
 // MemberState is a member as this node sees it.
 type MemberState struct {
 	fleet.Member
-	// Unreached is whether recent calls to the member failed to reach it.
-	Unreached bool `json:"unreached"`
+	// Unreachable is whether recent calls to the member failed to reach it.
+	Unreachable bool `json:"unreached"`
 }
 
 // stateHandler serves the metrics as text and the node's state as JSON.
@@ -89,7 +89,7 @@
 		s.Config = t.Config()
 	}
 	for _, record := range m.members.all() {
-		s.Records = append(s.Records, MemberState{Member: record, Unreached: m.unreachable(record.Node)})
+		s.Records = append(s.Records, MemberState{Member: record, Unreachable: m.unreachable(record.Node)})
 	}
 	return s
 }
@@ -116,7 +116,7 @@
 	known, live := 0, 0
 	for i := range s.Records {
 		known++
-		if s.Records[i].State == fleet.Serving && !s.Records[i].Unreached {
+		if s.Records[i].State == fleet.Serving && !s.Records[i].Unreachable {
 			live++
 		}
 	}
--- a/internal/mesh/platform.go
+++ b/internal/mesh/platform.go
@@ -21,7 +21,7 @@
 	DecodeRoutes(item Item) (config *routes.Config, ok bool, err error)
 	// AnnounceHandler returns the handler that receives the reports of the local upstream and
 	// passes them to sink.
-	AnnounceHandler(sink Announcements) http.Handler
+	AnnounceHandler(sink UpstreamReports) http.Handler
 	// SetUpstream sets the ID of the process behind the local upstream's address.
 	SetUpstream(id string)
 	// Identify returns the ID of the upstream that sent the given response to a health check;
@@ -35,8 +35,8 @@
 	Close()
 }
 
-// Announcements receives the reports of the upstream beside the node.
-type Announcements interface {
+// UpstreamReports receives the reports of the upstream beside the node.
+type UpstreamReports interface {
 	// Reported receives a report. When it returns, the report is in force.
 	Reported(fleet.Report)
 	// Departed receives the report that the process with that ID and start time has left; born
