--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -114,7 +114,7 @@
 	if err := json.Unmarshal(e.Record.Body, &t); err != nil {
 		return
 	}
-	o.lessorLocked(t.Service).Apply(now, e.Offset, t)
+	o.lessorLocked(t.Service).ApplyTakeover(now, e.Offset, t)
 }
 
 func (o *Ownership) memberLocked(now time.Time, offset int64, rec membership.Record) {
@@ -125,17 +125,17 @@
 	case membership.Join:
 		m := r.Member
 		for _, service := range o.affectedServices(m.Service, m.Node, m.InnerAddr) {
-			o.lessorLocked(service).Joined(now, offset, m.Identity, m.InnerAddr, m.Service == service)
+			o.lessorLocked(service).ApplyJoin(now, offset, m.Identity, m.InnerAddr, m.Service == service)
 		}
 		o.lastService[m.Node] = m.Service
 		o.lastService[m.InnerAddr] = m.Service
 	case membership.Leave:
 		for _, service := range o.affectedServices(o.local, r.ID.Node, "") {
-			o.lessorLocked(service).Left(offset, r.ID)
+			o.lessorLocked(service).ApplyLeave(offset, r.ID)
 		}
 	case membership.Evict:
 		for _, service := range o.affectedServices(o.local, r.ID.Node, "") {
-			o.lessorLocked(service).Evicted(now, offset, r.ID)
+			o.lessorLocked(service).ApplyEvict(now, offset, r.ID)
 		}
 	}
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -191,5 +191,5 @@
 
 // Claim returns the claim that holds the key with the given hash; false if there is none.
 func (r *Replica) Claim(keyHash uint64) (idempotency.Claim, bool) {
-	return r.claims.Holder(keyHash)
+	return r.claims.Winner(keyHash)
 }
--- a/internal/control/tick.go
+++ b/internal/control/tick.go
@@ -142,7 +142,7 @@
 
 // OnProbeVia records a helper's result of a SendProbeVia.
 func (p *Plane) OnProbeVia(now time.Time, target membership.Identity, reached bool) {
-	p.detector.OnIndirect(now, target, reached)
+	p.detector.OnIndirectProbe(now, target, reached)
 	p.updateDead(now)
 }
 
--- a/internal/idempotency/claims.go
+++ b/internal/idempotency/claims.go
@@ -65,10 +65,10 @@
 	c.byOffset = append(c.byOffset, e)
 }
 
-// Holder returns the claim that won the key. It returns false if no winner is known: either there
+// Winner returns the claim that won the key. It returns false if no winner is known: either there
 // was no claim, or the fold had no free entry for it. A claimant that gets false after its own
 // claim was folded must refuse the call with result.NoAuthority.
-func (c *Claims) Holder(keyHash uint64) (Claim, bool) {
+func (c *Claims) Winner(keyHash uint64) (Claim, bool) {
 	e, ok := c.byKey[keyHash]
 	return e.claim, ok
 }
--- a/internal/idempotency/claims_test.go
+++ b/internal/idempotency/claims_test.go
@@ -29,7 +29,7 @@
 				f.Apply(offset, now, cl)
 				must.LessEq(t, capacities[i], f.Len())
 			}
-			if winner, ok := folds[claimant].Holder(cl.KeyHash); ok && winner == cl {
+			if winner, ok := folds[claimant].Winner(cl.KeyHash); ok && winner == cl {
 				previous, dup := wonAt[cl.KeyHash]
 				must.False(t, dup && now.Sub(previous) < horizon, must.Sprintf("key %d ran twice", cl.KeyHash))
 				wonAt[cl.KeyHash] = now
@@ -46,10 +46,10 @@
 	c.Apply(4, epoch, first)
 	c.Apply(4, epoch, Claim{KeyHash: 8, Node: "b"}) // delivered again
 	c.Apply(5, epoch, Claim{KeyHash: 7, Node: "b"})
-	winner, ok := c.Holder(7)
+	winner, ok := c.Winner(7)
 	must.True(t, ok)
 	must.Eq(t, first, winner)
-	_, ok = c.Holder(8)
+	_, ok = c.Winner(8)
 	must.False(t, ok)
 	c.Expire(epoch.Add(time.Minute))
 	must.Eq(t, 0, c.Len())
--- a/internal/idempotency/handover.go
+++ b/internal/idempotency/handover.go
@@ -14,12 +14,12 @@
 	CallID   string
 	// Code is the result code of the call, zero if the outcome is unknown.
 	Code result.Code
-	// Answer is the stored response, nil if there was none or if it was evicted.
-	Answer *Response
+	// Response is the stored response, nil if there was none or if it was evicted.
+	Response *Response
 	// Idle is the time since the key was last used.
 	Idle time.Duration
-	// AnswerAge is the time since the response was stored.
-	AnswerAge time.Duration
+	// ResponseAge is the time since the response was stored.
+	ResponseAge time.Duration
 }
 
 // Export returns the keys for which match returns true, least recently used first. A key whose
@@ -47,8 +47,8 @@
 		Idle:     max(0, now.Sub(r.lastSeen)),
 	}
 	if r.response != nil {
-		e.Answer = r.response
-		e.AnswerAge = max(0, now.Sub(r.storedAt))
+		e.Response = r.response
+		e.ResponseAge = max(0, now.Sub(r.storedAt))
 	}
 	return e
 }
@@ -98,8 +98,8 @@
 // result code but without a response that may still be replayed is marked as evicted.
 func (t *Table) applyOutcome(now time.Time, r *record, e Entry) {
 	switch {
-	case e.Answer != nil && e.AnswerAge < t.cfg.KeepAnswers:
-		t.storeResponse(now, r, e.Answer)
+	case e.Response != nil && e.ResponseAge < t.cfg.KeepAnswers:
+		t.storeResponse(now, r, e.Response)
 	case e.Code != 0:
 		r.state = responseEvicted
 	}
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -71,8 +71,8 @@
 // BeginResult is the result of Begin.
 type BeginResult struct {
 	Kind Kind
-	// Answer is the stored response; set with Replay.
-	Answer *Response
+	// Response is the stored response; set with Replay.
+	Response *Response
 	// RunningCallID is the ID of the running call; set with Join.
 	RunningCallID string
 	// Code is the result code of an evicted response; set with Unknown. It is zero if no complete
@@ -146,7 +146,7 @@
 	case running:
 		return BeginResult{Kind: Join, RunningCallID: r.callID}
 	case responseStored:
-		return BeginResult{Kind: Replay, Answer: r.response}
+		return BeginResult{Kind: Replay, Response: r.response}
 	default:
 		return BeginResult{Kind: Unknown, Code: r.code}
 	}
@@ -182,9 +182,9 @@
 	t.remove(r)
 }
 
-// Lost marks a running key whose call may have run but returned no complete response. Its outcome
+// MarkOutcomeUnknown marks a running key whose call may have run but returned no complete response. Its outcome
 // is unknown.
-func (t *Table) Lost(now time.Time, key Key, callID string) {
+func (t *Table) MarkOutcomeUnknown(now time.Time, key Key, callID string) {
 	r := t.recordOf(key, callID)
 	if r == nil || r.state != running {
 		return
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -76,7 +76,7 @@
 		must.True(t, k.running)
 		must.Eq(t, k.callID, b.RunningCallID)
 	case Replay:
-		must.Eq(t, k.response, string(b.Answer.Body))
+		must.Eq(t, k.response, string(b.Response.Body))
 	case Unknown:
 		must.False(t, k.running)
 		must.Eq(t, k.response == "", b.Code == 0)
@@ -119,7 +119,7 @@
 }
 
 func (m *tableMachine) Lost(t *rapid.T) {
-	m.report(t, func(_ *modelKey, key Key, callID string) { m.table.Lost(m.now, key, callID) })
+	m.report(t, func(_ *modelKey, key Key, callID string) { m.table.MarkOutcomeUnknown(m.now, key, callID) })
 }
 
 func (m *tableMachine) Wait(t *rapid.T) {
@@ -174,7 +174,7 @@
 	for i := range cfg.MaxKeys {
 		name := strconv.Itoa(i)
 		tab.Begin(epoch, keyNamed(name), 1, name)
-		tab.Lost(epoch, keyNamed(name), name)
+		tab.MarkOutcomeUnknown(epoch, keyNamed(name), name)
 	}
 	must.Eq(t, TableFull, tab.Begin(epoch, keyNamed("new"), 1, "c").Kind)
 	must.False(t, tab.Import(epoch, []Entry{{Key: keyNamed("other")}}))
@@ -234,7 +234,7 @@
 		for i := range n {
 			k := keyNamed(fmt.Sprintf("01ARZ3NDEKTSV4RRFFQ%07d", i))
 			tab.Begin(epoch, k, 1, fmt.Sprintf("call-%020d", i))
-			tab.Lost(epoch, k, fmt.Sprintf("call-%020d", i))
+			tab.MarkOutcomeUnknown(epoch, k, fmt.Sprintf("call-%020d", i))
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/lease/handover.go
+++ b/internal/lease/handover.go
@@ -24,7 +24,7 @@
 	// sender; zero if there are none. It is only compared with wall clock times. CleanIn is the
 	// remaining time during which they stay unknown.
 	UnknownBefore time.Time     `json:"unknownBefore,omitzero"`
-	CleanIn       time.Duration `json:"cleanIn,omitempty"`
+	UnknownFor    time.Duration `json:"cleanIn,omitempty"`
 }
 
 // Release stops starting calls in the slots, until self has taken them over again, and returns the
@@ -57,7 +57,7 @@
 	}
 	if !s.unknownBefore.IsZero() && now.Before(s.unknownUntil) {
 		handed.UnknownBefore = s.unknownBefore.Round(0)
-		handed.CleanIn = l.cfg.withDrift(s.unknownUntil.Sub(now))
+		handed.UnknownFor = l.cfg.withDrift(s.unknownUntil.Sub(now))
 	}
 	return handed
 }
@@ -100,7 +100,7 @@
 		r := importedSlot{from: h.From, offset: hs.Offset, effectiveAt: now.Add(hs.EffectiveIn)}
 		if !hs.UnknownBefore.IsZero() {
 			r.unknownBefore = hs.UnknownBefore
-			r.unknownUntil = now.Add(hs.CleanIn)
+			r.unknownUntil = now.Add(hs.UnknownFor)
 		}
 		l.importedSlots[hs.Slot] = r
 	}
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -136,9 +136,9 @@
 	}
 }
 
-// Joined folds a join record. serves reports whether the member is a guard of this service. Joins
+// ApplyJoin folds a join record. serves reports whether the member is a guard of this service. Joins
 // of other members are folded as well, because they show that an address has a new process.
-func (l *Lessor) Joined(now time.Time, offset int64, id Identity, addr string, serves bool) {
+func (l *Lessor) ApplyJoin(now time.Time, offset int64, id Identity, addr string, serves bool) {
 	if !l.acceptOffset(offset) {
 		return
 	}
@@ -154,8 +154,8 @@
 	}
 }
 
-// Left folds a leave record: the process has ended its calls and stopped.
-func (l *Lessor) Left(offset int64, id Identity) {
+// ApplyLeave folds a leave record: the process has ended its calls and stopped.
+func (l *Lessor) ApplyLeave(offset int64, id Identity) {
 	if !l.acceptOffset(offset) {
 		return
 	}
@@ -163,9 +163,9 @@
 	l.stopped = l.stopped || id == l.self
 }
 
-// Evicted folds an evict record: later takeovers of the incarnation are void. The record does not
+// ApplyEvict folds an evict record: later takeovers of the incarnation are void. The record does not
 // show that the process has stopped.
-func (l *Lessor) Evicted(now time.Time, offset int64, id Identity) {
+func (l *Lessor) ApplyEvict(now time.Time, offset int64, id Identity) {
 	if !l.acceptOffset(offset) {
 		return
 	}
@@ -173,8 +173,8 @@
 	l.stopped = l.stopped || id == l.self
 }
 
-// Apply folds a takeover record; now is the local time at which it was read.
-func (l *Lessor) Apply(now time.Time, offset int64, t Takeover) {
+// ApplyTakeover folds a takeover record; now is the local time at which it was read.
+func (l *Lessor) ApplyTakeover(now time.Time, offset int64, t Takeover) {
 	if !l.acceptOffset(offset) {
 		return
 	}
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		l.lastPromiseRequest[g.addr] = now
-		out = append(out, AskPromise{At: now, To: g.id, Addr: g.addr, Slots: owned})
+		out = append(out, RequestPromise{At: now, To: g.id, Addr: g.addr, Slots: owned})
 	}
 	return out
 }
--- a/internal/lease/promise_test.go
+++ b/internal/lease/promise_test.go
@@ -13,13 +13,13 @@
 	now := time.Unix(1000, 0)
 	owner, taker := Identity{Node: "a", Incarnation: 1}, Identity{Node: "b", Incarnation: 1}
 	l := NewLessor(DefaultConfig(), Options{Self: taker, Addr: "b:1", Service: "s"})
-	l.Joined(now, 0, owner, "a:1", true)
-	l.Joined(now, 1, taker, "b:1", true)
+	l.ApplyJoin(now, 0, owner, "a:1", true)
+	l.ApplyJoin(now, 1, taker, "b:1", true)
 	var all []int
 	for i := range DefaultConfig().Slots {
 		all = append(all, i)
 	}
-	l.Apply(now, 2, Takeover{Service: "s", Slots: all, NewOwner: owner, Addr: "a:1", Folded: 2, At: now})
+	l.ApplyTakeover(now, 2, Takeover{Service: "s", Slots: all, NewOwner: owner, Addr: "a:1", Folded: 2, At: now})
 	l.ObservePeerHead(owner, 3)
 	must.True(t, l.OnPromiseRequest(now, owner, []int{7, 8}))
 	must.True(t, l.ImportedHandOver(now, HandOver{From: owner, Slots: []HandedSlot{{Slot: 7, Offset: 2}}}))
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -29,9 +29,9 @@
 // Action is an action that Plan requests: AskPromise, AppendTakeover or MoveSlots.
 type Action interface{ leaseAction() }
 
-// AskPromise requests that the process at an address, whichever it is now, promises not to take
+// RequestPromise requests that the process at an address, whichever it is now, promises not to take
 // over the slots. If the response is true, the caller passes it to Promise together with At.
-type AskPromise struct {
+type RequestPromise struct {
 	// At is the time at which the request was planned, which is not after the time at which it was
 	// sent.
 	At    time.Time
@@ -53,6 +53,6 @@
 	Slots []int
 }
 
-func (AskPromise) leaseAction()     {}
+func (RequestPromise) leaseAction() {}
 func (AppendTakeover) leaseAction() {}
 func (MoveSlots) leaseAction()      {}
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -285,13 +285,13 @@
 	now := w.local(p)
 	switch r := rec.(type) {
 	case membership.Join:
-		p.l.Joined(now, offset, r.Member.Identity, r.Member.InnerAddr, true)
+		p.l.ApplyJoin(now, offset, r.Member.Identity, r.Member.InnerAddr, true)
 	case membership.Leave:
-		p.l.Left(offset, r.ID)
+		p.l.ApplyLeave(offset, r.ID)
 	case membership.Evict:
-		p.l.Evicted(now, offset, r.ID)
+		p.l.ApplyEvict(now, offset, r.ID)
 	case Takeover:
-		p.l.Apply(now, offset, r)
+		p.l.ApplyTakeover(now, offset, r)
 		if s := p.l.slots[r.Slots[0]]; r.NewOwner == p.id && s.firstOffset == offset && s.effectiveAt.After(now) {
 			w.coverage["crash takeovers"]++
 		}
@@ -307,7 +307,7 @@
 		switch a := a.(type) {
 		case AppendTakeover:
 			w.sendAppend(a.Record)
-		case AskPromise:
+		case RequestPromise:
 			w.deliverLater(func() { w.requestPromise(p, a) })
 		case MoveSlots:
 			w.move(p, a)
@@ -315,7 +315,7 @@
 	}
 }
 
-func (w *world) requestPromise(p *process, a AskPromise) {
+func (w *world) requestPromise(p *process, a RequestPromise) {
 	to := w.processAt(a.Addr)
 	if to == nil || !to.l.OnPromiseRequest(w.local(to), p.id, a.Slots) {
 		return
--- a/internal/lease/unit_test.go
+++ b/internal/lease/unit_test.go
@@ -75,12 +75,12 @@
 	w.deliverAll()
 	b.l.ObservePeerHead(w.otherProcesses(a)[1].id, b.l.Next())
 	must.False(t, b.l.Eligible(w.local(b)))
-	b.l.Evicted(w.local(b), b.l.Next(), a.id)
+	b.l.ApplyEvict(w.local(b), b.l.Next(), a.id)
 	must.False(t, b.l.Eligible(w.local(b)))
 	b.l.Plan(w.local(b).Add(simConfig().PromiseLimit), nil)
 	must.False(t, b.l.Eligible(w.local(b)))
 	must.True(t, b.l.Eligible(w.local(b).Add(2*simConfig().PromiseLimit)))
-	b.l.Left(b.l.Next(), a.id)
+	b.l.ApplyLeave(b.l.Next(), a.id)
 	must.True(t, b.l.Eligible(w.local(b)))
 }
 
@@ -132,14 +132,14 @@
 		return Takeover{Slots: []int{0}, NewOwner: id, Folded: folded}
 	}
 	stale := l.Next()
-	l.Apply(now, stale, takeover(a.id, stale)) // the owner repeats its record
-	l.Apply(now, l.Next(), takeover(b.id, stale))
+	l.ApplyTakeover(now, stale, takeover(a.id, stale)) // the owner repeats its record
+	l.ApplyTakeover(now, l.Next(), takeover(b.id, stale))
 	must.Eq(t, a.id, l.slots[0].owner)
 	l.importedSlots[0] = importedSlot{from: a.id, offset: stale - 1}
-	l.Apply(now, l.Next(), takeover(l.self, l.Next()))
+	l.ApplyTakeover(now, l.Next(), takeover(l.self, l.Next()))
 	must.Eq(t, now.Add(simConfig().takeoverWait()), l.slots[0].effectiveAt)
-	l.Evicted(now, l.Next(), b.id)
-	l.Apply(now, l.Next(), takeover(b.id, l.Next()))
+	l.ApplyEvict(now, l.Next(), b.id)
+	l.ApplyTakeover(now, l.Next(), takeover(b.id, l.Next()))
 	must.Eq(t, l.self, l.slots[0].owner)
 }
 
@@ -165,8 +165,8 @@
 func TestTruncatedLogHidesAnOwner(t *testing.T) {
 	l := NewLessor(simConfig(), Options{Self: Identity{Node: "a", Incarnation: 1}, Addr: "a"})
 	l.Truncated()
-	l.Joined(epoch, 7, l.self, "a", true)
-	l.Apply(epoch, 8, Takeover{Slots: []int{0}, NewOwner: l.self, Addr: "a", Folded: 8})
+	l.ApplyJoin(epoch, 7, l.self, "a", true)
+	l.ApplyTakeover(epoch, 8, Takeover{Slots: []int{0}, NewOwner: l.self, Addr: "a", Folded: 8})
 	l.ObserveHead(epoch, 9)
 	must.False(t, l.MayStart(epoch, 0, time.Time{}).OK)
 	must.False(t, l.slots[0].unknownBefore.IsZero())
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -250,9 +250,9 @@
 	return out
 }
 
-// OnIndirect records the result of an indirect probe; answered is false if the target or the
+// OnIndirectProbe records the result of an indirect probe; answered is false if the target or the
 // helper did not respond.
-func (d *Detector) OnIndirect(now time.Time, target Identity, answered bool) {
+func (d *Detector) OnIndirectProbe(now time.Time, target Identity, answered bool) {
 	s, ok := d.states[target]
 	if !ok {
 		return
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -103,7 +103,7 @@
 		for _, a := range d.OnProbeTimeout(z.now, to) {
 			via := a.(ProbeVia)
 			ok := z.reachable(id, via.Helper) && z.reachable(via.Helper, to)
-			z.after(399*time.Millisecond, func() { d.OnIndirect(z.now, to, ok) })
+			z.after(399*time.Millisecond, func() { d.OnIndirectProbe(z.now, to, ok) })
 		}
 	})
 }
--- a/internal/node/guard_arrive.go
+++ b/internal/node/guard_arrive.go
@@ -102,7 +102,7 @@
 		g.events.joined(now, call, begin.RunningCallID)
 		return g.joinLocked(call, begin.RunningCallID, w), true
 	case idempotency.Replay:
-		return replayedResponse(call, begin.Answer), true
+		return replayedResponse(call, begin.Response), true
 	case idempotency.Conflict:
 		return g.refusalResponseLocked(call, result.Refuse(result.KeyReused, "the key came before with a different body")), true
 	case idempotency.TableFull:
--- a/internal/node/guard_end.go
+++ b/internal/node/guard_end.go
@@ -49,7 +49,7 @@
 	case a.Code.Ran() == result.RanNo:
 		g.keys.NotRun(now, key, call.Ctx.CallID)
 	default:
-		g.keys.Lost(now, key, call.Ctx.CallID)
+		g.keys.MarkOutcomeUnknown(now, key, call.Ctx.CallID)
 	}
 }
 
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -188,7 +188,7 @@
 			Slot:          uint32(s.Slot),
 			Offset:        s.Offset,
 			EffectiveInUs: s.EffectiveIn.Microseconds(),
-			CleanInUs:     s.CleanIn.Microseconds(),
+			CleanInUs:     s.UnknownFor.Microseconds(),
 		}
 		if !s.UnknownBefore.IsZero() {
 			out[i].UnknownBeforeUnixMicros = s.UnknownBefore.UnixMicro()
@@ -204,7 +204,7 @@
 			Slot:        int(s.GetSlot()),
 			Offset:      s.GetOffset(),
 			EffectiveIn: time.Duration(s.GetEffectiveInUs()) * time.Microsecond,
-			CleanIn:     time.Duration(s.GetCleanInUs()) * time.Microsecond,
+			UnknownFor:  time.Duration(s.GetCleanInUs()) * time.Microsecond,
 		}
 		if us := s.GetUnknownBeforeUnixMicros(); us != 0 {
 			out[i].UnknownBefore = time.UnixMicro(us)
@@ -223,13 +223,13 @@
 			CallId:      e.CallID,
 			Code:        uint32(e.Code),
 			IdleUs:      e.Idle.Microseconds(),
-			AnswerAgeUs: e.AnswerAge.Microseconds(),
+			AnswerAgeUs: e.ResponseAge.Microseconds(),
 		}
-		if e.Answer != nil {
+		if e.Response != nil {
 			k.HasAnswer = true
-			k.HttpStatus = uint32(e.Answer.Status)
-			k.Body = e.Answer.Body
-			for name, values := range e.Answer.Header {
+			k.HttpStatus = uint32(e.Response.Status)
+			k.Body = e.Response.Body
+			for name, values := range e.Response.Header {
 				for _, v := range values {
 					k.Header = append(k.Header, &innerpb.HeaderField{Name: name, Value: v})
 				}
@@ -244,15 +244,15 @@
 	out := make([]idempotency.Entry, len(entries))
 	for i, k := range entries {
 		out[i] = idempotency.Entry{
-			Key:       idempotency.Key{Workspace: k.GetWorkspace(), Service: service, Key: k.GetKey()},
-			BodyHash:  k.GetBodyHash(),
-			CallID:    k.GetCallId(),
-			Code:      result.Code(k.GetCode()),
-			Idle:      time.Duration(k.GetIdleUs()) * time.Microsecond,
-			AnswerAge: time.Duration(k.GetAnswerAgeUs()) * time.Microsecond,
+			Key:         idempotency.Key{Workspace: k.GetWorkspace(), Service: service, Key: k.GetKey()},
+			BodyHash:    k.GetBodyHash(),
+			CallID:      k.GetCallId(),
+			Code:        result.Code(k.GetCode()),
+			Idle:        time.Duration(k.GetIdleUs()) * time.Microsecond,
+			ResponseAge: time.Duration(k.GetAnswerAgeUs()) * time.Microsecond,
 		}
 		if k.GetHasAnswer() {
-			out[i].Answer = decodeResponse(k)
+			out[i].Response = decodeResponse(k)
 		}
 	}
 	return out
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -14,11 +14,11 @@
 // Guards against a hand-over that the receiver rejects. Its message check takes
 // unknown_before_unix_micros, a point in time, for a duration out of bounds.
 func TestHandOverOfSlotsWithUnknownKeysPassesTheCheck(t *testing.T) {
-	slots := []lease.HandedSlot{{Slot: 3, Offset: 12, EffectiveIn: time.Second, UnknownBefore: time.Now().Round(time.Microsecond), CleanIn: time.Hour}}
+	slots := []lease.HandedSlot{{Slot: 3, Offset: 12, EffectiveIn: time.Second, UnknownBefore: time.Now().Round(time.Microsecond), UnknownFor: time.Hour}}
 	req := &innerpb.HandOverRequest{Slots: encodeSlots(slots)}
 	must.NoError(t, inner.CheckMessage(req))
 	got := decodeSlots(req.GetSlots())
 	must.True(t, slots[0].UnknownBefore.Equal(got[0].UnknownBefore))
-	must.Eq(t, slots[0].CleanIn, got[0].CleanIn)
+	must.Eq(t, slots[0].UnknownFor, got[0].UnknownFor)
 	must.Eq(t, slots[0].EffectiveIn, got[0].EffectiveIn)
 }
--- a/internal/server/ownership.go
+++ b/internal/server/ownership.go
@@ -108,7 +108,7 @@
 
 func (o *ownership) perform(ctx context.Context, action lease.Action) {
 	switch a := action.(type) {
-	case lease.AskPromise:
+	case lease.RequestPromise:
 		o.requestPromise(ctx, a)
 	case lease.AppendTakeover:
 		o.appendTakeover(ctx, a.Record)
@@ -175,7 +175,7 @@
 	return resp.Msg, nil
 }
 
-func (o *ownership) requestPromise(ctx context.Context, a lease.AskPromise) {
+func (o *ownership) requestPromise(ctx context.Context, a lease.RequestPromise) {
 	resp, err := o.sendPromiseRequest(ctx, a.Addr, a.Slots)
 	if err != nil || !resp.GetGranted() {
 		return
