--- a/cmd/galenactl/node.go
+++ b/cmd/galenactl/node.go
@@ -62,7 +62,7 @@
 	t := newTable("ROUTE", "HOST", "PREFIX", "TO", "TIMEOUT", "ATTEMPTS", "OBJECTIVE", "LEVEL", "IDEMPOTENT")
 	for i := range s.Config.Routes {
 		r := &s.Config.Routes[i]
-		t.row(r.Name, r.Host, r.Prefix, r.To(), r.Timeout, r.MaxAttempts, r.Objective, r.Level, r.Idempotent)
+		t.row(r.Name, r.Host, r.Prefix, r.TargetsText(), r.Timeout, r.MaxAttempts, r.Objective, r.Level, r.Idempotent)
 	}
 	t.note("version %d, confirmed %s ago", s.Config.Version, freshnessAge(s.Routes))
 	return a.print(s.Config, t)
--- a/internal/bench/operators.go
+++ b/internal/bench/operators.go
@@ -182,7 +182,7 @@
 // conflictsWith reports whether a publication was rejected with a version conflict
 // that names author as the winner.
 func conflictsWith(d policy.Decision, author string) bool {
-	return d.Outcome == policy.Lost && d.Lost != nil && d.Lost.Author == author
+	return d.Outcome == policy.Conflicted && d.Conflict != nil && d.Conflict.Author == author
 }
 
 func (o *operators) figures() (rounds, violations int) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -91,7 +91,7 @@
 }
 
 func report(id string, born, sequence int64) Report {
-	return Report{ID: id, Service: "s", Address: "a:1", Slots: 4, Born: born, Sequence: sequence}
+	return Report{ID: id, Service: "s", Address: "a:1", Slots: 4, StartedAt: born, Sequence: sequence}
 }
 
 // Guards against calls to a dead process of an upstream, after its report arrived late.
--- a/internal/fleet/upstream.go
+++ b/internal/fleet/upstream.go
@@ -18,9 +18,9 @@
 	Slots   int
 	// Leaving is true if the upstream accepts no new work.
 	Leaving bool
-	// Born is the start time of the process in Unix milliseconds; 0 if the upstream does not
+	// StartedAt is the start time of the process in Unix milliseconds; 0 if the upstream does not
 	// report it.
-	Born int64
+	StartedAt int64
 	// Sequence increases with each report of one process.
 	Sequence int64
 	// ColdFor is the remaining time for which the process is slow after its start.
@@ -90,7 +90,7 @@
 	if u.adopted {
 		u.adopted = false
 		if r.ID == u.latest.ID {
-			u.latest.Born, u.latest.Sequence = r.Born, r.Sequence-1
+			u.latest.StartedAt, u.latest.Sequence = r.StartedAt, r.Sequence-1
 		}
 	}
 	if !u.known {
@@ -99,10 +99,10 @@
 	if u.sameProcess(r) {
 		return u.update(r)
 	}
-	if r.Born < u.latest.Born || slices.Contains(u.predecessors, process{r.ID, r.Born}) {
+	if r.StartedAt < u.latest.StartedAt || slices.Contains(u.predecessors, process{r.ID, r.StartedAt}) {
 		return Outdated
 	}
-	u.predecessors = append(u.predecessors, process{u.latest.ID, u.latest.Born})
+	u.predecessors = append(u.predecessors, process{u.latest.ID, u.latest.StartedAt})
 	u.predecessors = u.predecessors[max(0, len(u.predecessors)-maxPredecessors):]
 	return u.start(r)
 }
@@ -110,7 +110,7 @@
 // sameProcess compares the ID and the start time, since a new process may use the ID of the old
 // one.
 func (u *LocalUpstream) sameProcess(r Report) bool {
-	return r.ID == u.latest.ID && r.Born == u.latest.Born
+	return r.ID == u.latest.ID && r.StartedAt == u.latest.StartedAt
 }
 
 func (u *LocalUpstream) start(r Report) Change {
@@ -143,7 +143,7 @@
 // Departed records that the process with this ID and start time has ended or is about to. born is
 // 0 if the start time was not reported.
 func (u *LocalUpstream) Departed(id string, born int64) Change {
-	if !u.known || u.latest.ID != id || (born != 0 && born < u.latest.Born) {
+	if !u.known || u.latest.ID != id || (born != 0 && born < u.latest.StartedAt) {
 		return Outdated
 	}
 	if u.left {
--- a/internal/fleet/upstream_test.go
+++ b/internal/fleet/upstream_test.go
@@ -12,7 +12,7 @@
 func TestAdoptedProcessIsConfirmedByItsReport(t *testing.T) {
 	adopted := Report{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Slots: 8}
 	report := adopted
-	report.Born, report.Sequence = 1000, 17
+	report.StartedAt, report.Sequence = 1000, 17
 	for name, x := range map[string]struct {
 		change func(*Report)
 		want   Change
--- a/internal/mesh/local.go
+++ b/internal/mesh/local.go
@@ -39,7 +39,7 @@
 		}
 		l.publish(r, fleet.Serving)
 	case fleet.Outdated:
-		l.mesh.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Int64("born", r.Born).Msg("upstream report is older than the newest one; report ignored")
+		l.mesh.logger.Info().Str("upstream", r.ID).Int64("sequence", r.Sequence).Int64("born", r.StartedAt).Msg("upstream report is older than the newest one; report ignored")
 	case fleet.Unchanged:
 		l.resumeServing(r)
 	}
@@ -94,7 +94,7 @@
 	m.upstream.SetAddr(r.Address)
 	m.node.UpstreamReplaced(now, node.Announcement{Service: r.Service, Address: r.Address, Slots: r.Slots})
 	l.publish(r, fleet.Serving)
-	m.logger.Info().Str("upstream", r.ID).Str("address", r.Address).Int("slots", r.Slots).Int64("born", r.Born).
+	m.logger.Info().Str("upstream", r.ID).Str("address", r.Address).Int("slots", r.Slots).Int64("born", r.StartedAt).
 		Str("version", r.Version).Dur("cold_ms", r.ColdFor).Bool("predecessor_died", served).Msg("upstream started; it takes calls")
 }
 
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -87,8 +87,8 @@
 		return nil
 	}
 	answered := 0
-	for i := range decision.Ask {
-		granted, err := q.requestToken(ctx, &decision.Ask[i], workspace)
+	for i := range decision.Holders {
+		granted, err := q.requestToken(ctx, &decision.Holders[i], workspace)
 		if granted {
 			return nil
 		}
@@ -96,7 +96,7 @@
 			answered++
 		}
 	}
-	if decision.Unknown || len(decision.Ask) > 0 && answered == 0 {
+	if decision.Unknown || len(decision.Holders) > 0 && answered == 0 {
 		return result.Refuse(result.QuotaUnknown, "no node that holds a part of the quota of %s responds", workspace).WithRetryAfter(quotaUnknownRetryAfter)
 	}
 	retryAfter := q.ledger.Refuse(time.Now(), workspace, rand.Float64())
@@ -116,10 +116,10 @@
 		q.mesh.rateLimited.Warn().Str("member", holder.Name).Str("workspace", workspace).Err(err).Msg("quota token request to a holder failed; the holder is skipped for a while")
 		return false, err
 	case response.Granted:
-		q.ledger.Granted(workspace)
+		q.ledger.RecordGrant(workspace)
 		return true, nil
 	}
-	q.ledger.Empty(now, workspace, holder.Name, time.Duration(response.NextMillis)*time.Millisecond)
+	q.ledger.MarkEmpty(now, workspace, holder.Name, time.Duration(response.NextMillis)*time.Millisecond)
 	return false, nil
 }
 
--- a/internal/policy/decide.go
+++ b/internal/policy/decide.go
@@ -237,8 +237,8 @@
 // conflict returns the outcome of a publication whose BaseVersion is not the version of the
 // object.
 func (s *State) conflict(d Decision, to change) outcome {
-	d.Outcome = Lost
-	d.Lost = &ConflictingPublication{ID: to.ID, Author: to.Author, Version: to.Version, What: to.What}
+	d.Outcome = Conflicted
+	d.Conflict = &ConflictingPublication{ID: to.ID, Author: to.Author, Version: to.Version, What: to.What}
 	return outcome{decision: d, bytes: s.bytes}
 }
 
--- a/internal/policy/decision.go
+++ b/internal/policy/decision.go
@@ -13,9 +13,9 @@
 	// Accepted means that the publication is in force for every reader of the log from its record
 	// on.
 	Accepted Outcome = "accepted"
-	// Lost means that the publication conflicts with another one: the object has changed since
+	// Conflicted means that the publication conflicts with another one: the object has changed since
 	// BaseVersion.
-	Lost Outcome = "lost"
+	Conflicted Outcome = "lost"
 	// Rejected means that the publication is invalid.
 	Rejected Outcome = "rejected"
 )
@@ -38,9 +38,9 @@
 	Outcome Outcome `json:"outcome"`
 	// Version is the version of the publication's record; it is the new version of the object if
 	// Outcome is Accepted.
-	Version Version                 `json:"version"`
-	Lost    *ConflictingPublication `json:"lost_to,omitempty"`
-	Errors  FieldErrors             `json:"errors,omitempty"`
+	Version  Version                 `json:"version"`
+	Conflict *ConflictingPublication `json:"lost_to,omitempty"`
+	Errors   FieldErrors             `json:"errors,omitempty"`
 }
 
 // Err returns nil for an accepted publication, and a *DecisionError otherwise.
@@ -57,8 +57,8 @@
 // Error implements error.
 func (e *DecisionError) Error() string {
 	d := &e.Decision
-	if d.Lost != nil {
-		return fmt.Sprintf("%s lost to %s by %s at version %d: %s", d.Object, d.Lost.ID, d.Lost.Author, d.Lost.Version, d.Lost.What)
+	if d.Conflict != nil {
+		return fmt.Sprintf("%s lost to %s by %s at version %d: %s", d.Object, d.Conflict.ID, d.Conflict.Author, d.Conflict.Version, d.Conflict.What)
 	}
 	return fmt.Sprintf("%s rejected: %v", d.Object, d.Errors)
 }
--- a/internal/policy/linearizability_test.go
+++ b/internal/policy/linearizability_test.go
@@ -62,7 +62,7 @@
 		if c.version == op.baseVersion && out.version > c.version {
 			return []any{register{op.id, out.version}}
 		}
-	case out.outcome == Lost:
+	case out.outcome == Conflicted:
 		if c.id == out.id && (c.version == out.version || c.version == unknownVersion) && out.version != op.baseVersion {
 			return []any{register{out.id, out.version}}
 		}
@@ -139,8 +139,8 @@
 	switch {
 	case !ok:
 		return response{}
-	case d.Lost != nil:
-		return response{outcome: Lost, version: d.Lost.Version, id: d.Lost.ID}
+	case d.Conflict != nil:
+		return response{outcome: Conflicted, version: d.Conflict.Version, id: d.Conflict.ID}
 	}
 	return response{outcome: d.Outcome, version: d.Version, id: id}
 }
@@ -194,7 +194,7 @@
 		})
 	}
 	t.Logf("outcomes (empty is unknown): %v", outcomes)
-	must.MapContainsKeys(t, outcomes, []Outcome{Accepted, Lost, ""})
+	must.MapContainsKeys(t, outcomes, []Outcome{Accepted, Conflicted, ""})
 }
 
 func runOperators(t *testing.T, seed uint64) []porcupine.Operation {
@@ -257,17 +257,17 @@
 	accepted := func(v Version) response { return response{outcome: Accepted, version: v} }
 	good := []porcupine.Operation{
 		write(1, "a", 0, accepted(5)), read(3, "a", 5),
-		write(5, "b", 0, response{Lost, 5, "a"}), write(7, "c", 5, response{}), read(9, "c", 8),
+		write(5, "b", 0, response{Conflicted, 5, "a"}), write(7, "c", 5, response{}), read(9, "c", 8),
 	}
 	must.True(t, isLinearizable(good))
 	bad := map[string][]porcupine.Operation{
 		"both of two racing changes accepted": {write(1, "a", 0, accepted(5)), write(3, "b", 0, accepted(6))},
 		"accepted change reverted":            {write(1, "a", 0, accepted(5)), write(3, "b", 5, accepted(6)), read(5, "a", 5)},
 		"accepted change lost":                {write(1, "a", 0, accepted(5)), read(3, "", 0)},
-		"lost to one that never was":          {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{Lost, 4, "x"})},
+		"lost to one that never was":          {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{Conflicted, 4, "x"})},
 		"version fell":                        {write(1, "a", 0, accepted(5)), write(3, "b", 5, accepted(4))},
 		"unknown change applied on another":   {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{}), read(5, "b", 7)},
-		"lost change came in force":           {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{Lost, 5, "a"}), read(5, "b", 7)},
+		"lost change came in force":           {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{Conflicted, 5, "a"}), read(5, "b", 7)},
 	}
 	for name, ops := range bad {
 		must.False(t, isLinearizable(ops), must.Sprint(name))
--- a/internal/policy/scenarios_test.go
+++ b/internal/policy/scenarios_test.go
@@ -23,8 +23,8 @@
 	must.Eq(t, 3, e.RetryAllowance)
 	d, ok := h.current().Decision("b")
 	must.True(t, ok)
-	must.Eq(t, Lost, d.Outcome)
-	must.Eq(t, &ConflictingPublication{ID: "a", Author: "ito", Version: 3, What: "instance chikugo/letters: retry_allowance 1 -> 3"}, d.Lost)
+	must.Eq(t, Conflicted, d.Outcome)
+	must.Eq(t, &ConflictingPublication{ID: "a", Author: "ito", Version: 3, What: "instance chikugo/letters: retry_allowance 1 -> 3"}, d.Conflict)
 	must.ErrorContains(t, d.Err(), "lost to a by ito at version 3")
 }
 
@@ -113,9 +113,9 @@
 	must.False(t, ok)
 	h.append(first)
 	d, _ := h.current().Decision("t")
-	must.Eq(t, Lost, d.Outcome)
+	must.Eq(t, Conflicted, d.Outcome)
 	must.Eq(t, 1, h.current().TemplateVersion("strict"))
-	must.True(t, strings.Contains(d.Lost.What, "created"))
+	must.True(t, strings.Contains(d.Conflict.What, "created"))
 	copied, err := UnmarshalState([]byte(mustMarshal(t, h.current())))
 	must.NoError(t, err)
 	must.Eq(t, mustMarshal(t, h.current()), mustMarshal(t, copied))
--- a/internal/policy/validate_test.go
+++ b/internal/policy/validate_test.go
@@ -152,7 +152,7 @@
 	must.False(t, ok)
 	p.BaseVersion--
 	d, _ = s.Check(p)
-	must.Eq(t, Lost, d.Outcome)
+	must.Eq(t, Conflicted, d.Outcome)
 }
 
 // Guards against a dropped template revision that an instance still uses, and against unused
--- a/internal/proxy/routed.go
+++ b/internal/proxy/routed.go
@@ -165,7 +165,7 @@
 		parentID = h.p.upstream.runningCallID(in.Parent)
 	}
 	if parentID == "" && table.NeedsKey(route) {
-		workspace := table.Holder(in.APIKey)
+		workspace := table.WorkspaceByKey(in.APIKey)
 		if workspace == nil {
 			return nil, nil, unknownKey(in.APIKey, table.Config().Version)
 		}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -64,10 +64,10 @@
 
 // Decision is the result of Take for one request.
 type Decision struct {
-	// Granted is true if the request has its token.
+	// RecordGrant is true if the request has its token.
 	Granted bool
-	// Ask has the holders to request a token from, in this order.
-	Ask []Node
+	// Holders has the holders to request a token from, in this order.
+	Holders []Node
 	// Unknown is true if there is no holder to ask because holders are unresponsive: whether the
 	// quota has tokens left is not known.
 	Unknown bool
@@ -93,7 +93,7 @@
 		return Decision{}
 	}
 	candidates, unresponsive := l.candidatesLocked(now, a, u, skip)
-	return Decision{Ask: candidates, Unknown: len(candidates) == 0 && unresponsive}
+	return Decision{Holders: candidates, Unknown: len(candidates) == 0 && unresponsive}
 }
 
 // Grant spends a token of this node for a request of another node. If there is none, next is the
@@ -112,8 +112,8 @@
 	return false, a.bucket.untilNextToken(now)
 }
 
-// Granted records that another node granted a token to a request of this node.
-func (l *Ledger) Granted(workspace string) {
+// RecordGrant records that another node granted a token to a request of this node.
+func (l *Ledger) RecordGrant(workspace string) {
 	l.withAccount(workspace, func(a *account) {
 		a.spent++
 		a.backoff = 0
@@ -128,8 +128,8 @@
 	})
 }
 
-// Empty records that a holder has no token until next has passed.
-func (l *Ledger) Empty(now time.Time, workspace, node string, next time.Duration) {
+// MarkEmpty records that a holder has no token until next has passed.
+func (l *Ledger) MarkEmpty(now time.Time, workspace, node string, next time.Duration) {
 	l.withAccount(workspace, func(a *account) {
 		maps.DeleteFunc(a.emptyUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
 		a.emptyUntil[node] = now.Add(next)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -85,7 +85,7 @@
 	}
 	m.offered++
 	decision := n.ledger.Take(m.Now(), workspaceName, m.rng.Float64(), func(string) bool { return false })
-	if decision.Granted || m.requestsTokens && m.requestToken(n, decision.Ask) {
+	if decision.Granted || m.requestsTokens && m.requestToken(n, decision.Holders) {
 		m.granted = append(m.granted, m.Now())
 		return
 	}
@@ -104,10 +104,10 @@
 		}
 		granted, next := m.nodes[i].ledger.Grant(m.Now(), workspaceName)
 		if granted {
-			n.ledger.Granted(workspaceName)
+			n.ledger.RecordGrant(workspaceName)
 			return true
 		}
-		n.ledger.Empty(m.Now(), workspaceName, h.Name, next)
+		n.ledger.MarkEmpty(m.Now(), workspaceName, h.Name, next)
 	}
 	return false
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -168,12 +168,12 @@
 	l.SetRing(NewRing([]Node{{Name: "other", Zone: "z"}}))
 	none := func(string) bool { return false }
 	got := l.Take(now, "north", 0, none)
-	must.SliceLen(t, 1, got.Ask)
+	must.SliceLen(t, 1, got.Holders)
 	must.False(t, got.Unknown)
 	l.MarkUnresponsive(now, "other")
 	must.True(t, l.Take(now, "north", 0, none).Unknown)
 	later := now.Add(unresponsiveFor)
-	l.Empty(later, "north", "other", time.Second)
+	l.MarkEmpty(later, "north", "other", time.Second)
 	must.Eq(t, Decision{}, l.Take(later, "north", 0, none))
 }
 
--- a/internal/routes/diff.go
+++ b/internal/routes/diff.go
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("%s:%d", w.Service, w.Weight)
 }
 
-// To returns the targets of the route as text.
-func (r *Route) To() string {
+// TargetsText returns the targets of the route as text.
+func (r *Route) TargetsText() string {
 	names := make([]string, len(r.Targets))
 	for i, t := range r.Targets {
 		names[i] = t.String()
@@ -102,9 +102,9 @@
 func diffRoute(name string, before, after *Route) []Difference {
 	switch {
 	case before == nil:
-		return []Difference{{Route: name, New: after.To()}}
+		return []Difference{{Route: name, New: after.TargetsText()}}
 	case after == nil:
-		return []Difference{{Route: name, Old: before.To()}}
+		return []Difference{{Route: name, Old: before.TargetsText()}}
 	}
 	return diffFields(name, routeFields(before), routeFields(after))
 }
@@ -114,7 +114,7 @@
 func routeFields(r *Route) []field {
 	return []field{
 		{"name", r.Name},
-		{"to", r.To()},
+		{"to", r.TargetsText()},
 		{"timeout", r.Timeout.String()},
 		{"objective", r.Objective.String()},
 		{"attempts", fmt.Sprint(r.MaxAttempts)},
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -62,8 +62,8 @@
 // NeedsKey reports whether callers of a route must present an API key.
 func (t *Table) NeedsKey(e *Entry) bool { return len(t.config.Workspaces) > 0 && !e.Public }
 
-// Holder returns the workspace that holds an API key; nil if there is none.
-func (t *Table) Holder(apiKey string) *Workspace { return t.workspacesByKey[KeyOf(apiKey)] }
+// WorkspaceByKey returns the workspace that holds an API key; nil if there is none.
+func (t *Table) WorkspaceByKey(apiKey string) *Workspace { return t.workspacesByKey[KeyOf(apiKey)] }
 
 // splitter returns the splitter of t for an unchanged route, or a new one. t may be nil.
 func (t *Table) splitter(r *Route, seed uint64) *Splitter {
--- a/internal/routes/workspace_test.go
+++ b/internal/routes/workspace_test.go
@@ -22,10 +22,10 @@
 	c := configWithWorkspaces(Workspace{Name: "north", Keys: []Key{KeyOf("k1"), KeyOf("k2")}}, Workspace{Name: "south", Keys: []Key{KeyOf("k3")}})
 	must.NoError(t, c.Validate())
 	table := NewTable(nil, c, 0)
-	must.EqOp(t, "north", table.Holder("k2").Name)
-	must.EqOp(t, "south", table.Holder("k3").Name)
-	must.Nil(t, table.Holder("k4"))
-	must.Nil(t, table.Holder(""))
+	must.EqOp(t, "north", table.WorkspaceByKey("k2").Name)
+	must.EqOp(t, "south", table.WorkspaceByKey("k3").Name)
+	must.Nil(t, table.WorkspaceByKey("k4"))
+	must.Nil(t, table.WorkspaceByKey(""))
 }
 
 // Guards against a required API key on a public route or without workspaces, and against a route
--- a/internal/server/publish.go
+++ b/internal/server/publish.go
@@ -210,8 +210,8 @@
 	if p.Instance != nil {
 		e.Workspace, e.Service = p.Instance.Workspace, p.Instance.Service
 	}
-	if d.Lost != nil {
-		e.Detail += " to " + d.Lost.Author + ", change " + d.Lost.ID
+	if d.Conflict != nil {
+		e.Detail += " to " + d.Conflict.Author + ", change " + d.Conflict.ID
 	}
 	b.server.node.Event(b.server.node.Now(), e)
 	b.server.logger.Info().Str("change", d.ID).Str("object", d.Object).Str("author", d.Author).
@@ -224,8 +224,8 @@
 func decideLocally(state *policy.State, p *policy.Publication) (policy.Decision, bool) {
 	d, _ := state.Check(p)
 	switch d.Outcome {
-	case policy.Lost:
-		return d, p.BaseVersion < d.Lost.Version
+	case policy.Conflicted:
+		return d, p.BaseVersion < d.Conflict.Version
 	case policy.Rejected:
 		for _, e := range d.Errors {
 			if e.Field == "publication.based" || e.Field == "instance.template" || e.Field == "template.revision" {
@@ -265,12 +265,12 @@
 		return nil, admin.Invalid("%s: %v", d.Object, d.Errors)
 	}
 	pub := &adminpb.Publication{ChangeId: d.ID, Accepted: d.Outcome == policy.Accepted, Version: uint64(d.Version)}
-	if d.Lost != nil {
-		pub.Version = uint64(d.Lost.Version)
-		pub.LostToVersion = uint64(d.Lost.Version)
-		pub.LostToOperator = d.Lost.Author
-		pub.LostToChangeId = d.Lost.ID
-		pub.Detail = d.Lost.What
+	if d.Conflict != nil {
+		pub.Version = uint64(d.Conflict.Version)
+		pub.LostToVersion = uint64(d.Conflict.Version)
+		pub.LostToOperator = d.Conflict.Author
+		pub.LostToChangeId = d.Conflict.ID
+		pub.Detail = d.Conflict.What
 		return pub, nil
 	}
 	pub.Offset = uint64(d.Version) - 1
