--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -103,7 +103,7 @@
 func (p *Plane) otherZonePeers(time.Time) []Peer {
 	byZone := map[string]Peer{}
 	var zones []string
-	members := p.Known()
+	members := p.KnownMembers()
 	for _, i := range p.rng.Perm(len(members)) {
 		m := members[i]
 		if m.Region == p.region && m.Zone == p.zone {
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -63,7 +63,7 @@
 	o.withLocalLessor(func(l *lease.Lessor) { l.SetResendHorizon(d) })
 }
 
-// Truncated records that entries of the log expired before this node folded them, so that it
+// OnTruncated records that entries of the log expired before this node folded them, so that it
 // may not know some owners.
 func (o *Ownership) Truncated() {
 	o.mu.Lock()
@@ -208,9 +208,9 @@
 	return settled
 }
 
-// Holds returns the number of slots that this guard owns according to the log, including those
+// OwnedSlots returns the number of slots that this guard owns according to the log, including those
 // that it has released for a handover.
-func (o *Ownership) Holds() (n int) {
+func (o *Ownership) OwnedSlots() (n int) {
 	o.withLocalLessor(func(l *lease.Lessor) {
 		for _, s := range l.State().Slots {
 			if s.Owner == o.self {
@@ -260,14 +260,14 @@
 	o.withLocalLessor(func(l *lease.Lessor) { l.ObservePeerHead(from, head) })
 }
 
-// Promised applies the promise of another guard that was requested at t0.
-func (o *Ownership) Promised(t0 time.Time, from membership.Identity, addr string) {
+// OnPromise applies the promise of another guard that was requested at t0.
+func (o *Ownership) OnPromise(t0 time.Time, from membership.Identity, addr string) {
 	o.withLocalLessor(func(l *lease.Lessor) { l.Promise(t0, from, addr) })
 }
 
-// Promise handles the request of another guard that this one promise not to take over slots for
+// OnPromiseRequest handles the request of another guard that this one promise not to take over slots for
 // a limited time. It reports whether the promise is granted.
-func (o *Ownership) Promise(now time.Time, service string, from membership.Identity, slots []int) (granted bool) {
+func (o *Ownership) OnPromiseRequest(now time.Time, service string, from membership.Identity, slots []int) (granted bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	l, ok := o.lessors[service]
@@ -296,9 +296,9 @@
 	return t, ok
 }
 
-// Imported records that this guard has imported the keys of the slots in h. It reports whether
+// ImportedHandOver records that this guard has imported the keys of the slots in h. It reports whether
 // the guard can take the slots over.
-func (o *Ownership) Imported(now time.Time, h lease.HandOver) (ok bool) {
+func (o *Ownership) ImportedHandOver(now time.Time, h lease.HandOver) (ok bool) {
 	o.withLocalLessor(func(l *lease.Lessor) { ok = l.ImportedHandOver(now, h) })
 	return ok
 }
--- a/internal/control/updates.go
+++ b/internal/control/updates.go
@@ -197,7 +197,7 @@
 		return nil
 	}
 	var out []Peer
-	for _, m := range p.Known() {
+	for _, m := range p.KnownMembers() {
 		if m.Service == p.ownMember.Service && m.Region == p.region && m.Zone == p.zone && m.Node != p.self.Node {
 			out = append(out, Peer{ID: m.Identity, Addr: m.InnerAddr})
 		}
@@ -205,10 +205,10 @@
 	return out
 }
 
-// Known returns the members in the log and those that are not in it yet: peers that have
+// KnownMembers returns the members in the log and those that are not in it yet: peers that have
 // announced themselves, and this node once it has. Calls are routed to all of them, so they are
 // also shown to operators.
-func (p *Plane) Known() []membership.Member {
+func (p *Plane) KnownMembers() []membership.Member {
 	var out []membership.Member
 	for _, m := range p.Members().Members() {
 		if s, ok := p.softMembers[m.Node]; !ok || s.member.Incarnation <= m.Incarnation {
@@ -229,7 +229,7 @@
 // left out; those that have announced a drain are marked as draining.
 func (p *Plane) Endpoints() []routing.Endpoint {
 	var out []routing.Endpoint
-	for _, m := range p.Known() {
+	for _, m := range p.KnownMembers() {
 		if m.Service == "" || p.dead[m.Identity] {
 			continue
 		}
@@ -245,7 +245,7 @@
 // Members of other zones are live as long as the log lists them.
 func (p *Plane) Live() []membership.Identity {
 	var out []membership.Identity
-	for _, m := range p.Known() {
+	for _, m := range p.KnownMembers() {
 		if _, leaving := p.drains[m.Identity]; !leaving && !p.dead[m.Identity] {
 			out = append(out, m.Identity)
 		}
--- a/internal/logstore/appender_test.go
+++ b/internal/logstore/appender_test.go
@@ -33,7 +33,7 @@
 	return s.next
 }
 
-func (s *sink) Take(page logstore.Page, _ time.Time) {
+func (s *sink) OnPage(page logstore.Page, _ time.Time) {
 	s.mu.Lock()
 	for _, e := range page.Entries {
 		s.copies[e.Record.ID]++
@@ -46,13 +46,13 @@
 	s.app.Observe(page.Entries)
 }
 
-func (s *sink) Truncated(oldest int64) {
+func (s *sink) OnTruncated(oldest int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.next = oldest
 }
 
-func (s *sink) Failed(error) {}
+func (s *sink) OnReadFailed(error) {}
 
 // failingReader is a Log whose reads fail while failing is set.
 type failingReader struct {
--- a/internal/logstore/follow.go
+++ b/internal/logstore/follow.go
@@ -13,13 +13,13 @@
 type Sink interface {
 	// Next returns the offset to read from.
 	Next() int64
-	// Take consumes a page that was read from Next. sent is the local time at which the read
+	// OnPage consumes a page that was read from Next. sent is the local time at which the read
 	// was sent: the page contains every append acknowledged before that, up to its Next.
-	Take(page Page, sent time.Time)
-	// Truncated reports that the entries below oldest have expired.
-	Truncated(oldest int64)
-	// Failed reports the error of a read, which Follow retries.
-	Failed(err error)
+	OnPage(page Page, sent time.Time)
+	// OnTruncated reports that the entries below oldest have expired.
+	OnTruncated(oldest int64)
+	// OnReadFailed reports the error of a read, which Follow retries.
+	OnReadFailed(err error)
 }
 
 // FollowConfig configures the reads of Follow.
@@ -61,7 +61,7 @@
 		page, err := log.Read(ctx, sink.Next(), cfg.MaxEntries, cfg.Wait)
 		if err == nil {
 			failures = 0
-			sink.Take(page, sent)
+			sink.OnPage(page, sent)
 			// Prevents a busy loop if the log returns an empty page without waiting.
 			if len(page.Entries) == 0 && cfg.Now().Sub(sent) < cfg.MinBackoff {
 				wait.For(ctx, cfg.MinBackoff)
@@ -70,9 +70,9 @@
 		}
 		var truncated *TruncatedError
 		if errors.As(err, &truncated) {
-			sink.Truncated(truncated.Oldest)
+			sink.OnTruncated(truncated.Oldest)
 		} else {
-			sink.Failed(err)
+			sink.OnReadFailed(err)
 		}
 		// The delay also follows a truncation, to prevent a busy loop if records expire faster
 		// than they can be read.
--- a/internal/policy/linearizability_test.go
+++ b/internal/policy/linearizability_test.go
@@ -95,20 +95,20 @@
 	return o.replica.Next()
 }
 
-func (o *operator) Take(page logstore.Page, _ time.Time) {
+func (o *operator) OnPage(page logstore.Page, _ time.Time) {
 	o.mu.Lock()
 	o.replica.Take(page)
 	o.mu.Unlock()
 	o.app.Observe(page.Entries)
 }
 
-func (o *operator) Truncated(oldest int64) {
+func (o *operator) OnTruncated(oldest int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.replica.Truncated(oldest)
 }
 
-func (o *operator) Failed(error) {}
+func (o *operator) OnReadFailed(error) {}
 
 func (o *operator) state() *State {
 	o.mu.Lock()
--- a/internal/server/authority_watch_test.go
+++ b/internal/server/authority_watch_test.go
@@ -20,7 +20,7 @@
 	s, other := w.start("letters-1", short), w.start("letters-2", short)
 	w.announceAddress(s, "letters", "127.0.0.1:1")
 	w.announceAddress(other, "letters", "127.0.0.1:1")
-	w.waitFor("ownership", func() bool { return s.OwnersSettled() && other.OwnersSettled() && s.ownership.state.Holds() > 0 })
+	w.waitFor("ownership", func() bool { return s.OwnersSettled() && other.OwnersSettled() && s.ownership.state.OwnedSlots() > 0 })
 	must.Less(t, lease.DefaultConfig().Validity, 2*authority)
 	s.ownership.checkAuthority(s.node.Now().Add(2 * authority))
 	lost := timeline.Filter{Kinds: []timeline.Kind{timeline.AuthorityLost}}
--- a/internal/server/backend.go
+++ b/internal/server/backend.go
@@ -35,7 +35,7 @@
 func (c *controlLoop) knownMembers() []membership.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.plane.Known()
+	return c.plane.KnownMembers()
 }
 
 // knownNode returns the known member with this node ID.
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -69,7 +69,7 @@
 func (o *ownership) awaitTakeovers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, takeoverTimeout)
 	defer cancel()
-	for o.state.Holds() > 0 && ctx.Err() == nil {
+	for o.state.OwnedSlots() > 0 && ctx.Err() == nil {
 		wait.For(ctx, drainPollInterval)
 	}
 }
@@ -174,7 +174,7 @@
 	if !req.GetLast() {
 		return ""
 	}
-	if !o.state.Imported(now, lease.HandOver{From: from, Slots: decodeSlots(req.GetSlots())}) {
+	if !o.state.ImportedHandOver(now, lease.HandOver{From: from, Slots: decodeSlots(req.GetSlots())}) {
 		return "this guard may not take slots yet"
 	}
 	o.requestPlan()
--- a/internal/server/observe_test.go
+++ b/internal/server/observe_test.go
@@ -190,7 +190,7 @@
 // Guards against a loss of authority over keys that neither the timeline nor the metrics show.
 func TestLapsedAuthorityIsOnTheTimeline(t *testing.T) {
 	w, s, other := startPair(t)
-	w.waitFor("ownership", func() bool { return s.OwnersSettled() && other.OwnersSettled() && s.ownership.state.Holds() > 0 })
+	w.waitFor("ownership", func() bool { return s.OwnersSettled() && other.OwnersSettled() && s.ownership.state.OwnedSlots() > 0 })
 	must.Positive(t, w.metrics(s)["lease.slots_owned"]["value"])
 	must.Positive(t, w.metrics(s)["lease.takeovers"]["count"])
 	has := func(k timeline.Kind) func() bool {
--- a/internal/server/ownership.go
+++ b/internal/server/ownership.go
@@ -180,7 +180,7 @@
 	if err != nil || !resp.GetGranted() {
 		return
 	}
-	o.state.Promised(a.At, control.IdentityOf(resp.GetFrom()), a.Addr)
+	o.state.OnPromise(a.At, control.IdentityOf(resp.GetFrom()), a.Addr)
 }
 
 func (o *ownership) headExchangeDue(now time.Time) bool {
@@ -211,7 +211,7 @@
 		o.state.ObservePeerHead(from, req.Msg.GetProofHead())
 	}
 	slots := decodeSlotNumbers(req.Msg.GetSlots())
-	granted := len(slots) > 0 && o.state.Promise(now, req.Msg.GetService().GetService(), from, slots)
+	granted := len(slots) > 0 && o.state.OnPromiseRequest(now, req.Msg.GetService().GetService(), from, slots)
 	o.countPromise(len(slots) > 0, granted)
 	head, proven := o.state.Head()
 	return connect.NewResponse(&innerpb.PromiseResponse{
