--- a/internal/conns/keepalive.go
+++ b/internal/conns/keepalive.go
@@ -12,7 +12,7 @@
 // connection.
 const maxProbes = 2
 
-// DetectSilence configures a dialer so that its connections fail about timeout after the peer's
+// DetectDeadPath configures a dialer so that its connections fail about timeout after the peer's
 // kernel stops acknowledging, with or without unacknowledged data. It sets keep-alive probes and
 // TCP_USER_TIMEOUT.
 //
@@ -21,7 +21,7 @@
 // while new connections work. A response timeout cannot distinguish this from a slow server, and a
 // short one aborts requests to servers that are only busy. The kernel of the peer acknowledges data
 // and probes independently of its process, so missing acknowledgements indicate a broken path.
-func DetectSilence(d *net.Dialer, timeout time.Duration) *net.Dialer {
+func DetectDeadPath(d *net.Dialer, timeout time.Duration) *net.Dialer {
 	interval := timeout / (maxProbes + 1)
 	d.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: maxProbes}
 	d.Control = func(_, _ string, raw syscall.RawConn) error {
--- a/internal/conns/keepalive_test.go
+++ b/internal/conns/keepalive_test.go
@@ -16,7 +16,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
-	c, err := DetectSilence(&net.Dialer{Timeout: time.Second}, 900*time.Millisecond).Dial("tcp", l.Addr().String())
+	c, err := DetectDeadPath(&net.Dialer{Timeout: time.Second}, 900*time.Millisecond).Dial("tcp", l.Addr().String())
 	must.NoError(t, err)
 	defer c.Close()
 	raw, err := c.(syscall.Conn).SyscallConn()
--- a/internal/control/codec.go
+++ b/internal/control/codec.go
@@ -33,7 +33,7 @@
 // returns them.
 func (p *Plane) OnCrashRecords(now time.Time, list []*innerpb.Suspect) {
 	for _, s := range list {
-		p.receivedCrashRecords = append(p.receivedCrashRecords, inner.Suspect(now, s))
+		p.receivedCrashRecords = append(p.receivedCrashRecords, inner.CrashRecordFrom(now, s))
 	}
 }
 
--- a/internal/control/updates.go
+++ b/internal/control/updates.go
@@ -66,7 +66,7 @@
 func (p *Plane) applyUpdates(now time.Time, m updateMessage, upward bool) {
 	p.onLeaderRelay(now, m.GetElected())
 	for _, s := range m.GetSuspects() {
-		p.receivedCrashRecords = append(p.receivedCrashRecords, inner.Suspect(now, s))
+		p.receivedCrashRecords = append(p.receivedCrashRecords, inner.CrashRecordFrom(now, s))
 	}
 	for _, d := range m.GetDrains() {
 		p.applyDrain(now, identityOf(d.GetNodeId(), d.GetIncarnation()), fromMicros(d.GetAgeUs()), upward)
@@ -185,7 +185,7 @@
 	var out []*innerpb.Suspect
 	for _, n := range p.crashRecords {
 		if now.Sub(n.receivedAt) < updateTTL && len(out) < maxUpdates {
-			out = append(out, inner.SuspectMessage(now, n.record))
+			out = append(out, inner.CrashRecordMessage(now, n.record))
 		}
 	}
 	return out
--- a/internal/inner/crash_records.go
+++ b/internal/inner/crash_records.go
@@ -7,9 +7,9 @@
 	"github.com/galenagrade/galenagrade/internal/quarantine"
 )
 
-// SuspectMessage converts a crash record into the message that nodes gossip. The message contains
+// CrashRecordMessage converts a crash record into the message that nodes gossip. The message contains
 // the age of the record instead of its time, since the clocks of nodes differ.
-func SuspectMessage(now time.Time, s quarantine.CrashRecord) *innerpb.Suspect {
+func CrashRecordMessage(now time.Time, s quarantine.CrashRecord) *innerpb.Suspect {
 	return &innerpb.Suspect{
 		Fingerprint: uint64(s.Fingerprint),
 		Upstream:    s.Upstream,
@@ -20,8 +20,8 @@
 	}
 }
 
-// Suspect converts a message received at now into a crash record.
-func Suspect(now time.Time, s *innerpb.Suspect) quarantine.CrashRecord {
+// CrashRecordFrom converts a message received at now into a crash record.
+func CrashRecordFrom(now time.Time, s *innerpb.Suspect) quarantine.CrashRecord {
 	return quarantine.CrashRecord{
 		Fingerprint: quarantine.Fingerprint(s.GetFingerprint()),
 		Upstream:    s.GetUpstream(),
@@ -36,7 +36,7 @@
 func CrashRecordMessages(now time.Time, list []quarantine.CrashRecord) []*innerpb.Suspect {
 	var out []*innerpb.Suspect
 	for _, s := range list {
-		out = append(out, SuspectMessage(now, s))
+		out = append(out, CrashRecordMessage(now, s))
 	}
 	return out
 }
@@ -45,7 +45,7 @@
 func CrashRecords(now time.Time, list []*innerpb.Suspect) []quarantine.CrashRecord {
 	var out []quarantine.CrashRecord
 	for _, s := range list {
-		out = append(out, Suspect(now, s))
+		out = append(out, CrashRecordFrom(now, s))
 	}
 	return out
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -109,17 +109,17 @@
 		InnerAddr:   cmp.Or(m.cfg.Listen.InnerAdvertised, m.listeners.inner.Addr().String()),
 	}
 	m.peers = proxy.NewPeers(nil)
-	m.peers.SetConnections(proxy.Connections{
+	m.peers.SetConnections(proxy.ConnectionConfig{
 		Connect:      peerConnectTimeout,
 		Idle:         peerIdleTimeout,
 		MaxIdleConns: maxIdlePerPeer,
-		Silence:      peerSilenceTimeout,
+		PathTimeout:  peerSilenceTimeout,
 		Reattach:     proxy.WaitBounds{Min: minPeerReattachWait, Max: maxPeerReattachWait},
 	})
 	m.gossiper = m.newGossiper()
 	m.crashReporter = newCrashReporter(m.platform.Members(), m.cfg.NodeID, m.rateLimited, m.logger, m.gossiper.publish)
 	m.upstream = proxy.NewUpstream(noIdempotencyKeys{})
-	m.upstream.Speak(m.platform)
+	m.upstream.SetDialect(m.platform)
 	m.upstream.SetAddr(m.cfg.UpstreamAddress)
 	m.node = node.New(node.Config{
 		Identity:       id,
--- a/internal/mesh/stop.go
+++ b/internal/mesh/stop.go
@@ -71,7 +71,7 @@
 func (m *Mesh) awaitNoCallers(started, end time.Time) {
 	quietSince := started
 	for now := started; now.Before(end); now = time.Now() {
-		if m.proxy.Roots() > 0 {
+		if m.proxy.PendingRoots() > 0 {
 			quietSince = now
 		}
 		if now.Sub(started) >= stopNotice && now.Sub(quietSince) >= quietPeriod {
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -18,8 +18,8 @@
 	HeldBytes int64
 }
 
-// Held is the current use of the limits.
-type Held struct {
+// Usage is the current use of the limits.
+type Usage struct {
 	Calls, Bytes int64
 	// Rejected counts requests refused because of either limit.
 	Rejected int64
@@ -71,7 +71,7 @@
 // SetLimits sets the limits. It must be called before the first request.
 func (p *Proxy) SetLimits(l Limits) { p.gate.limits = l }
 
-// Held returns the calls and bytes that the node currently holds.
-func (p *Proxy) Held() Held {
-	return Held{Calls: p.gate.calls.Load(), Bytes: p.gate.bytes.Load(), Rejected: p.gate.rejected.Load()}
+// Usage returns the calls and bytes that the node currently holds.
+func (p *Proxy) Held() Usage {
+	return Usage{Calls: p.gate.calls.Load(), Bytes: p.gate.bytes.Load(), Rejected: p.gate.rejected.Load()}
 }
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -20,8 +20,8 @@
 // of new connections to a slow peer.
 const maxReattaches = 16
 
-// Connections configures the connections to other nodes.
-type Connections struct {
+// ConnectionConfig configures the connections to other nodes.
+type ConnectionConfig struct {
 	// Connect is the timeout for establishing a connection without its TLS handshake; this usually
 	// takes about 1 ms. It does not apply to a dial function given to NewPeers.
 	Connect time.Duration
@@ -31,17 +31,17 @@
 	// MaxIdleConns is the maximum number of idle connections per node. Connections in use are not
 	// limited: a call that waited for a connection would look like a slow peer.
 	MaxIdleConns int
-	// Silence is the time without acknowledgements after which a connection fails; 0 disables this
+	// PathTimeout is the time without acknowledgements after which a connection fails; 0 disables this
 	// check, so that only the re-attachment detects a broken path.
-	Silence time.Duration
+	PathTimeout time.Duration
 	// Reattach bounds the time to wait for a response before a re-attachment; 0 for both uses the
 	// default bounds.
 	Reattach WaitBounds
 }
 
 // DefaultConnections returns the default values of the settings.
-func DefaultConnections() Connections {
-	return Connections{Connect: 250 * time.Millisecond, Idle: 5 * time.Second, MaxIdleConns: 256}
+func DefaultConnections() ConnectionConfig {
+	return ConnectionConfig{Connect: 250 * time.Millisecond, Idle: 5 * time.Second, MaxIdleConns: 256}
 }
 
 // Peers sends attempts to the guards of other nodes. It is safe for concurrent use.
@@ -49,7 +49,7 @@
 	node            *node.Node
 	dial            DialFunc
 	usesDefaultDial bool // NewPeers was called without a dial function
-	connections     Connections
+	connections     ConnectionConfig
 
 	openConns atomic.Int64
 	// dialTLS replaces dial if nodes use TLS among each other.
@@ -100,12 +100,12 @@
 
 // SetConnections replaces the default configuration. It must be called before Secure and before the
 // first Send.
-func (p *Peers) SetConnections(c Connections) {
+func (p *Peers) SetConnections(c ConnectionConfig) {
 	p.connections = c
 	if p.usesDefaultDial {
 		dialer := &net.Dialer{Timeout: c.Connect}
-		if c.Silence > 0 {
-			dialer = conns.DetectSilence(dialer, c.Silence)
+		if c.PathTimeout > 0 {
+			dialer = conns.DetectDeadPath(dialer, c.PathTimeout)
 		}
 		p.dial = p.countOpen(dialer.DialContext)
 	}
@@ -139,9 +139,9 @@
 	}
 }
 
-// Secure enables TLS for all connections to other nodes. wrap adds the handshake to a dial function.
+// UseTLS enables TLS for all connections to other nodes. wrap adds the handshake to a dial function.
 // It must be called before the first Send.
-func (p *Peers) Secure(wrap func(DialFunc) DialFunc) { p.dialTLS = wrap(p.dial) }
+func (p *Peers) UseTLS(wrap func(DialFunc) DialFunc) { p.dialTLS = wrap(p.dial) }
 
 // Scheme returns the URL scheme of the inner addresses of other nodes.
 func (p *Peers) Scheme() string {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -49,12 +49,12 @@
 // not know which calls ran in the earlier one. It must be called before serving.
 func (p *Proxy) AcceptPredecessorCalls(service string) { p.predecessorService = service }
 
-// Answering returns the number of calls of other nodes whose responses are not completely written.
-func (p *Proxy) Answering() int { return int(p.peerCallsPending.Load()) }
+// PendingPeerCalls returns the number of calls of other nodes whose responses are not completely written.
+func (p *Proxy) PendingPeerCalls() int { return int(p.peerCallsPending.Load()) }
 
-// Roots returns the number of callers' requests whose responses are not completely written. Requests
+// PendingRoots returns the number of callers' requests whose responses are not completely written. Requests
 // of the local upstream are not counted.
-func (p *Proxy) Roots() int { return int(p.rootsPending.Load()) }
+func (p *Proxy) PendingRoots() int { return int(p.rootsPending.Load()) }
 
 // CallerHandler returns the handler for callers. Every request starts a new call tree; a parent
 // context in its headers is ignored.
--- a/internal/proxy/routed.go
+++ b/internal/proxy/routed.go
@@ -14,8 +14,8 @@
 	"github.com/galenagrade/galenagrade/internal/routes"
 )
 
-// Intake contains the decoded headers of a request, independently of their names.
-type Intake struct {
+// RequestMetadata contains the decoded headers of a request, independently of their names.
+type RequestMetadata struct {
 	// RequestID is the caller's ID of the request.
 	RequestID string
 	// Parent is the ID of the request for which this one was made; empty if unknown. It is a hint
@@ -34,7 +34,7 @@
 // Its methods are called concurrently.
 type Edge interface {
 	// Decode decodes the headers of a request.
-	Decode(r *http.Request) (Intake, *result.Refusal)
+	Decode(r *http.Request) (RequestMetadata, *result.Refusal)
 	// Refuse writes a refusal as the complete response.
 	Refuse(w http.ResponseWriter, refusal *result.Refusal)
 }
@@ -147,7 +147,7 @@
 
 // accept creates the call of a request. A request with an API key is a new root whatever its request
 // ID is; requests of the local upstream contain no API key.
-func (h *routeHandler) accept(in Intake, table *routes.Table, route *routes.Entry) (*node.Call, *retry.Account, *result.Refusal) {
+func (h *routeHandler) accept(in RequestMetadata, table *routes.Table, route *routes.Entry) (*node.Call, *retry.Account, *result.Refusal) {
 	request := node.RoutedRequest{
 		RequestID:  in.RequestID,
 		Workspace:  callctx.NoWorkspace,
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -78,7 +78,7 @@
 // a slot.
 func newUpstreamPool(addr string) *h1.Pool {
 	return h1.NewPool(addr, h1.Config{
-		Dial:         conns.DetectSilence(&net.Dialer{Timeout: upstreamDialTimeout}, upstreamPathTimeout).DialContext,
+		Dial:         conns.DetectDeadPath(&net.Dialer{Timeout: upstreamDialTimeout}, upstreamPathTimeout).DialContext,
 		Idle:         upstreamIdleTimeout,
 		MaxIdleConns: maxIdleUpstreamConns,
 		MaxBody:      maxResponseBody,
@@ -86,8 +86,8 @@
 	})
 }
 
-// Speak sets the dialect of the upstream. It must be called before the first call.
-func (u *Upstream) Speak(d Dialect) { u.dialect = d }
+// SetDialect sets the dialect of the upstream. It must be called before the first call.
+func (u *Upstream) SetDialect(d Dialect) { u.dialect = d }
 
 // OnQueued sets the function that is called when a call is queued. It must be set before the first
 // call and must not block.
--- a/internal/server/probe.go
+++ b/internal/server/probe.go
@@ -103,7 +103,7 @@
 	}
 	req := &innerpb.SpreadSuspectsRequest{From: control.Ref(c.self())}
 	for _, s := range fresh {
-		req.Suspects = append(req.Suspects, inner.SuspectMessage(now, s))
+		req.Suspects = append(req.Suspects, inner.CrashRecordMessage(now, s))
 	}
 	for _, peer := range peers {
 		c.server.spawn(func() {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -184,7 +184,7 @@
 
 func (s *Server) build(opts Options) {
 	s.peers = proxy.NewPeers(opts.Dial)
-	s.peers.SetConnections(proxy.Connections{
+	s.peers.SetConnections(proxy.ConnectionConfig{
 		Connect:      s.cfg.Timing.Connect.Std(),
 		Idle:         s.cfg.Timing.IdleConnection.Std(),
 		MaxIdleConns: s.cfg.Limits.PeerConnections,
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -106,10 +106,10 @@
 			_ = srv.Close()
 		}
 	}
-	for s.proxy.Answering() > 0 && ctx.Err() == nil {
+	for s.proxy.PendingPeerCalls() > 0 && ctx.Err() == nil {
 		wait.For(ctx, drainPollInterval)
 	}
-	cut = max(cut, s.node.Guard().Busy(), s.proxy.Answering())
+	cut = max(cut, s.node.Guard().Busy(), s.proxy.PendingPeerCalls())
 	wait.For(ctx, flushDelay)
 	_ = s.innerServer.Close()
 	s.stop()
--- a/internal/server/tls.go
+++ b/internal/server/tls.go
@@ -44,7 +44,7 @@
 	if s.certs.inner == nil {
 		return
 	}
-	s.peers.Secure(func(d proxy.DialFunc) proxy.DialFunc { return proxy.DialFunc(s.certs.inner.Client(certs.Dial(d))) })
+	s.peers.UseTLS(func(d proxy.DialFunc) proxy.DialFunc { return proxy.DialFunc(s.certs.inner.Client(certs.Dial(d))) })
 }
 
 // serveOn serves cleartext or TLS. Between nodes, TLS connections use HTTP/1.1 because the
