--- a/cmd/galenactl/cli.go
+++ b/cmd/galenactl/cli.go
@@ -149,7 +149,7 @@
 	}
 	tr.TLSClientConfig = &tls.Config{MinVersion: tls.VersionTLS12}
 	if c.CAFile != "" {
-		pool, err := certs.Pool(c.CAFile)
+		pool, err := certs.LoadCAPool(c.CAFile)
 		if err != nil {
 			return nil, usageError{errors.WithMessage(err, "--ca (or --ca-file)")}
 		}
--- a/cmd/galenactl/galenactl_test.go
+++ b/cmd/galenactl/galenactl_test.go
@@ -138,7 +138,7 @@
 // Guards against failures that scripts cannot tell apart by the exit code.
 func TestFailuresMapToExitCodes(t *testing.T) {
 	h := newHarness(t)
-	h.fake.StatusAnswer = &adminpb.StatusResponse{}
+	h.fake.StatusResponse = &adminpb.StatusResponse{}
 	must.StrContains(t, h.mustExit(exitAuth, "status --token wrong").errOut, "GALENACTL_TOKEN")
 	for err, code := range map[error]int{
 		admin.Unavailable("log is out"): exitUnavailable,
@@ -183,7 +183,7 @@
 	err := a.printPublication("instance c/l", p, &publishFlags{Wait: 1, WaitPercent: 100})
 	must.Eq(t, exitNotInForce, exitCode(err))
 	must.NoError(t, a.printPublication("instance c/l", p, &publishFlags{WaitPercent: 100}))
-	h.fake.StatusAnswer = &adminpb.StatusResponse{
+	h.fake.StatusResponse = &adminpb.StatusResponse{
 		NewestVersion: 4, NodesKnown: 3, NodesInForce: 2, AnsweredBy: "kurume-1",
 		Nodes: []*adminpb.NodeStatus{{NodeId: "yame-1", ConfigVersion: 3, ReportAgeMs: 1500, Lagging: true}},
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -89,7 +89,7 @@
 	b.fake.Nodes["kurume-1"] = []string{"chikugo"}
 	b.fake.Nodes["mixed-1"] = []string{"chikugo", "yardstick"}
 	b.fake.Nodes["bare-1"] = nil
-	b.fake.StatusAnswer = &adminpb.StatusResponse{}
+	b.fake.StatusResponse = &adminpb.StatusResponse{}
 	drain := func(node string) func(adminpbconnect.AdminClient) error {
 		return func(c adminpbconnect.AdminClient) error {
 			_, err := c.Drain(t.Context(), connect.NewRequest(&adminpb.DrainRequest{NodeId: node}))
@@ -188,7 +188,7 @@
 	b.fake.EventList = []string{`{}`}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	for range admin.MaxFollowers {
+	for range admin.MaxEventStreams {
 		s, err := b.client("all").Events(ctx, connect.NewRequest(&adminpb.EventsRequest{Follow: true}))
 		must.NoError(t, err)
 		must.True(t, s.Receive())
--- a/internal/admin/admintest/fake.go
+++ b/internal/admin/admintest/fake.go
@@ -13,8 +13,8 @@
 // Fake is an admin.Backend that stores templates and instances in memory and returns the values of
 // its exported fields otherwise. The fields must be set before the first call.
 type Fake struct {
-	// StatusAnswer is the response of Status.
-	StatusAnswer *adminpb.StatusResponse
+	// StatusResponse is the response of Status.
+	StatusResponse *adminpb.StatusResponse
 	// MemberList is the response of Members.
 	MemberList []*adminpb.Member
 	// Nodes maps the ID of a node to the workspaces that the node serves.
@@ -167,7 +167,7 @@
 
 // Status implements admin.Backend.
 func (f *Fake) Status(context.Context, *adminpb.StatusRequest) (*adminpb.StatusResponse, error) {
-	return f.StatusAnswer, f.Fail
+	return f.StatusResponse, f.Fail
 }
 
 // Members implements admin.Backend.
--- a/internal/admin/check.go
+++ b/internal/admin/check.go
@@ -29,8 +29,8 @@
 	// MaxWait is the maximum time for which a call waits until a change is in force or a node is
 	// drained.
 	MaxWait = 10 * time.Minute
-	// MaxFollowers is the maximum number of open event streams of a node.
-	MaxFollowers = 32
+	// MaxEventStreams is the maximum number of open event streams of a node.
+	MaxEventStreams = 32
 )
 
 // requestValidator checks the fields of a request. err is the error of the first invalid field.
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -26,7 +26,7 @@
 	s := &server{
 		backend:     b,
 		auth:        &authenticator{tokens: tokens, onRefused: onRefused},
-		streamSlots: make(chan struct{}, MaxFollowers),
+		streamSlots: make(chan struct{}, MaxEventStreams),
 	}
 	return adminpbconnect.NewAdminHandler(s,
 		connect.WithReadMaxBytes(4*MaxDocumentBytes),
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -90,14 +90,14 @@
 	if f.config.CAFile == "" {
 		return creds, nil
 	}
-	if creds.pool, err = Pool(f.config.CAFile); err != nil {
+	if creds.pool, err = LoadCAPool(f.config.CAFile); err != nil {
 		return credentials{}, err
 	}
 	return creds, nil
 }
 
-// Pool reads the certificates of a CA file in PEM format.
-func Pool(path string) (*x509.CertPool, error) {
+// LoadCAPool reads the certificates of a CA file in PEM format.
+func LoadCAPool(path string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "ca_file")
@@ -136,9 +136,9 @@
 	return f.creds
 }
 
-// Server returns the TLS configuration of a listener. With a CA file, it requires a client
+// ServerConfig returns the TLS configuration of a listener. With a CA file, it requires a client
 // certificate signed by a CA of that file.
-func (f *Files) Server(protocols ...string) *tls.Config {
+func (f *Files) ServerConfig(protocols ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		NextProtos: protocols,
@@ -161,13 +161,13 @@
 // Dial is the type of a function that establishes connections, as net.Dialer.DialContext.
 type Dial = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Client returns a Dial that connects with dial and performs a TLS handshake. It presents the
+// WrapDial returns a Dial that connects with dial and performs a TLS handshake. It presents the
 // client certificate and verifies the server's certificate against the CA file, or against the
 // system's CAs if there is no CA file. The server's certificate must contain the dialled host or IP.
 //
 // A failed handshake is returned as a *net.OpError of a failed dial. No part of the request was sent
 // at that point, so the call was certainly not executed.
-func (f *Files) Client(dial Dial) Dial {
+func (f *Files) WrapDial(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		host, _, err := net.SplitHostPort(addr)
 		if err != nil {
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -27,14 +27,14 @@
 			served <- err
 			return
 		}
-		conn := tls.Server(raw, server.Server())
+		conn := tls.Server(raw, server.ServerConfig())
 		defer conn.Close()
 		if err = conn.Handshake(); err == nil {
 			_, err = conn.Write([]byte("x"))
 		}
 		served <- err
 	}()
-	conn, err := client.Client((&net.Dialer{}).DialContext)(context.Background(), "tcp", l.Addr().String())
+	conn, err := client.WrapDial((&net.Dialer{}).DialContext)(context.Background(), "tcp", l.Addr().String())
 	if err != nil {
 		<-served
 		return 0, err
--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -87,12 +87,12 @@
 			continue
 		}
 		switch {
-		case !s.Whole:
+		case !s.BodyComplete:
 			found = append(found, Violation{RightAnswer, s.Attempt, "successful response with an incomplete body"})
-		case s.AnswerTo != s.Request:
-			found = append(found, Violation{RightAnswer, s.Attempt, fmt.Sprintf("received the response to request %q", s.AnswerTo)})
-		case s.AnswerFrom != s.Service:
-			found = append(found, Violation{RightAnswer, s.Attempt, fmt.Sprintf("received the response of service %q instead of %q", s.AnswerFrom, s.Service)})
+		case s.ResponseRequest != s.Request:
+			found = append(found, Violation{RightAnswer, s.Attempt, fmt.Sprintf("received the response to request %q", s.ResponseRequest)})
+		case s.ResponseService != s.Service:
+			found = append(found, Violation{RightAnswer, s.Attempt, fmt.Sprintf("received the response of service %q instead of %q", s.ResponseService, s.Service)})
 		}
 	}
 	return found
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -17,12 +17,12 @@
 	// Success reports whether the caller accepted the response: a successful status, and a body of
 	// the announced length.
 	Success bool `json:"success,omitempty"`
-	// Whole reports whether the content of a successful response's body was complete.
-	Whole bool `json:"whole,omitempty"`
-	// AnswerTo and AnswerFrom are the request ID and the service contained in the body of a
+	// BodyComplete reports whether the content of a successful response's body was complete.
+	BodyComplete bool `json:"whole,omitempty"`
+	// ResponseRequest and AnswerFrom are the request ID and the service contained in the body of a
 	// successful response.
-	AnswerTo   string `json:"answer_to,omitempty"`
-	AnswerFrom string `json:"answer_from,omitempty"`
+	ResponseRequest string `json:"answer_to,omitempty"`
+	ResponseService string `json:"answer_from,omitempty"`
 	// Err is the error of an unsuccessful attempt.
 	Err string `json:"err,omitempty"`
 }
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -17,7 +17,7 @@
 	return &history.History{
 		Sends: []history.Send{
 			{Request: "a", Attempt: "a.0", Service: "letters", Code: result.LostAnswer},
-			{Request: "a", Attempt: "a.1", Service: "letters", Code: result.Replayed, Success: true, Whole: true, AnswerTo: "a", AnswerFrom: "letters"},
+			{Request: "a", Attempt: "a.1", Service: "letters", Code: result.Replayed, Success: true, BodyComplete: true, ResponseRequest: "a", ResponseService: "letters"},
 			{Request: "b", Attempt: "b.0", Service: "archive", Code: result.LostAnswer},
 			{Request: "b", Attempt: "b.1", Service: "archive", Code: result.Quarantined},
 			{Request: "c", Attempt: "c.0", Service: "archive", Err: "connection refused"},
@@ -54,9 +54,9 @@
 		"a refused sending ran later, deeper in the chain": {history.TrueRefusal, func(h *history.History) {
 			h.Runs = append(h.Runs, history.Run{Upstream: "t1", Service: "tracker", Path: "/track", Request: "b", Attempt: "b.1"})
 		}},
-		"a short body as a success":      {history.RightAnswer, func(h *history.History) { h.Sends[1].Whole = false }},
-		"another request's answer":       {history.RightAnswer, func(h *history.History) { h.Sends[1].AnswerTo = "b" }},
-		"another service's answer":       {history.RightAnswer, func(h *history.History) { h.Sends[1].AnswerFrom = "archive" }},
+		"a short body as a success":      {history.RightAnswer, func(h *history.History) { h.Sends[1].BodyComplete = false }},
+		"another request's answer":       {history.RightAnswer, func(h *history.History) { h.Sends[1].ResponseRequest = "b" }},
+		"another service's answer":       {history.RightAnswer, func(h *history.History) { h.Sends[1].ResponseService = "archive" }},
 		"two nodes overspent one root":   {history.BoundedRetries, func(h *history.History) { h.Retries[1].Count = 2 }},
 		"a third upstream died":          {history.BoundedDeaths, func(h *history.History) { h.Runs = append(h.Runs, h.Runs[3]) }},
 		"an older version after restart": {history.RisingVersions, func(h *history.History) { h.Versions[2].Version = 2 }},
--- a/internal/metrics/series.go
+++ b/internal/metrics/series.go
@@ -52,12 +52,12 @@
 	_ = s.set.registry.Register(s.kind+"."+name+"{"+s.label+"}", metric)
 }
 
-// Offered counts a received request.
-func (s *Series) Offered() { s.offered.Inc(1) }
+// CountReceived counts a received request.
+func (s *Series) CountReceived() { s.offered.Inc(1) }
 
-// Ended counts a request that ended with code. For a successful response, it also records the
+// CountEnded counts a request that ended with code. For a successful response, it also records the
 // latency.
-func (s *Series) Ended(code result.Code, took time.Duration) {
+func (s *Series) CountEnded(code result.Code, took time.Duration) {
 	if code == result.OK || code == result.Replayed {
 		s.answered.Inc(1)
 		s.latency.Update(took.Microseconds())
@@ -74,8 +74,8 @@
 	counter.(gometrics.Counter).Inc(1)
 }
 
-// Drop removes a series and its metrics, for example of a deleted route.
-func (s *Set) Drop(kind, label string) {
+// DropSeries removes a series and its metrics, for example of a deleted route.
+func (s *Set) DropSeries(kind, label string) {
 	got, ok := s.series.LoadAndDelete(kind + "{" + label + "}")
 	if !ok {
 		return
--- a/internal/metrics/series_test.go
+++ b/internal/metrics/series_test.go
@@ -18,11 +18,11 @@
 	route := s.Series("route", "h/a/")
 	must.True(t, route == s.Series("route", "h/a/"))
 	for range 3 {
-		route.Offered()
+		route.CountReceived()
 	}
-	route.Ended(result.OK, 2*time.Millisecond)
-	route.Ended(result.Shed, 0)
-	route.Ended(result.Shed, 0)
+	route.CountEnded(result.OK, 2*time.Millisecond)
+	route.CountEnded(result.Shed, 0)
+	route.CountEnded(result.Shed, 0)
 	read := func() string {
 		w := httptest.NewRecorder()
 		s.TextHandler(func() { s.SetGauge(ConfigVersion, 7) }).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
@@ -35,7 +35,7 @@
 	} {
 		must.StrContains(t, text, line)
 	}
-	s.Drop("route", "h/a/")
+	s.DropSeries("route", "h/a/")
 	must.StrNotContains(t, read(), "h/a/")
 }
 
@@ -45,8 +45,8 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			x := s.Series("route", "h/a/")
-			x.Offered()
-			x.Ended(result.OK, time.Millisecond)
+			x.CountReceived()
+			x.CountEnded(result.OK, time.Millisecond)
 		}
 	})
 }
--- a/internal/node/concurrent_test.go
+++ b/internal/node/concurrent_test.go
@@ -219,7 +219,7 @@
 			a := action.Response
 			s.rec.ended(history.Send{
 				Request: request, Attempt: call.Ctx.RequestID, Service: "s", Code: a.Code,
-				Success: a.Whole(), Whole: a.Whole(), AnswerTo: string(a.Body), AnswerFrom: "s",
+				Success: a.Whole(), BodyComplete: a.Whole(), ResponseRequest: string(a.Body), ResponseService: "s",
 			}, d.retries)
 			return a
 		}
--- a/internal/proxy/treegate.go
+++ b/internal/proxy/treegate.go
@@ -69,7 +69,7 @@
 		key := name.(routeKey)
 		if !t.Has(key.host, key.prefix) {
 			g.byRoute.Delete(name)
-			g.metrics.Drop(routeSeries, key.label())
+			g.metrics.DropSeries(routeSeries, key.label())
 		}
 		return true
 	})
@@ -122,17 +122,17 @@
 
 // countOffered counts a received request.
 func (g gatedWriter) countOffered(call *node.Call) {
-	g.gate.series.Offered()
+	g.gate.series.CountReceived()
 	if countsAgainstQuota(call) {
-		g.workspaceMetrics.forWorkspace(call.Ctx.Workspace).Offered()
+		g.workspaceMetrics.forWorkspace(call.Ctx.Workspace).CountReceived()
 	}
 }
 
 // countEnded counts the result and the duration of a request.
 func (g gatedWriter) countEnded(call *node.Call, code result.Code, took time.Duration) {
-	g.gate.series.Ended(code, took)
+	g.gate.series.CountEnded(code, took)
 	if countsAgainstQuota(call) {
-		g.workspaceMetrics.forWorkspace(call.Ctx.Workspace).Ended(code, took)
+		g.workspaceMetrics.forWorkspace(call.Ctx.Workspace).CountEnded(code, took)
 	}
 }
 
--- a/internal/proxy/workspaceseries.go
+++ b/internal/proxy/workspaceseries.go
@@ -43,7 +43,7 @@
 	}
 	for name := range *previous {
 		if next[name] == nil {
-			m.metrics.Drop(workspaceSeries, name)
+			m.metrics.DropSeries(workspaceSeries, name)
 		}
 	}
 }
--- a/internal/server/events_rpc.go
+++ b/internal/server/events_rpc.go
@@ -51,7 +51,7 @@
 	resp := &innerpb.FetchEventsResponse{
 		Hlc:       uint64(ring.Clock().Now(e.server.node.Now())),
 		JsonLines: lines,
-		Forgotten: ring.Forgotten(),
+		Forgotten: ring.Evicted(),
 	}
 	if len(events) > 0 {
 		resp.LastHlc = uint64(events[len(events)-1].HLC)
@@ -107,7 +107,7 @@
 		filter.After = timeline.HLCAt(time.UnixMilli(since))
 	}
 	ring := b.server.node.Ring()
-	resp := &adminpb.TimelineResponse{Forgotten: ring.Forgotten()}
+	resp := &adminpb.TimelineResponse{Forgotten: ring.Evicted()}
 	streams := [][]timeline.Event{ring.Events(filter)}
 	if r.GetAllNodes() {
 		for _, f := range b.fetchAll(ctx, filter) {
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -81,7 +81,7 @@
 	rejected := s.proxy.Held().Rejected
 	s.metrics.CountRejected(metrics.BoundCallsInFlight, rejected-exported.rejectedCalls)
 	exported.rejectedCalls = rejected
-	dropped := int64(s.node.Ring().Forgotten())
+	dropped := int64(s.node.Ring().Evicted())
 	s.metrics.CountRejected(metrics.BoundTimeline, dropped-exported.droppedEvents)
 	exported.droppedEvents = dropped
 }
@@ -116,7 +116,7 @@
 	watch(metrics.BoundMembers, 0, func() int64 { return int64(s.control.memberView().Len()) })
 	watch(metrics.BoundAppends, int64(s.appenderConfig().MaxQueue), func() int64 { return int64(s.appender.Stats().Queued) })
 	watch(metrics.BoundAccounts, int64(l.CallsInFlight), func() int64 { return int64(guard.Busy()) })
-	watch(metrics.BoundFollowers, admin.MaxFollowers, s.followers.n.Load)
+	watch(metrics.BoundFollowers, admin.MaxEventStreams, s.followers.n.Load)
 }
 
 func boolToInt(b bool) int64 {
--- a/internal/server/tls.go
+++ b/internal/server/tls.go
@@ -44,7 +44,7 @@
 	if s.certs.inner == nil {
 		return
 	}
-	s.peers.UseTLS(func(d proxy.DialFunc) proxy.DialFunc { return proxy.DialFunc(s.certs.inner.Client(certs.Dial(d))) })
+	s.peers.UseTLS(func(d proxy.DialFunc) proxy.DialFunc { return proxy.DialFunc(s.certs.inner.WrapDial(certs.Dial(d))) })
 }
 
 // serveOn serves cleartext or TLS. Between nodes, TLS connections use HTTP/1.1 because the
@@ -57,6 +57,6 @@
 	if srv.Protocols != nil && !srv.Protocols.HTTP2() {
 		protocols = protocols[1:]
 	}
-	srv.TLSConfig = files.Server(protocols...)
+	srv.TLSConfig = files.ServerConfig(protocols...)
 	return srv.ServeTLS(l, "", "")
 }
--- a/internal/server/tls_test.go
+++ b/internal/server/tls_test.go
@@ -30,7 +30,7 @@
 	w.announceUpstream(b, "archive", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
 	w.awaitTargets("archive", 1, a, b)
 
-	pool, err := certs.Pool(ca.File)
+	pool, err := certs.LoadCAPool(ca.File)
 	must.NoError(t, err)
 	tr := &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}, ForceAttemptHTTP2: true}
 	t.Cleanup(tr.CloseIdleConnections)
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -65,8 +65,8 @@
 	return int(min(r.added, uint64(len(r.buf))))
 }
 
-// Forgotten returns the number of events evicted so far.
-func (r *Ring) Forgotten() uint64 {
+// Evicted returns the number of events evicted so far.
+func (r *Ring) Evicted() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.oldestLocked()
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -107,7 +107,7 @@
 		}
 		must.Eq(t, want, got, must.Sprint("events kept"))
 		must.Eq(t, len(want), r.Len())
-		must.Eq(t, uint64(len(model)-len(want)), r.Forgotten())
+		must.Eq(t, uint64(len(model)-len(want)), r.Evicted())
 		must.Eq(t, int(read), seen+missed)
 	})
 }
