--- a/cmd/galenabench/control.go
+++ b/cmd/galenabench/control.go
@@ -32,6 +32,6 @@
 	fmt.Printf("%d nodes in %d zones: a node sends %.0f B/s in %.2f messages/s, %.2f %% of a core, %.1f MB\n",
 		r.Members, r.Zones, r.SentBytes, r.Messages, r.CPU, r.Resident/(1<<20))
 	fmt.Printf("log: %.1f reads/s, %.2f appends/s\n", r.LogReads, r.LogAppends)
-	fmt.Printf("change in force at the last node, ms: log up %v, log out %v\n", r.Accepted, r.AcceptedOut)
+	fmt.Printf("change in force at the last node, ms: log up %v, log out %v\n", r.ApplyMillisLogUp, r.ApplyMillisLogOut)
 	return nil
 }
--- a/cmd/galenabench/demo.go
+++ b/cmd/galenabench/demo.go
@@ -61,7 +61,7 @@
 	fullCapacity := d.FullCapacity()
 	fmt.Printf("load: %.0f requests a second, %.0f%% of what the slots can serve; %s: %s\n",
 		fullCapacity*d.SteadyLoad, 100*d.SteadyLoad, s.Name, s.Description)
-	fmt.Printf("a response is useful to its caller for %s; a caller sends a request up to %d times\n", bench.Patience, bench.MaxSends)
+	fmt.Printf("a response is useful to its caller for %s; a caller sends a request up to %d times\n", bench.CallerTimeout, bench.MaxAttempts)
 	fmt.Println("scaling: upstreams, slots, connections and delays are full size; instead of VMs all of it")
 	fmt.Println("  runs in this one process over loopback, and upstreams sleep for their service time;")
 	fmt.Printf("  a caller site opens at most %d connections to a node;\n", bench.ConnsPerHost)
--- a/internal/bench/callers.go
+++ b/internal/bench/callers.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// Patience is the time within which a caller needs its response.
-	Patience = 4 * time.Second
+	// CallerTimeout is the time within which a caller needs its response.
+	CallerTimeout = 4 * time.Second
 	// attemptTimeout is the timeout of one attempt, after which the caller retries.
 	attemptTimeout = 2 * time.Second
-	// MaxSends is the maximum number of attempts per request.
-	MaxSends = 4
+	// MaxAttempts is the maximum number of attempts per request.
+	MaxAttempts = 4
 	// retryDelay is the delay before a retry. Callers ignore the Retry-After of the
 	// response.
 	retryDelay = 50 * time.Millisecond
@@ -183,15 +183,15 @@
 // is reached. The attempts use the entry nodes in turn.
 func (g *loadGenerator) sendWithRetries(o *Outcome, caller string, entries []*vm) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), CallerTimeout)
 	defer cancel()
-	for i := range MaxSends {
+	for i := range MaxAttempts {
 		s := Attempt{ID: o.Op + "." + strconv.Itoa(i)}
 		ok := g.sendAttempt(ctx, o, &s, caller, entries[i%len(entries)])
 		o.Attempts = append(o.Attempts, s)
 		if ok {
 			o.Latency = time.Since(began)
-			o.Good = o.Latency <= Patience
+			o.Good = o.Latency <= CallerTimeout
 			if o.Good {
 				g.meter.recordResponse(o.Latency, g.world.deployment.Worth[o.Level])
 			}
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -83,11 +83,11 @@
 	HeapBytes float64 `json:"heap_bytes_per_node"`
 	// Resident is the resident memory of the process divided by the number of nodes.
 	Resident float64 `json:"resident_bytes_per_node"`
-	// Accepted are the times from the append until the last node applies the
+	// ApplyMillisLogUp are the times from the append until the last node applies the
 	// configuration. AcceptedOut are the times from an outage of the log, which
 	// begins as soon as the first node applies it, until the last node does.
-	Accepted    []float64 `json:"config_ms_worst_node_log_up"`
-	AcceptedOut []float64 `json:"config_ms_worst_node_log_out"`
+	ApplyMillisLogUp  []float64 `json:"config_ms_worst_node_log_up"`
+	ApplyMillisLogOut []float64 `json:"config_ms_worst_node_log_out"`
 }
 
 // traffic counts the dials of the nodes, and the reads, writes and bytes on these
--- a/internal/bench/control_measure.go
+++ b/internal/bench/control_measure.go
@@ -115,14 +115,14 @@
 		if err != nil {
 			return errors.Wrap(err, "log up")
 		}
-		r.Accepted = append(r.Accepted, took)
+		r.ApplyMillisLogUp = append(r.ApplyMillisLogUp, took)
 	}
 	for range w.opts.Changes {
 		took, err := w.timeChange(true)
 		if err != nil {
 			return errors.Wrap(err, "log out")
 		}
-		r.AcceptedOut = append(r.AcceptedOut, took)
+		r.ApplyMillisLogOut = append(r.ApplyMillisLogOut, took)
 		w.log.Update(func(k *logd.Knobs) { k.Outage = false })
 		time.Sleep(controlQuietPeriod / 4)
 	}
--- a/internal/bench/report/seconds.go
+++ b/internal/bench/report/seconds.go
@@ -10,15 +10,15 @@
 
 // Outcome is the outcome of one request for its caller.
 type Outcome struct {
-	Begun  time.Time
-	Took   time.Duration
-	Status int // HTTP status; 0 without a response
+	Start    time.Time
+	Duration time.Duration
+	Status   int // HTTP status; 0 without a response
 }
 
-// Seconds prints a table with one line for each of the seconds after begun, with the
+// WritePerSecond prints a table with one line for each of the seconds after begun, with the
 // outcomes of the requests that began in it. note returns the text at the end of a line;
 // its argument is the time from begun to the start of that second.
-func Seconds(out io.Writer, outcomes []Outcome, begun time.Time, seconds int, note func(time.Duration) string) {
+func WritePerSecond(out io.Writer, outcomes []Outcome, begun time.Time, seconds int, note func(time.Duration) string) {
 	fmt.Fprintln(out, "second  sent  served  refused  failed   p50 ms   p99 ms")
 	for second := range seconds {
 		at := time.Duration(second) * time.Second
@@ -26,13 +26,13 @@
 		var took []time.Duration
 		sent, refused, failed := 0, 0, 0
 		for _, o := range outcomes {
-			if o.Begun.Before(from) || !o.Begun.Before(from.Add(time.Second)) {
+			if o.Start.Before(from) || !o.Start.Before(from.Add(time.Second)) {
 				continue
 			}
 			sent++
 			switch o.Status {
 			case http.StatusOK:
-				took = append(took, o.Took)
+				took = append(took, o.Duration)
 			case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 				refused++
 			default:
--- a/internal/bench/report/seconds_test.go
+++ b/internal/bench/report/seconds_test.go
@@ -15,10 +15,10 @@
 	begun := time.Now()
 	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
 	var out bytes.Buffer
-	Seconds(&out, []Outcome{
-		{Begun: at(0), Took: 20 * time.Millisecond, Status: http.StatusOK},
-		{Begun: at(999), Took: 40 * time.Millisecond, Status: http.StatusServiceUnavailable},
-		{Begun: at(1000), Status: 0},
+	WritePerSecond(&out, []Outcome{
+		{Start: at(0), Duration: 20 * time.Millisecond, Status: http.StatusOK},
+		{Start: at(999), Duration: 40 * time.Millisecond, Status: http.StatusServiceUnavailable},
+		{Start: at(1000), Status: 0},
 	}, begun, 2, func(since time.Duration) string {
 		if since < time.Second {
 			return ""
--- a/internal/logstore/appender_test.go
+++ b/internal/logstore/appender_test.go
@@ -109,7 +109,7 @@
 func TestLostAckIsSettledByRetryAndRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, nil)
-		h.log.Update(func(k *logd.Knobs) { k.LoseAcks = 1 })
+		h.log.Update(func(k *logd.Knobs) { k.AcksToLose = 1 })
 		offset, err := h.app.Append(t.Context(), rec("a"))
 		must.NoError(t, err)
 		must.Eq(t, 0, offset)
--- a/internal/logstore/client_test.go
+++ b/internal/logstore/client_test.go
@@ -50,7 +50,7 @@
 func TestFailedAppendIsUncertainUnlessRejected(t *testing.T) {
 	log, c, _ := newHTTPClient(t)
 	ctx := t.Context()
-	log.SetKnobs(logd.Knobs{LoseAcks: 1})
+	log.SetKnobs(logd.Knobs{AcksToLose: 1})
 	_, err := c.Append(ctx, []logstore.Record{rec("a")})
 	must.ErrorIs(t, err, logstore.ErrUncertain)
 	must.Eq(t, 1, log.Appends())
--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -107,7 +107,7 @@
 func TestLostAcknowledgementIsResolvedByReadBack(t *testing.T) {
 	w, a, _ := startPair(t)
 	base := w.publishInstance(a, "letters")
-	w.log.Update(func(k *logd.Knobs) { k.LoseAcks = 1 })
+	w.log.Update(func(k *logd.Knobs) { k.AcksToLose = 1 })
 	pub, err := w.setInstance(a, "abe", "letters", "acked", base.Version, `{"retry_allowance": 3}`)
 	must.NoError(t, err)
 	must.True(t, pub.Accepted)
--- a/internal/standin/logd/logd.go
+++ b/internal/standin/logd/logd.go
@@ -31,9 +31,9 @@
 	// AckLoss is the probability that an append takes effect and fails with
 	// ErrUncertain, as when its acknowledgement is lost.
 	AckLoss float64 `json:"ack_loss"`
-	// LoseAcks is the number of appends still to fail in that way, regardless of
+	// AcksToLose is the number of appends still to fail in that way, regardless of
 	// AckLoss.
-	LoseAcks int `json:"lose_acks"`
+	AcksToLose int `json:"lose_acks"`
 }
 
 // Options configure a Server.
@@ -280,8 +280,8 @@
 }
 
 func (s *Server) loseAckLocked() bool {
-	if s.knobs.LoseAcks > 0 {
-		s.knobs.LoseAcks--
+	if s.knobs.AcksToLose > 0 {
+		s.knobs.AcksToLose--
 		return true
 	}
 	return s.knobs.AckLoss > 0 && s.rng.Float64() < s.knobs.AckLoss
