--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -58,7 +58,7 @@
 	if call.Ctx.ParentID == "" {
 		return
 	}
-	n.guard.noteShedding(call.Ctx.ParentID, a.ShedsFrom, a.ShedsBy)
+	n.guard.noteShedding(call.Ctx.ParentID, a.ShedThreshold, a.SheddingService)
 	n.guard.noteShedding(call.Ctx.ParentID, n.table.Load().ShedThreshold(now, call.Ctx.Service), call.Ctx.Service)
 	if a.Good() {
 		n.guard.noteServed(call.Ctx.ParentID)
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -80,11 +80,11 @@
 	Body   []byte
 	// Refusal is set when the response is not complete.
 	Refusal *result.Refusal
-	// ShedsFrom is the lowest rank from which on the services behind this one shed calls, as
+	// ShedThreshold is the lowest rank from which on the services behind this one shed calls, as
 	// far as this call reached them; routing.NoThreshold when they shed none.
-	ShedsFrom uint32
-	// ShedsBy is the service that sheds from that rank on; empty when none does.
-	ShedsBy string
+	ShedThreshold uint32
+	// SheddingService is the service that sheds from that rank on; empty when none does.
+	SheddingService string
 	// Cause is the root cause of a failed response when a call made for it failed; nil when
 	// none did.
 	Cause *result.Cause
@@ -102,7 +102,7 @@
 
 // Refused returns the response of a call that ends with a refusal.
 func Refused(callID string, r *result.Refusal) *Response {
-	return &Response{CallID: callID, Code: r.Code, Refusal: r, ShedsFrom: routing.NoThreshold}
+	return &Response{CallID: callID, Code: r.Code, Refusal: r, ShedThreshold: routing.NoThreshold}
 }
 
 // Good reports whether the upstream answered with success.
--- a/internal/node/guard_end.go
+++ b/internal/node/guard_end.go
@@ -15,8 +15,8 @@
 	e.ended = now
 	a.UnusedAllowance = e.account.Close()
 	a.Load = g.loadLocked()
-	a.ShedsFrom = e.shedsFrom
-	a.ShedsBy = e.shedsBy
+	a.ShedThreshold = e.shedsFrom
+	a.SheddingService = e.shedsBy
 	e.response = a
 	g.settleKeyLocked(now, e.call, a)
 	for _, w := range e.waiters {
@@ -160,7 +160,7 @@
 		Body:            stored.Body,
 		UnusedAllowance: call.Allowance,
 
-		ShedsFrom: routing.NoThreshold,
+		ShedThreshold: routing.NoThreshold,
 	}
 }
 
--- a/internal/node/prior_work_test.go
+++ b/internal/node/prior_work_test.go
@@ -41,10 +41,10 @@
 	n := nodeRunning(t, root)
 	first := acceptChild(t, n, "c")
 	must.False(t, first.HasPriorWork)
-	n.ChildEnded(epoch, first, &Response{Code: result.Shed, Refusal: result.Refuse(result.Shed, "full"), ShedsFrom: routing.NoThreshold})
+	n.ChildEnded(epoch, first, &Response{Code: result.Shed, Refusal: result.Refuse(result.Shed, "full"), ShedThreshold: routing.NoThreshold})
 	second := acceptChild(t, n, "c")
 	must.False(t, second.HasPriorWork)
-	n.ChildEnded(epoch, second, &Response{Code: result.OK, ShedsFrom: routing.NoThreshold})
+	n.ChildEnded(epoch, second, &Response{Code: result.OK, ShedThreshold: routing.NoThreshold})
 	must.True(t, acceptChild(t, n, "c").HasPriorWork)
 	must.EqOp(t, "north", second.Ctx.Workspace)
 }
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -129,7 +129,7 @@
 		Crashed:         h.GetCrashedIncarnation(),
 		Upstream:        fromNode,
 	}
-	resp.ShedsFrom, resp.ShedsBy = decodeSheds(httpResp.Header.Get(headerSheds))
+	resp.ShedThreshold, resp.SheddingService = decodeSheds(httpResp.Header.Get(headerSheds))
 	resp.Cause = result.DecodeCause(httpResp.Header.Get(headerCause))
 	if !h.GetWhole() {
 		resp.Refusal = &result.Refusal{
@@ -243,7 +243,7 @@
 		out[name] = values
 	}
 	out.Set(inner.HeaderAnswer, inner.EncodeAnswer(h))
-	if resp.ShedsFrom != routing.NoThreshold {
+	if resp.ShedThreshold != routing.NoThreshold {
 		out.Set(headerSheds, encodeSheds(resp))
 	}
 	if resp.Cause != nil {
@@ -261,7 +261,7 @@
 }
 
 func encodeSheds(resp *node.Response) string {
-	return strconv.FormatUint(uint64(resp.ShedsFrom), 10) + " " + resp.ShedsBy
+	return strconv.FormatUint(uint64(resp.ShedThreshold), 10) + " " + resp.SheddingService
 }
 
 // decodeSheds parses a value of encodeSheds. An invalid value means that no service sheds calls.
--- a/internal/proxy/treegate.go
+++ b/internal/proxy/treegate.go
@@ -101,8 +101,8 @@
 	if call.Ctx.Depth > 0 || resp.Code.Ran() == result.RanNo {
 		return
 	}
-	if resp.ShedsBy != "" {
-		g.shedding.Store(g.gates.forService(resp.ShedsBy))
+	if resp.SheddingService != "" {
+		g.shedding.Store(g.gates.forService(resp.SheddingService))
 	}
 	shedding := g.shedding.Load()
 	if shedding == nil {
@@ -110,7 +110,7 @@
 	}
 	shedding.mu.Lock()
 	defer shedding.mu.Unlock()
-	shedding.state.ObserveThreshold(now, resp.ShedsFrom)
+	shedding.state.ObserveThreshold(now, resp.ShedThreshold)
 }
 
 // gatedWriter passes the responses of a route to its gate and to the metrics.
--- a/internal/proxy/treegate_test.go
+++ b/internal/proxy/treegate_test.go
@@ -40,7 +40,7 @@
 	g := treeGates{metrics: metrics.New(1)}
 	lookups, filings := g.forRoute("h", "/lookups/"), g.forRoute("h", "/filings/")
 	now := time.Unix(1000, 0)
-	shed := &node.Response{Code: result.UpstreamFailed, ShedsFrom: admission.Rank(callctx.LevelHigh, 0), ShedsBy: "registry"}
+	shed := &node.Response{Code: result.UpstreamFailed, ShedThreshold: admission.Rank(callctx.LevelHigh, 0), SheddingService: "registry"}
 	for range 20 {
 		lookups.observe(now, rootCall(callctx.LevelNormal), shed)
 	}
@@ -55,12 +55,12 @@
 	}
 	for range 30 {
 		now = now.Add(100 * time.Millisecond)
-		filings.observe(now, rootCall(callctx.LevelCritical), &node.Response{Code: result.OK, ShedsFrom: shed.ShedsFrom, ShedsBy: "registry"})
+		filings.observe(now, rootCall(callctx.LevelCritical), &node.Response{Code: result.OK, ShedThreshold: shed.ShedThreshold, SheddingService: "registry"})
 	}
 	must.Greater(t, 90, refused())
 	for range 40 {
 		now = now.Add(20 * time.Millisecond)
-		filings.observe(now, rootCall(callctx.LevelCritical), &node.Response{Code: result.OK, ShedsFrom: routing.NoThreshold})
+		filings.observe(now, rootCall(callctx.LevelCritical), &node.Response{Code: result.OK, ShedThreshold: routing.NoThreshold})
 	}
 	must.EqOp(t, 0, refused())
 }
@@ -70,7 +70,7 @@
 	g := treeGates{metrics: metrics.New(1)}
 	now := time.Unix(1000, 0)
 	for range 20 {
-		g.forRoute("h", "/lookups/").observe(now, rootCall(callctx.LevelNormal), &node.Response{Code: result.OK, ShedsFrom: 0, ShedsBy: "registry"})
+		g.forRoute("h", "/lookups/").observe(now, rootCall(callctx.LevelNormal), &node.Response{Code: result.OK, ShedThreshold: 0, SheddingService: "registry"})
 	}
 	must.Nil(t, g.forRoute("h", "/uploads/").admit(now, rootCall(callctx.LevelNormal), time.Second))
 }
@@ -78,10 +78,10 @@
 // Guards against a changed threshold or service after one hop, and against an invalid header value
 // that is taken for a threshold.
 func TestShedsHeaderRoundTrip(t *testing.T) {
-	a := &node.Response{ShedsFrom: 7 << 20, ShedsBy: "registry"}
+	a := &node.Response{ShedThreshold: 7 << 20, SheddingService: "registry"}
 	from, by := decodeSheds(encodeSheds(a))
-	must.EqOp(t, a.ShedsFrom, from)
-	must.EqOp(t, a.ShedsBy, by)
+	must.EqOp(t, a.ShedThreshold, from)
+	must.EqOp(t, a.SheddingService, by)
 	for _, text := range []string{"", "7", "x registry", "99999999999 registry", "7 no name"} {
 		from, by := decodeSheds(text)
 		must.EqOp(t, uint32(routing.NoThreshold), from)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -349,6 +349,6 @@
 		Header: callctx.Forwardable(httpResp.Header),
 		Body:   httpResp.Body,
 
-		ShedsFrom: routing.NoThreshold,
+		ShedThreshold: routing.NoThreshold,
 	}
 }
