--- a/internal/callctx/headers.go
+++ b/internal/callctx/headers.go
@@ -14,9 +14,11 @@
 	HeaderWorkspace = "Galena-Workspace"
 	HeaderService   = "Galena-Service"
 	HeaderPriority  = "Galena-Priority"
-	HeaderTimeout   = "Galena-Timeout"
-	HeaderCaller    = "Galena-Caller"
-	HeaderIssuedAt  = "Galena-Issued-At"
+	// HeaderTimeout carries the caller's timeout as a Go duration or as a number of milliseconds.
+	HeaderTimeout = "Galena-Timeout"
+	HeaderCaller  = "Galena-Caller"
+	// HeaderIssuedAt carries the time at which the caller created its idempotency key (RFC 3339).
+	HeaderIssuedAt = "Galena-Issued-At"
 	// HeaderIdempotent with the value "true" declares that a call is safe to run twice.
 	HeaderIdempotent = "Galena-Idempotent"
 	// HeaderContext is opaque to upstreams: they copy it from the request they
@@ -29,7 +31,7 @@
 	headerPrefix    = "Galena-"
 )
 
-// Limits on what a caller may send.
+// Limits on what a caller may send. Lengths are in bytes.
 const (
 	// MaxNameLen bounds the length of a workspace, service or parent call name.
 	MaxNameLen = 64
