--- a/internal/result/cause_test.go
+++ b/internal/result/cause_test.go
@@ -7,6 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
+// Guards against a cause that another node decodes differently, or that operators cannot read.
 func TestCauseRoundTrip(t *testing.T) {
 	c := &Cause{Code: QueueExpired, Service: "tracker", Node: "vm-12"}
 	must.Eq(t, c, DecodeCause(c.Encode()))
@@ -21,6 +22,8 @@
 	}
 }
 
+// FuzzDecodeCause decodes arbitrary text. It guards against an accepted cause that changes when it
+// is encoded and decoded again, as at the next node.
 func FuzzDecodeCause(f *testing.F) {
 	f.Add("2003 tracker vm-12")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -16,7 +16,7 @@
 	RanNo Ran = "no"
 	// RanUnknown means that an upstream may have run the call.
 	RanUnknown Ran = "unknown"
-	// RanYes means that an upstream ran the call and answered.
+	// RanYes means that an upstream ran the call and responded.
 	RanYes Ran = "yes"
 )
 
@@ -55,7 +55,7 @@
 	Starting Code = 2011
 	// ParentGone means that the parent call, which made this one, is no longer running.
 	ParentGone Code = 2012
-	// Cancelled means that the caller left before the call was run.
+	// Cancelled means that the caller cancelled the call before it was run.
 	Cancelled Code = 2013
 	// ShedEarly means that every candidate upstream is known to shed the call's level or
 	// caller.
@@ -65,7 +65,7 @@
 	// QuotaExceeded means that the workspace exceeds its quota.
 	QuotaExceeded Code = 2016
 	// QuotaUnknown means that none of the nodes that hold a part of the workspace's quota
-	// answered.
+	// responded.
 	QuotaUnknown Code = 2017
 
 	// LostAnswer means that the call was sent and no complete response was received.
@@ -76,33 +76,34 @@
 	OutcomeUnknown Code = 3003
 	// AnswerMismatch means that the response received belongs to another call.
 	AnswerMismatch Code = 3004
-	// AnswerCut means that the answer ended before its announced length.
+	// AnswerCut means that the response ended before its announced length.
 	AnswerCut Code = 3005
-	// CancelledRunning means that the caller left while the call ran.
+	// CancelledRunning means that the caller cancelled the call while it ran.
 	CancelledRunning Code = 3006
 
 	// BadContext means that a header of the request could not be decoded.
 	BadContext Code = 4001
-	// UnknownService means that no instance covers the workspace and service.
+	// UnknownService means that the workspace has no instance for the service.
 	UnknownService Code = 4002
 	// KeyReused means that the key was used before with a different body.
 	KeyReused Code = 4003
-	// BodyTooLarge means that a body exceeds the size that is held for a call.
+	// BodyTooLarge means that a body exceeds the maximum size in bytes that a node accepts for a call.
 	BodyTooLarge Code = 4004
 	// KeyRequired means that the template requires an idempotency key.
 	KeyRequired Code = 4005
 	// TooDeep means that the call chain exceeds its depth bound.
 	TooDeep Code = 4006
-	// Unauthorized means that the token does not cover the workspace.
+	// Unauthorized means that the token is missing or unknown, has the wrong role, or grants no
+	// access to the workspace.
 	Unauthorized Code = 4007
-	// UnknownRoute means that no route covers the host and path.
+	// UnknownRoute means that no route matches the host and path.
 	UnknownRoute Code = 4008
 	// HeaderTooLarge means that a header exceeds what the routes allow.
 	HeaderTooLarge Code = 4009
 	// UnknownKey means that the caller's API key belongs to no workspace.
 	UnknownKey Code = 4010
 
-	// UpstreamFailed means that the upstream answered with a server error.
+	// UpstreamFailed means that the upstream responded with a server error.
 	UpstreamFailed Code = 5001
 	// UpstreamShed means that the upstream itself refused the call as overloaded. The contract
 	// with upstreams says that they do not run such a call.
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -22,6 +22,8 @@
 	must.Eq(t, RanUnknown, Code(9999).Ran())
 }
 
+// Guards against callers that retry too early because Retry-After was rounded down to whole
+// seconds.
 func TestWriteRoundsRetryAfterUp(t *testing.T) {
 	w := httptest.NewRecorder()
 	Refuse(Shed, "limit %d", 5).WithRetryAfter(1200*time.Millisecond).Write(w, "r1")
