--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -36,12 +36,12 @@
 	// that the guard receives the records of concurrent crashes at other guards first. It must
 	// cover twice the propagation time of a record plus the longest run.
 	SettleFor time.Duration
-	// MaxRecentSuccesses is the number of recently successful fingerprints that are kept. Such a request is not
-	// suspected when an upstream crashes while running it. 0 keeps none.
+	// MaxRecentSuccesses is the number of recently successful fingerprints that are kept. Such a
+	// request is not suspected when an upstream crashes while running it. 0 keeps none.
 	MaxRecentSuccesses int
 }
 
-// DefaultConfig returns the default parameters; Proven is 0.
+// DefaultConfig returns the default parameters; MaxRecentSuccesses is 0.
 func DefaultConfig() Config {
 	return Config{
 		SuspectFor:    defaultSuspectFor,
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -4,8 +4,8 @@
 //
 // When an upstream crashes, all requests that it was running become suspected. A suspected
 // request is delayed until the records of concurrent crashes have arrived. Then it runs as the
-// only suspect of its guard, at the guard that Home selects. A success clears the request;
-// another crash quarantines it. A retry by an entry node carries the CrashRecords of the
+// only suspect of its guard, at the guard that AssignedGuard returns. A success clears the
+// request; another crash quarantines it. A retry by an entry node carries the CrashRecords of the
 // request, so that the next guard has them before it admits the request.
 package quarantine
 
@@ -150,12 +150,12 @@
 		return false
 	}
 	if len(e.records) >= maxRecords {
-		oldest := e.evictionIndex()
-		if r.At.Before(e.records[oldest].At) {
+		evicted := e.evictionIndex()
+		if r.At.Before(e.records[evicted].At) {
 			return false
 		}
-		t.removeFromCrash(r.Fingerprint, e.records[oldest].crashID())
-		e.records = slices.Delete(e.records, oldest, oldest+1)
+		t.removeFromCrash(r.Fingerprint, e.records[evicted].crashID())
+		e.records = slices.Delete(e.records, evicted, evicted+1)
 	}
 	e.records = append(e.records, r)
 	t.fingerprintsByCrash[r.crashID()] = append(t.fingerprintsByCrash[r.crashID()], r.Fingerprint)
@@ -264,29 +264,30 @@
 	)
 }
 
-// RecentlySucceeded reports whether f recently succeeded here; a crash then raises no suspicion against it.
+// RecentlySucceeded reports whether f recently succeeded here; a crash then raises no suspicion
+// against it.
 func (t *Tracker) RecentlySucceeded(f Fingerprint) bool { return t.successes.has(f) }
 
 // Suspected reports whether f is suspected. A suspected request may run only at the guard that
-// Home selects.
+// AssignedGuard returns.
 func (t *Tracker) Suspected(now time.Time, f Fingerprint) bool {
 	return t.currentAssessment(now, f) != unsuspected
 }
 
-// AssignedGuard returns the candidate at which the suspected request f may run, or "" if there are no
-// candidates. It uses rendezvous hashing, so all nodes with the same candidates select the same
-// one. Otherwise two guards could each run f as their only suspect at the same time. Both
+// AssignedGuard returns the candidate at which the suspected request f may run, or "" if there
+// are no candidates. It uses rendezvous hashing, so all nodes with the same candidates select the
+// same one. Otherwise two guards could each run f as their only suspect at the same time. Both
 // upstreams would crash, three in total with the first crash.
 func AssignedGuard(f Fingerprint, candidates []string) string {
-	home := ""
+	assigned := ""
 	var maxScore uint64
 	for _, c := range candidates {
 		score := mix(xxhash.Sum64String(c) ^ uint64(f))
-		if home == "" || score > maxScore || (score == maxScore && c < home) {
-			home, maxScore = c, score
+		if assigned == "" || score > maxScore || (score == maxScore && c < assigned) {
+			assigned, maxScore = c, score
 		}
 	}
-	return home
+	return assigned
 }
 
 // mix is the finalizer of SplitMix64. Each bit of the input affects all bits of the output.
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -318,13 +318,13 @@
 
 // Guards against nodes that select different guards for one suspect, and against suspects that
 // change their guard when another one disappears.
-func TestHomeIsStable(t *testing.T) {
+func TestAssignedGuardIsStable(t *testing.T) {
 	names := []string{"a", "b", "c", "d"}
 	moved := 0
 	for f := range Fingerprint(1000) {
-		home := AssignedGuard(f, names)
-		must.Eq(t, home, AssignedGuard(f, []string{"d", "c", "b", "a"}))
-		if rest := AssignedGuard(f, names[:3]); home != "d" && rest != home {
+		assigned := AssignedGuard(f, names)
+		must.Eq(t, assigned, AssignedGuard(f, []string{"d", "c", "b", "a"}))
+		if rest := AssignedGuard(f, names[:3]); assigned != "d" && rest != assigned {
 			moved++
 		}
 	}
@@ -332,6 +332,7 @@
 	must.Eq(t, "", AssignedGuard(1, nil))
 }
 
+// Guards against a configuration error that does not name the field, its value and the bound.
 func TestValidateNamesFieldValueAndBound(t *testing.T) {
 	must.NoError(t, DefaultConfig().Validate())
 	cfg := DefaultConfig()
