--- a/internal/retry/account_test.go
+++ b/internal/retry/account_test.go
@@ -106,7 +106,7 @@
 }
 
 // Guards against a response that arrives twice and credits its unused allowance twice.
-func TestShare_RepeatedAnswerLeavesSiblingsShare(t *testing.T) {
+func TestShare_DuplicateResponseIsCreditedOnce(t *testing.T) {
 	a := NewAccount(4)
 	first, second := a.Lend(), a.Lend()
 	must.Eq(t, 2, first.Amount())
@@ -117,7 +117,7 @@
 }
 
 // Guards against a response that reports more unused allowance than its call received.
-func TestShare_ClaimIsCappedByAmount(t *testing.T) {
+func TestShare_ReturnIsCappedByAmount(t *testing.T) {
 	a := NewAccount(4)
 	first, second := a.Lend(), a.Lend()
 	first.Return(100)
@@ -126,6 +126,8 @@
 	must.Eq(t, 3, a.Balance())
 }
 
+// Guards against a split that lends more than half rounded up, or a return that exceeds the
+// outstanding allowance.
 func TestAccount_SplitHalvesRoundedUp(t *testing.T) {
 	a := NewAccount(5)
 	must.Eq(t, []int{3, 1, 1, 0}, []int{a.Split(), a.Split(), a.Split(), a.Split()})
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// Guards against a disabled budget that refuses retries.
 func TestBudgetWithoutWindowAllowsAll(t *testing.T) {
 	b := NewBudget(BudgetConfig{})
 	for range 100 {
@@ -16,6 +17,7 @@
 	}
 }
 
+// Guards against a budget that counts first attempts which have left the window.
 func TestBudgetFloorAndRatio(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(BudgetConfig{Ratio: 0.2, Floor: 2, Window: 10 * time.Second})
--- a/internal/retry/decide_test.go
+++ b/internal/retry/decide_test.go
@@ -56,6 +56,8 @@
 	})
 }
 
+// Guards against a code that is assigned to the wrong class, and against a retry when too little
+// time remains.
 func TestDecide_Cases(t *testing.T) {
 	tests := []struct {
 		name string
@@ -98,6 +100,8 @@
 	}
 }
 
+// Guards against retries that add load because their waits do not grow, and against a wait before
+// the first retry after an attempt at an unavailable node.
 func TestDecide_Backoff(t *testing.T) {
 	p := DefaultPolicy()
 	a := Attempt{Code: result.Shed, Remaining: time.Minute}
@@ -137,6 +141,7 @@
 	})
 }
 
+// Guards against a throttle that stays closed after the service has recovered.
 func TestThrottle_ClosesAndReopens(t *testing.T) {
 	th := NewThrottle(ThrottleConfig{MaxTokens: 10, TokenRatio: 0.5})
 	for range 4 {
@@ -150,6 +155,7 @@
 	must.Eq(t, 5.5, th.Tokens())
 }
 
+// Guards against a configuration error that does not name the field, its value and the bound.
 func TestConfigs_Validate(t *testing.T) {
 	must.NoError(t, DefaultThrottleConfig().Validate())
 	must.NoError(t, DefaultPolicy().Validate())
--- a/internal/retry/split_model_test.go
+++ b/internal/retry/split_model_test.go
@@ -126,7 +126,8 @@
 		{fanout: 3, depth: 3, refused: 0.05, lost: 0.001},
 	}
 	maxShortfall := map[string]float64{}
-	minPercentWithLoss := map[string]float64{} // lowest success percentage where 5% of responses are lost
+	// minPercentWithLoss is the lowest success percentage where 5% of responses are lost.
+	minPercentWithLoss := map[string]float64{}
 	for _, allowance := range []int{4, 8} {
 		for _, m := range settings {
 			t.Logf("allowance %d fan-out %d depth %d refused %.3f lost %.3f leaves only %t not idempotent %t",
--- a/internal/retry/throttle.go
+++ b/internal/retry/throttle.go
@@ -43,9 +43,9 @@
 }
 
 // Throttle bounds the retries that this node sends to one service, over all requests. Allowances
-// bound the retries of each call tree, but when every tree fails they permit B times the load on a
-// service that is already overloaded. The throttle closes after MaxTokens/2 failures and reopens
-// with successes. It is safe for concurrent use and does not depend on time.
+// bound the retries of each call tree, but when every tree fails, allowances of B retries permit B
+// times the load on a service that is already overloaded. The throttle closes after MaxTokens/2
+// failures and reopens with successes. It is safe for concurrent use and does not depend on time.
 type Throttle struct {
 	capacity    int64
 	successGain int64
