--- a/internal/routing/overload_test.go
+++ b/internal/routing/overload_test.go
@@ -14,7 +14,7 @@
 	"github.com/galenagrade/galenagrade/internal/testclock"
 )
 
-// zoneModel simulates a few entries that send to a few guards in virtual time. It uses the real
+// zoneModel simulates a few entry nodes that send to a few guards in virtual time. It uses the real
 // choice of upstreams and the real admission control.
 type zoneModel struct {
 	*testclock.Clock
@@ -25,8 +25,8 @@
 	guards      map[string]*zoneGuard
 	serviceTime time.Duration
 	// answered, refusedAtEntry and refusedAtGuard count requests while counting is set: those with
-	// a response, those that an entry refused without contacting a guard, and those that guards
-	// refused.
+	// a response, those that an entry node refused without contacting a guard, and those that
+	// guards refused.
 	answered, refusedAtEntry, refusedAtGuard int
 	counting                                 bool
 }
@@ -44,7 +44,7 @@
 	done   func(refused bool)
 }
 
-// networkDelay is the one-way latency between an entry and a guard.
+// networkDelay is the one-way latency between an entry node and a guard.
 const networkDelay = 200 * time.Microsecond
 
 func newZoneModel(entries, guards, slots int, serviceTime time.Duration) *zoneModel {
@@ -71,7 +71,7 @@
 	m.After(10*time.Millisecond, m.tick)
 }
 
-// generateLoad generates requests at a rate, each at a random entry.
+// generateLoad generates requests at a rate, each at a random entry node.
 func (m *zoneModel) generateLoad(perSecond float64) {
 	m.request()
 	m.After(time.Duration(m.rng.ExpFloat64()/perSecond*float64(time.Second)), func() { m.generateLoad(perSecond) })
@@ -135,7 +135,7 @@
 		case c == nil || d.Verdict == admission.Wait:
 		case d.Verdict == admission.Refuse:
 			delete(g.calls, d.ID)
-			m.answer(c, Refused)
+			m.respond(c, Refused)
 		default:
 			m.serve(c, d.ID)
 		}
@@ -147,12 +147,12 @@
 	m.After(took, func() {
 		delete(c.guard.calls, id)
 		m.apply(c.guard, c.guard.ctl.Finish(m.Now(), id, admission.Answered, took))
-		m.answer(c, Answered)
+		m.respond(c, Answered)
 	})
 }
 
-// answer sends a response with the guard's current load.
-func (m *zoneModel) answer(c *zoneCall, o Outcome) {
+// respond sends a response with the guard's current load.
+func (m *zoneModel) respond(c *zoneCall, o Outcome) {
 	l := c.guard.ctl.Load()
 	report := &LoadReport{InFlight: l.InFlight, Queued: l.Queued, Limit: l.Limit, Threshold: l.Threshold, Overloaded: l.Overloaded, Incarnation: 1}
 	m.After(networkDelay, func() {
@@ -161,7 +161,7 @@
 	})
 }
 
-// Guards against slots that stay idle under mild overload because entries refuse calls based on
+// Guards against slots that stay idle under mild overload because entry nodes refuse calls based on
 // outdated load reports.
 func TestEntriesKeepSmallGuardsBusyUnderMildOverload(t *testing.T) {
 	const entries, guards, slots, overload = 3, 2, 8, 1.2
--- a/internal/routing/shed.go
+++ b/internal/routing/shed.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// ShedThreshold returns the rank from which every usable upstream of a service sheds calls, according
-// to the reports. It returns NoThreshold if one of them sheds no calls or has no fresh report.
+// ShedThreshold returns the rank from which every usable upstream of a service sheds calls,
+// according to the reports. It returns NoThreshold if one of them sheds no calls or has no fresh
+// report.
 func (t *Table) ShedThreshold(now time.Time, name string) uint32 {
 	v := t.views[name]
 	if v == nil {
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -104,7 +104,8 @@
 	must.Eq(t, node, n.send(PickInfo{Rank: lowRank}))
 }
 
-// Guards against several calls that probe an ejected upstream at once, and against retries as probes.
+// Guards against several calls that probe an ejected upstream at once, and against retries as
+// probes.
 func TestPick_OneProbeAndNoneFromRetries(t *testing.T) {
 	n := newFakeNode(t, DefaultConfig(), upstreams("saga", 3, 20)...)
 	g := n.table.ByNode("saga-0")
@@ -238,6 +239,8 @@
 	must.Len(t, 2, n.table.Targets("archive"))
 }
 
+// Guards against a new endpoint that gets its full share by time or by responses alone, and against
+// one that never gets it because its service has few calls.
 func TestSlowStart_ShareByTimeAndAnswers(t *testing.T) {
 	cfg := DefaultConfig()
 	var r slowStart
@@ -252,6 +255,7 @@
 	}
 }
 
+// Guards against a configuration error that does not name the field, its value and the bound.
 func TestConfig_Validate(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxEjectedShare = 1
