--- a/internal/admission/advance.go
+++ b/internal/admission/advance.go
@@ -9,7 +9,7 @@
 // Counters holds running totals by level.
 type Counters struct {
 	Offered, Answered, Refused [callctx.Levels]uint64
-	// Worth is the total worth of all answered calls.
+	// Worth is the sum of Config.Worth over all answered calls.
 	Worth float64
 }
 
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -21,9 +21,9 @@
 	defaultSojournInterval = 100 * time.Millisecond
 	// defaultMaxWait leaves most of a typical caller timeout (seconds) for running the call.
 	defaultMaxWait = 500 * time.Millisecond
-	// defaultMinShare divides the slots to give the default MinLimit. An eighth of the slots still
-	// suffices to measure throughput.
-	defaultMinShare = 8
+	// defaultMinLimitDivisor divides the slots to give the default MinLimit. An eighth of the slots
+	// still suffices to measure throughput.
+	defaultMinLimitDivisor = 8
 )
 
 // Config holds the parameters of a Controller.
@@ -42,8 +42,8 @@
 	SojournInterval time.Duration
 	// MaxWait is the maximum time that a call waits.
 	MaxWait time.Duration
-	// Worth is the worth of one answered call by level. It must not increase towards less important
-	// levels. Calls of a level with worth 0 never wait.
+	// Worth is the relative value of one answered call by level. It must not increase towards less
+	// important levels. Calls of a level with worth 0 never wait.
 	Worth [callctx.Levels]float64
 	// Adapt enables the adaptive limit. Otherwise the limit is always Slots.
 	Adapt bool
@@ -56,7 +56,7 @@
 	slots = min(max(slots, 1), MaxSlots)
 	return Config{
 		Slots:           slots,
-		MinLimit:        max(1, slots/defaultMinShare),
+		MinLimit:        max(1, slots/defaultMinLimitDivisor),
 		QueueLimit:      slots,
 		SojournTarget:   defaultSojournTarget,
 		SojournInterval: defaultSojournInterval,
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -113,10 +113,10 @@
 	}
 	rank := Rank(r.Level, r.CallerHash)
 	c.shedder.offer(rank)
-	// A deep call above the threshold may still take a slot that would otherwise stay idle, because
-	// work was already spent on its root. A later call of a tree with prior work may also wait, or
-	// the work of deep services for this tree would be lost. The threshold therefore applies to the
-	// first call of a tree.
+	// A deep call (depth above 0) over the threshold may still take a slot that would otherwise stay
+	// idle, because work was already spent on its root. A later call of a tree with prior work may
+	// also wait, or the work of deep services for this tree would be lost. The threshold therefore
+	// applies to the first call of a tree.
 	above := rank >= c.shedder.threshold
 	if above && !r.HasPriorWork && !(slotFree && r.Depth > 0) {
 		return c.refuse(&r, reasonThreshold), out
--- a/internal/admission/cuttrial.go
+++ b/internal/admission/cuttrial.go
@@ -87,8 +87,8 @@
 	return t.state != trialIdle || saturated && !t.latencyNormal && !t.latencyExternal
 }
 
-// adjust is called once per interval; saturated states that no slot is free. It returns the new
-// limit and whether a cut was confirmed.
+// adjust is called once per interval; saturated states that the share of slots in use was
+// above saturatedUse. It returns the new limit and whether a cut was confirmed.
 func (t *cutTrial) adjust(now time.Time, saturated bool, limit int, cfg Config) (next int, confirmed bool) {
 	t.epoch.saturated = t.epoch.saturated && saturated
 	e := &t.epoch
@@ -139,7 +139,8 @@
 	}
 }
 
-// maybeStart starts a trial if the median has risen and all slots are in use.
+// maybeStart starts a trial if the median has risen and the slots were saturated throughout the
+// epoch.
 func (t *cutTrial) maybeStart(now time.Time, median time.Duration, rate float64, limit int, cfg Config) int {
 	slow := float64(median) > slowFactor*float64(t.reference)
 	measurable := t.epoch.responses >= minTrialResponses && t.epoch.saturated
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -27,8 +27,8 @@
 	heapIndex  [heapCount]int
 }
 
-// classes is the number of classes of waiting calls. Each level has one class for deep calls, on
-// which work was already spent, followed by one for root calls.
+// classes is the number of classes of waiting calls. Each level has one class for deep calls (depth
+// above 0), on which work was already spent, followed by one for root calls.
 const classes = 2 * callctx.Levels
 
 func classOf(level callctx.Level, depth int) int {
--- a/internal/admission/refusals.go
+++ b/internal/admission/refusals.go
@@ -32,7 +32,7 @@
 	shedRetryJitterStep = 250 * time.Millisecond
 	// minRetryAfter is the minimum of all retry delays.
 	minRetryAfter = 100 * time.Millisecond
-	// drainRetryAfter is the time until callers have learned that the upstream is leaving.
+	// drainRetryAfter is the time until callers have learned that the upstream is draining.
 	drainRetryAfter = 2 * time.Second
 )
 
--- a/internal/admission/reserve_test.go
+++ b/internal/admission/reserve_test.go
@@ -18,10 +18,10 @@
 	for i := range 200 {
 		now := start.Add(time.Duration(i+1) * 100 * time.Millisecond)
 		r.responses += 6
-		answers, before := r.responses, r.phase
+		responses, before := r.responses, r.phase
 		r.adjust(now, true, 300*time.Millisecond, cfg)
 		if before == reserveMeasuring && r.phase == reserveBaseline {
-			responsesAtDecision = answers
+			responsesAtDecision = responses
 			break
 		}
 	}
@@ -32,11 +32,11 @@
 // returns only 10 responses per second, too few for a decision.
 func TestReserveTrialEndsOnFewResponses(t *testing.T) {
 	r := &reserve{rateBefore: 1000, phase: reserveMeasuring, trialSlots: 2}
-	begun := time.Date(2026, 3, 6, 8, 0, 0, 0, time.UTC)
-	r.restart(begun)
+	start := time.Date(2026, 3, 6, 8, 0, 0, 0, time.UTC)
+	r.restart(start)
 	for i := range 100 {
 		r.responses++
-		r.adjust(begun.Add(time.Duration(i+1)*100*time.Millisecond), true, 300*time.Millisecond, DefaultConfig(32))
+		r.adjust(start.Add(time.Duration(i+1)*100*time.Millisecond), true, 300*time.Millisecond, DefaultConfig(32))
 		if r.phase == reserveBaseline {
 			break
 		}
--- a/internal/admission/surge_test.go
+++ b/internal/admission/surge_test.go
@@ -21,7 +21,8 @@
 }
 
 // runSurge simulates a step in demand to 1.8 times the normal rate. Each request makes four
-// sequential calls to a service with three guards.
+// sequential calls to a service with three guards. In the surge each of 400 entry nodes receives
+// about 2 requests per second; with fewer entry nodes each receives more.
 func runSurge(entries int) surgeResult {
 	const (
 		step, settled, end = 5 * time.Second, 7 * time.Second, 17 * time.Second
@@ -80,9 +81,9 @@
 // overload.
 func TestFewSlotsStayBusyUnderMildOverload(t *testing.T) {
 	const slots, overload, settled, end = 8, 1.2, 2, 22
-	usual := 20 * time.Millisecond
-	m := newModel(DefaultConfig(slots), func(m *model, _ *modelCall) time.Duration { return m.jittered(usual) })
-	capacity := slots / usual.Seconds()
+	serviceTime := 20 * time.Millisecond
+	m := newModel(DefaultConfig(slots), func(m *model, _ *modelCall) time.Duration { return m.jittered(serviceTime) })
+	capacity := slots / serviceTime.Seconds()
 	m.stream(steady(overload*capacity), m.request(callctx.LevelNormal, time.Second))
 	m.Run(end * time.Second)
 	answered, _ := m.sum(m.answeredInTime, settled, end)
--- a/internal/admission/tree.go
+++ b/internal/admission/tree.go
@@ -45,14 +45,14 @@
 }
 
 // ObserveThreshold records the lowest rank that services behind the upstream shed, as reported
-// in a response of this route. shedsFrom is MaxUint32 if they shed nothing.
-func (g *TreeGate) ObserveThreshold(now time.Time, shedsFrom uint32) {
+// in a response of this route. shedThreshold is MaxUint32 if they shed nothing.
+func (g *TreeGate) ObserveThreshold(now time.Time, shedThreshold uint32) {
 	if g.updated.IsZero() || now.Sub(g.updated) > treeMaxAge {
 		g.threshold = openThreshold
 	}
 	gain := max(treeMinGain, 1-math.Exp(-now.Sub(g.updated).Seconds()/treeTimeConstant.Seconds()))
 	g.updated = now
-	g.threshold += gain * (float64(shedsFrom) - g.threshold)
+	g.threshold += gain * (float64(shedThreshold) - g.threshold)
 }
 
 // Threshold returns the lowest rank that is refused at now; MaxUint32 if none is.
--- a/internal/admission/treemodel_test.go
+++ b/internal/admission/treemodel_test.go
@@ -291,9 +291,9 @@
 
 func (f *treeModel) run(until time.Duration) { f.model.Run(until) }
 
-// shortDeepestServiceRoutes returns the routes of a deployment whose deepest service lacks
+// underprovisionedRoutes returns the routes of a deployment whose deepest service lacks
 // capacity.
-func shortDeepestServiceRoutes(scale float64) []treeRoute {
+func underprovisionedRoutes(scale float64) []treeRoute {
 	return []treeRoute{
 		{level: callctx.LevelNormal, rate: 57 * scale, calls: 4, work: 250 * time.Millisecond, worth: 1, timeout: 1200 * time.Millisecond},
 		{level: callctx.LevelCritical, rate: 34 * scale, calls: 8, work: 320 * time.Millisecond, worth: 3, timeout: 1500 * time.Millisecond},
@@ -301,8 +301,8 @@
 	}
 }
 
-// maxWorth returns the maximum worth that the capacity of the deepest service allows: complete
-// requests, in descending order of worth per call.
+// maxWorth returns the maximum worth that the capacity of the deepest service allows. It completes
+// requests in descending order of worth per call.
 func (f *treeModel) maxWorth(d time.Duration, capacity float64) float64 {
 	routes := slices.Clone(f.routes)
 	slices.SortFunc(routes, func(a, b treeRoute) int { return cmp.Compare(b.worth/b.callUnits(), a.worth/a.callUnits()) })
@@ -315,7 +315,7 @@
 	return worth
 }
 
-// callUnits returns the capacity that a request takes of the deepest service, in calls of mean
+// callUnits returns the capacity of the deepest service that a request uses, in calls of mean
 // duration.
 func (r *treeRoute) callUnits() float64 {
 	if r.calls == 0 {
@@ -331,7 +331,7 @@
 		entries, guards, slots int
 		scale                  float64
 	}{{14, 1, 16, 1}, {14, 2, 16, 1}, {14, 2, 16, 1.7}, {14, 3, 16, 1.7}, {76, 1, 126, 10}, {76, 2, 126, 10}} {
-		f := newTreeModel(x.entries, x.guards, x.slots, shortDeepestServiceRoutes(x.scale))
+		f := newTreeModel(x.entries, x.guards, x.slots, underprovisionedRoutes(x.scale))
 		f.countFrom = 4 * time.Second
 		f.run(34 * time.Second)
 		worth := 0.0
