--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -50,17 +50,17 @@
 	return call, retry.NewAccount(r.Retries)
 }
 
-// ChildEnded records the end of a call at the running call that made it: from which rank on the
-// services behind it shed calls, and the cause of a failure. The response of the whole tree
-// carries both to the entry node. Its log line then names the deepest decision, even when the
-// node that took the decision dropped its own log line because of its rate limit.
+// ChildEnded records the end of a call at the running call that made it: the rank from which
+// deeper services shed calls, and the root cause of a failure. The response of the whole tree
+// carries both to the entry node. The log line of the entry node then names the deepest decision,
+// even when the node that took the decision dropped its own log line because of its rate limit.
 func (n *Node) ChildEnded(now time.Time, call *Call, a *Response) {
 	if call.Ctx.ParentID == "" {
 		return
 	}
 	n.guard.noteShedding(call.Ctx.ParentID, a.ShedThreshold, a.SheddingService)
 	n.guard.noteShedding(call.Ctx.ParentID, n.table.Load().ShedThreshold(now, call.Ctx.Service), call.Ctx.Service)
-	if a.Good() {
+	if a.Succeeded() {
 		n.guard.noteServed(call.Ctx.ParentID)
 		return
 	}
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -20,7 +20,7 @@
 	// Host is the Host header of the caller's request; when empty, the upstream's address is
 	// used.
 	Host string
-	// RoutedRequest means that the request was matched by a route and not by a template.
+	// Routed means that the request was matched by a route and not by a template.
 	Routed bool
 	// IsRetry means that an earlier attempt may have reached an upstream, or that the call was
 	// made by a run that was itself a retry.
@@ -80,10 +80,10 @@
 	Body   []byte
 	// Refusal is set when the response is not complete.
 	Refusal *result.Refusal
-	// ShedThreshold is the lowest rank from which on the services behind this one shed calls, as
-	// far as this call reached them; routing.NoThreshold when they shed none.
+	// ShedThreshold is the lowest rank from which deeper services shed calls, as far as this call
+	// reached them; routing.NoThreshold when they shed none.
 	ShedThreshold uint32
-	// SheddingService is the service that sheds from that rank on; empty when none does.
+	// SheddingService is the deeper service with that threshold; empty when none sheds calls.
 	SheddingService string
 	// Cause is the root cause of a failed response when a call made for it failed; nil when
 	// none did.
@@ -105,8 +105,8 @@
 	return &Response{CallID: callID, Code: r.Code, Refusal: r, ShedThreshold: routing.NoThreshold}
 }
 
-// Good reports whether the upstream answered with success.
-func (a *Response) Good() bool { return a.Code == result.OK || a.Code == result.Replayed }
+// Succeeded reports whether the upstream responded with success or the response is replayed.
+func (a *Response) Succeeded() bool { return a.Code == result.OK || a.Code == result.Replayed }
 
 // Whole reports whether the response is complete and may be passed to the caller unchanged.
 func (a *Response) Whole() bool { return a.Refusal == nil }
--- a/internal/node/dispatch_property_test.go
+++ b/internal/node/dispatch_property_test.go
@@ -48,8 +48,8 @@
 	whole    bool
 }
 
-// drawResponse draws the response of an attempt. The unused allowance that it reports may be
-// false.
+// drawResponse draws the response of an attempt. The unused allowance that it reports may exceed
+// the allowance that was lent to the attempt.
 func drawResponse(t *rapid.T, action Action) *Response {
 	code := rapid.SampledFrom([]result.Code{
 		result.OK, result.UpstreamFailed, result.Shed, result.QueueExpired, result.UpstreamShed, result.Draining,
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -22,16 +22,16 @@
 type Runner interface {
 	// Claim appends the claim of the call's key to the log, then calls Claimed.
 	Claim(call *Call)
-	// Run sends the call to the local upstream, then calls Finish. The call must be sent before
-	// the given time; zero means the call's deadline.
-	Run(call *Call, before time.Time)
+	// Run sends the call to the local upstream, then calls Finish. The call must not be sent
+	// after startBy; zero means the call's deadline.
+	Run(call *Call, startBy time.Time)
 }
 
 // Authority decides whether this guard may run a call under its idempotency key.
 type Authority interface {
 	// MayStart is called right before the call is sent. A nil refusal permits the start until
-	// before; zero means that there is no other bound than the deadline.
-	MayStart(now time.Time, call *Call) (before time.Time, refusal *result.Refusal)
+	// startBy; zero means that there is no other bound than the deadline.
+	MayStart(now time.Time, call *Call) (startBy time.Time, refusal *result.Refusal)
 	// NeedsClaim reports whether a claim of the key must be in the log first.
 	NeedsClaim(call *Call) bool
 }
@@ -59,12 +59,12 @@
 	ended       time.Time
 	response    *Response
 	cancel      func()
-	// served means that a call made by this one was answered with success.
+	// served means that a call made by this one succeeded.
 	served bool
-	// shedsFrom is the lowest shedding threshold reported to the calls made by this one.
-	shedsFrom uint32
-	// shedsBy is the service with that threshold.
-	shedsBy string
+	// shedThreshold is the lowest shedding threshold reported to the calls made by this one.
+	shedThreshold uint32
+	// sheddingService is the service with that threshold.
+	sheddingService string
 	// cause is the root cause of the last failed call made by this one; nil when none failed.
 	cause *result.Cause
 	// joins are the calls with the same key that wait for this one's response.
@@ -87,7 +87,7 @@
 	Keys idempotency.Config
 	// Quarantine limits the records of crashing requests.
 	Quarantine quarantine.Config
-	// RetryBudget limits the calls of which an earlier attempt may have reached an upstream.
+	// RetryBudget limits retries: calls of which an earlier attempt may have reached an upstream.
 	RetryBudget retry.BudgetConfig
 }
 
--- a/internal/node/guard_arrive.go
+++ b/internal/node/guard_arrive.go
@@ -104,7 +104,7 @@
 	case idempotency.Replay:
 		return replayedResponse(call, begin.Response), true
 	case idempotency.Conflict:
-		return g.refusalResponseLocked(call, result.Refuse(result.KeyReused, "the key came before with a different body")), true
+		return g.refusalResponseLocked(call, result.Refuse(result.KeyReused, "the key was used before with a different body")), true
 	case idempotency.TableFull:
 		return g.refusalResponseLocked(call, result.Refuse(result.NoAuthority, "the table of keys is full")), true
 	default:
@@ -123,12 +123,12 @@
 
 func (g *Guard) admitLocked(now time.Time, call *Call, w Waiter, deferred *callbacks) (int, *Response) {
 	e := &execution{
-		call:        call,
-		fingerprint: call.Fingerprint(),
-		account:     retry.NewAccount(call.Allowance),
-		waiters:     make(map[int]Waiter, 1),
-		arrived:     now,
-		shedsFrom:   routing.NoThreshold,
+		call:          call,
+		fingerprint:   call.Fingerprint(),
+		account:       retry.NewAccount(call.Allowance),
+		waiters:       make(map[int]Waiter, 1),
+		arrived:       now,
+		shedThreshold: routing.NoThreshold,
 	}
 	g.calls[call.Ctx.CallID] = e
 	decision, queuedDecisions := g.admission.Offer(now, requestOf(call))
--- a/internal/node/guard_end.go
+++ b/internal/node/guard_end.go
@@ -15,8 +15,8 @@
 	e.ended = now
 	a.UnusedAllowance = e.account.Close()
 	a.Load = g.loadLocked()
-	a.ShedThreshold = e.shedsFrom
-	a.SheddingService = e.shedsBy
+	a.ShedThreshold = e.shedThreshold
+	a.SheddingService = e.sheddingService
 	e.response = a
 	g.settleKeyLocked(now, e.call, a)
 	for _, w := range e.waiters {
--- a/internal/node/guard_model_test.go
+++ b/internal/node/guard_model_test.go
@@ -66,7 +66,7 @@
 func (m *guardModel) onRun(call *Call) {
 	id := call.Ctx.CallID
 	if m.claimingAtCrash[id] {
-		m.t.Fatalf("call %s was answered that its upstream crashed, and started", id)
+		m.t.Fatalf("call %s started after it was refused because its upstream crashed", id)
 	}
 	if _, twice := m.started[id]; twice {
 		m.t.Fatalf("call %s started twice", id)
@@ -190,7 +190,7 @@
 	if code.Ran() == result.RanNo {
 		delete(m.keys, call.Ctx.Key)
 	}
-	a := wholeResponseOf(call, "a body of more than the bytes that are kept, so that answers push each other out")
+	a := wholeResponseOf(call, "a body that exceeds KeepDoneBytes, so that the response of each call is dropped")
 	if code != result.OK && code != result.UpstreamFailed {
 		a = refusedWith(call, code)
 	}
--- a/internal/node/guard_run.go
+++ b/internal/node/guard_run.go
@@ -22,10 +22,10 @@
 // checked right before the dispatch: when the process was paused after the admission, its
 // authority may have expired in the meantime.
 func (g *Guard) startLocked(now time.Time, e *execution, deferred *callbacks) {
-	var before time.Time
+	var startBy time.Time
 	if e.call.Keyed() {
 		var refusal *result.Refusal
-		before, refusal = g.authority.MayStart(now, e.call)
+		startBy, refusal = g.authority.MayStart(now, e.call)
 		if refusal != nil {
 			g.refuseAdmittedLocked(now, e, refusal, deferred)
 			return
@@ -42,7 +42,7 @@
 	e.started = now
 	g.quarantine.Started(now, e.fingerprint)
 	g.events.started(now, e)
-	*deferred = append(*deferred, func() { g.runner.Run(e.call, before) })
+	*deferred = append(*deferred, func() { g.runner.Run(e.call, startBy) })
 }
 
 // refuseAdmittedLocked refuses a call that was admitted and provably did not run.
@@ -106,7 +106,7 @@
 			deferred = append(deferred, func() { g.onCrashRecords(cleared) })
 		}
 		g.events.cleared(now, cleared)
-		if !a.Good() {
+		if !a.Succeeded() {
 			a.Cause = e.cause
 		}
 		g.events.finished(now, e, a)
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -67,12 +67,12 @@
 }
 
 // Guards against a refusal being delivered twice, as the result of Arrive and through the
-// waiter. It happened when the authority was refused right before dispatch.
+// waiter. The authority permits the call on arrival and refuses it right before dispatch.
 func TestRefusalAtDispatchIsDeliveredOnce(t *testing.T) {
-	asked := 0
+	checks := 0
 	g := newGuard(1, &fakeRunner{}, &fakeAuthority{refuse: func() *result.Refusal {
-		asked++
-		if asked == 1 {
+		checks++
+		if checks == 1 {
 			return nil
 		}
 		return result.Refuse(result.NoAuthority, "lapsed")
--- a/internal/node/guard_upstream.go
+++ b/internal/node/guard_upstream.go
@@ -110,8 +110,8 @@
 	g.endLocked(now, e, Refused(e.call.Ctx.CallID, refusal), deferred)
 }
 
-// stopLatencyFactor times the median latency must remain before the node stops for a new call
-// to be accepted. Hardly any call takes longer than that.
+// stopLatencyFactor is the time that must remain before the node stops for it to accept a new
+// call, as a multiple of the median latency. Hardly any call takes longer than that.
 const stopLatencyFactor = 4
 
 // SetStopTime sets the time at which the node's process stops. A call that would probably still run
@@ -158,10 +158,11 @@
 	return l
 }
 
-// RetentionUsage is the number of keys and bytes of responses retained for resends, with their bounds.
+// RetentionUsage is the number of keys, and of bytes of responses, that are retained for resends,
+// with their bounds.
 type RetentionUsage struct{ Keys, MaxKeys, Bytes, MaxBytes int64 }
 
-// RetentionUsage returns the number of keys and bytes of responses that are retained.
+// Kept returns the number of keys, and of bytes of responses, that are retained for resends.
 func (g *Guard) Kept() RetentionUsage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -191,13 +192,13 @@
 	return call.Ctx, account, true
 }
 
-// noteShedding records the shedding threshold of the services behind, as learned by a call that
-// the running call callID made.
-func (g *Guard) noteShedding(callID string, shedsFrom uint32, by string) {
+// noteShedding records the shedding threshold of a deeper service, as received by a call that the
+// running call callID made. The lowest threshold is kept.
+func (g *Guard) noteShedding(callID string, threshold uint32, service string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if e, ok := g.calls[callID]; ok && e.phase == phaseRunning && shedsFrom < e.shedsFrom {
-		e.shedsFrom, e.shedsBy = shedsFrom, by
+	if e, ok := g.calls[callID]; ok && e.phase == phaseRunning && threshold < e.shedThreshold {
+		e.shedThreshold, e.sheddingService = threshold, service
 	}
 }
 
@@ -210,7 +211,7 @@
 	}
 }
 
-// noteServed records that a call made by the running call callID was answered with success.
+// noteServed records that a call made by the running call callID succeeded.
 func (g *Guard) noteServed(callID string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,7 +54,7 @@
 	Guard    GuardConfig
 	// Seed seeds the generator of call IDs; every node needs a different one.
 	Seed [32]byte
-	// Sample is the sampling rate of events: they are kept for one in Sample successful calls,
+	// Sample is the sampling rate of events: they are recorded for one in Sample successful calls,
 	// and for every refused or retried call.
 	Sample int
 	// Observer receives the end of every call; may be nil.
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -11,7 +11,7 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// Sampled reports whether the events of a successful call are kept. All nodes decide by the
+// Sampled reports whether the events of a successful call are recorded. All nodes decide by the
 // request ID alone, so that a sampled request is recorded at every hop.
 func (n *Node) Sampled(requestID string) bool {
 	return n.cfg.Ring != nil && n.sampler.Keep(requestID)
@@ -20,7 +20,7 @@
 // Metrics returns the node's metrics.
 func (n *Node) Metrics() *metrics.Set { return n.cfg.Metrics }
 
-// Stamp returns the hybrid logical clock to send with a call whose events are kept, and 0 for
+// Stamp returns the hybrid logical clock to send with a call whose events are recorded, and 0 for
 // any other call.
 func (n *Node) Stamp(call *Call) uint64 {
 	if !call.Sampled || n.cfg.Ring == nil {
@@ -78,7 +78,7 @@
 }
 
 // recordRetried records the failed attempt of a call that is retried. From here on the call's
-// events are kept on every hop.
+// events are recorded on every hop.
 func (n *Node) recordRetried(now time.Time, d *Dispatch, a *Response, wait time.Duration) {
 	n.cfg.Metrics.Inc(metrics.CallsRetried, 1)
 	d.call.Sampled = true
@@ -121,7 +121,7 @@
 	}
 }
 
-// offered records the verdict on a call that asked for admission.
+// offered records the admission verdict on a call.
 func (o *eventRecorder) offered(now time.Time, call *Call, v admission.Verdict, l admission.Load) {
 	o.inc(metrics.CallsGuarded)
 	if !o.sampled(call) || v == admission.Refuse {
@@ -134,8 +134,8 @@
 	o.node.recordCall(now, kind, call, 0, o.node.ID(), fmt.Sprintf("in flight %d, limit %d, queued %d", l.InFlight, l.Limit, l.Queued))
 }
 
-// refused records a call that did not run here, whether its events are kept or not, because
-// every refusal must be explained.
+// refused records a call that did not run here, whether it is sampled or not, because every
+// refusal must be explained.
 func (o *eventRecorder) refused(now time.Time, call *Call, r *result.Refusal) {
 	if o == nil {
 		return
--- a/internal/node/observe_test.go
+++ b/internal/node/observe_test.go
@@ -26,8 +26,8 @@
 	})
 }
 
-// Guards against memory allocations for calls whose events are not kept. Only one in 64 is kept
-// on a busy node, and the garbage collection of the others shows in the tail latency of every
+// Guards against memory allocations for calls whose events are not recorded. Only one in 64 is
+// sampled on a busy node, and the garbage collection of the others shows in the tail latency of every
 // call.
 func TestCallsWithoutEventsDoNotAllocate(t *testing.T) {
 	at := time.Unix(1_700_000_000, 0)
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -25,8 +25,8 @@
 	return out
 }
 
-// instanceFor returns the effective settings for what a service can have only once: those of
-// the first workspace in order.
+// instanceFor returns the effective settings of a service for values that all its workspaces
+// share, such as the limits of a guard. The first workspace in order decides.
 func instanceFor(s *policy.State, service string) (*policy.Effective, bool) {
 	all := instancesOf(s, service)
 	if len(all) == 0 {
--- a/internal/node/reconfigure_test.go
+++ b/internal/node/reconfigure_test.go
@@ -71,7 +71,7 @@
 
 // Guards against a configuration change resetting the throttles of services that it does not
 // affect. At the planned size the configuration changes every few seconds, and a throttle reset
-// at each change would never hold retries back in an outage.
+// at each change would never limit retries in an outage.
 func TestUnrelatedChangeKeepsThrottleState(t *testing.T) {
 	n := New(Config{
 		Clock: frozenClock{at: epoch}, Runner: &fakeRunner{}, Authority: &fakeAuthority{}, Guard: DefaultGuardConfig(),
