--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -28,9 +28,10 @@
 	headerHost = "Galena-Inner-Host"
 	// headerRepeat marks a call for which an earlier attempt may have reached an upstream.
 	headerRepeat = "Galena-Inner-Repeat"
-	// headerContinues marks a call whose call tree already contains completed calls.
+	// headerContinues marks a call with prior work: other calls of its tree were already served.
 	headerContinues = "Galena-Inner-Continues"
-	// headerSheds carries Response.ShedsFrom and Response.ShedsBy if a deeper service sheds calls.
+	// headerSheds carries Response.ShedThreshold and Response.SheddingService if a deeper service
+	// sheds calls.
 	headerSheds = "Galena-Inner-Sheds"
 	// headerCause carries Response.Cause if a call that was made for the response failed.
 	headerCause = "Galena-Inner-Cause"
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -39,7 +39,7 @@
 	Reattach WaitBounds
 }
 
-// DefaultConnections returns the default values of the settings.
+// DefaultConnections returns the configuration with the default values of the node's settings.
 func DefaultConnections() ConnectionConfig {
 	return ConnectionConfig{Connect: 250 * time.Millisecond, Idle: 5 * time.Second, MaxIdleConns: 256}
 }
@@ -98,7 +98,7 @@
 	return p
 }
 
-// SetConnections replaces the default configuration. It must be called before Secure and before the
+// SetConnections replaces the default configuration. It must be called before UseTLS and before the
 // first Send.
 func (p *Peers) SetConnections(c ConnectionConfig) {
 	p.connections = c
@@ -266,9 +266,9 @@
 	}
 }
 
-// finalResponse selects the response of one of the two transmissions. A whole response of the first
-// one is returned immediately, otherwise that of the second one. If the connection of the first one
-// failed before a second one was started, the call is re-attached now.
+// finalResponse selects the response of one of the two transmissions. A complete response of the
+// first one is returned immediately, otherwise that of the second one. If the connection of the
+// first one failed before a second one was started, the call is re-attached now.
 //
 // A refusal with "not run" in the first response applies to the first transmission only: the guard
 // may accept the second one if its upstream becomes available or a slot becomes free in between. This
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -86,7 +86,7 @@
 			return
 		}
 		<-reattached
-		writeInner(w, node.Refused("c", result.Refuse(result.NoAuthority, "last proof is too old")))
+		writeInner(w, node.Refused("c", result.Refuse(result.NoAuthority, "last head observation is too old")))
 		close(refused)
 	})
 	must.Eq(t, result.OK, send("c").Code)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -49,11 +49,12 @@
 // not know which calls ran in the earlier one. It must be called before serving.
 func (p *Proxy) AcceptPredecessorCalls(service string) { p.predecessorService = service }
 
-// PendingPeerCalls returns the number of calls of other nodes whose responses are not completely written.
+// PendingPeerCalls returns the number of calls of other nodes whose responses are not completely
+// written.
 func (p *Proxy) PendingPeerCalls() int { return int(p.peerCallsPending.Load()) }
 
-// PendingRoots returns the number of callers' requests whose responses are not completely written. Requests
-// of the local upstream are not counted.
+// PendingRoots returns the number of callers' requests whose responses are not completely written.
+// Requests of the local upstream are not counted.
 func (p *Proxy) PendingRoots() int { return int(p.rootsPending.Load()) }
 
 // CallerHandler returns the handler for callers. Every request starts a new call tree; a parent
@@ -231,7 +232,7 @@
 	return host
 }
 
-// readBody reads a whole body of at most limit bytes.
+// readBody reads a complete body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *result.Refusal) {
 	if r.ContentLength > limit {
 		return nil, result.Refuse(result.BodyTooLarge, "body has %d bytes, limit is %d", r.ContentLength, limit)
@@ -250,7 +251,7 @@
 	return body, nil
 }
 
-// readSized reads a whole body. size is its Content-Length; negative if unknown.
+// readSized reads a complete body. size is its Content-Length; negative if unknown.
 func readSized(r io.Reader, size int64) ([]byte, error) {
 	if size < 0 {
 		return io.ReadAll(r)
--- a/internal/proxy/responses_test.go
+++ b/internal/proxy/responses_test.go
@@ -64,8 +64,8 @@
 	must.StrNotContains(t, got.body, "secret")
 }
 
-// Guards against a response that does not come from the guard. Something between the nodes responds
-// with a good status and without a valid header of the inner protocol.
+// Guards against a response that does not come from the guard. A device between the nodes responds
+// with a success status and without a valid header of the inner protocol.
 func TestResponseWithoutInnerHeader(t *testing.T) {
 	for _, header := range []string{"", "not base64 \x01", "AAAA"} {
 		got := callThroughPeer(t, func(rw http.ResponseWriter, _ *http.Request) {
@@ -86,7 +86,7 @@
 	return c.do(context.Background(), request{to: n.callers.URL, method: "POST", service: "letters", body: "a"})
 }
 
-// Guards against a truncated response that is given to the caller. The upstream's process breaks off
+// Guards against a truncated response that is given to the caller. The upstream's process ends
 // while it sends the response.
 func TestTruncatedResponseOfUpstream(t *testing.T) {
 	got := callUpstream(t, func(rw http.ResponseWriter, _ *http.Request) { truncateResponse(rw) })
--- a/internal/proxy/routed.go
+++ b/internal/proxy/routed.go
@@ -108,7 +108,7 @@
 	gate := h.treeGates.forRoute(route.Host, route.Prefix)
 	startedAt := h.p.node.Now()
 	writer := gatedWriter{h, gate, startedAt}
-	writer.countOffered(call)
+	writer.countReceived(call)
 	ctx := r.Context()
 	refusal = gate.admit(startedAt, call, route.Objective)
 	if refusal == nil && countsAgainstQuota(call) {
--- a/internal/proxy/treegate.go
+++ b/internal/proxy/treegate.go
@@ -14,8 +14,8 @@
 	"github.com/galenagrade/galenagrade/internal/routes"
 )
 
-// treeGates contains a gate per route with requests at this node, and the thresholds of the services
-// that shed calls deeper in the call trees. Routes that depend on the same service share its
+// treeGates contains a gate for each route that received requests at this node, and the thresholds
+// of the deeper services that shed calls. Routes that depend on the same service share its
 // threshold: a route whose requests are refused gets no responses, so a gate with a threshold of its
 // own would open after a while and admit requests that fail.
 type treeGates struct {
@@ -120,8 +120,8 @@
 	startedAt time.Time
 }
 
-// countOffered counts a received request.
-func (g gatedWriter) countOffered(call *node.Call) {
+// countReceived counts a received request.
+func (g gatedWriter) countReceived(call *node.Call) {
 	g.gate.series.CountReceived()
 	if countsAgainstQuota(call) {
 		g.workspaceMetrics.forWorkspace(call.Ctx.Workspace).CountReceived()
--- a/internal/proxy/treegate_test.go
+++ b/internal/proxy/treegate_test.go
@@ -79,12 +79,12 @@
 // that is taken for a threshold.
 func TestShedsHeaderRoundTrip(t *testing.T) {
 	a := &node.Response{ShedThreshold: 7 << 20, SheddingService: "registry"}
-	from, by := decodeSheds(encodeSheds(a))
-	must.EqOp(t, a.ShedThreshold, from)
-	must.EqOp(t, a.SheddingService, by)
+	threshold, service := decodeSheds(encodeSheds(a))
+	must.EqOp(t, a.ShedThreshold, threshold)
+	must.EqOp(t, a.SheddingService, service)
 	for _, text := range []string{"", "7", "x registry", "99999999999 registry", "7 no name"} {
-		from, by := decodeSheds(text)
-		must.EqOp(t, uint32(routing.NoThreshold), from)
-		must.EqOp(t, "", by)
+		threshold, service := decodeSheds(text)
+		must.EqOp(t, uint32(routing.NoThreshold), threshold)
+		must.EqOp(t, "", service)
 	}
 }
