--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -66,7 +66,7 @@
 	Matches func(http.Header) bool
 }
 
-// Do sends a request and reads the whole response. If ctx ends first, the connection is closed,
+// Do sends a request and reads the complete response. If ctx ends first, the connection is closed,
 // which notifies the server. Every error is an *Error.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c, err := p.acquire(ctx)
--- a/internal/h1/pool_test.go
+++ b/internal/h1/pool_test.go
@@ -85,7 +85,7 @@
 			}
 		}
 		useAllConns()
-		for begun := time.Now(); time.Since(begun) < 3*idle/2; time.Sleep(idle / (8 * maxConns)) {
+		for start := time.Now(); time.Since(start) < 3*idle/2; time.Sleep(idle / (8 * maxConns)) {
 			_, err := p.Do(t.Context(), newRequest("a"))
 			must.NoError(t, err)
 		}
@@ -114,6 +114,7 @@
 	}
 }
 
+// Guards against a new connection for every request.
 func TestConnectionIsReused(t *testing.T) {
 	addr, accepted := serve(t, echo)
 	p := newTestPool(t, addr)
@@ -236,6 +237,8 @@
 	requireStage(t, StageBody, err)
 }
 
+// Guards against a truncated response that is returned as complete. The server closes the connection
+// before the end of the body.
 func TestResponseShorterThanContentLength(t *testing.T) {
 	addr, _ := serve(t, func(c net.Conn, r *bufio.Reader) {
 		_ = readRequestID(r)
@@ -288,6 +291,7 @@
 	<-closed
 }
 
+// Guards against a request that is reported as sent although no connection was established.
 func TestRefusedConnectionFailsAtConnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -313,6 +317,8 @@
 	must.EqOp(t, 2, accepted.Load())
 }
 
+// Guards against waiting for the body of a response to HEAD. Such a response states a Content-Length
+// but has no body.
 func TestHeadResponseHasNoBody(t *testing.T) {
 	addr, _ := serve(t, func(c net.Conn, r *bufio.Reader) {
 		for readRequestID(r) != "" {
--- a/internal/h1/write_test.go
+++ b/internal/h1/write_test.go
@@ -20,6 +20,7 @@
 	return got
 }
 
+// Guards against a request that a server parses differently from what the caller specified.
 func TestWriteRequestRoundTrip(t *testing.T) {
 	got := writeAndParse(t, &Request{Method: "PUT", Target: "/a/b?c=1", Host: "letters.example", Header: http.Header{"X-A": {"1", "2"}, "Accept": nil}, Body: []byte("body")})
 	must.EqOp(t, "PUT", got.Method)
@@ -55,6 +56,8 @@
 	must.SliceEmpty(t, got.TransferEncoding)
 }
 
+// FuzzWriteRequest guards against input that ends the header early. A server would read the rest as
+// the body or as another request.
 func FuzzWriteRequest(f *testing.F) {
 	f.Add("GET", "/x", "h", "X-A", "1")
 	f.Add("POST", "/x\r\n\r\nGET /y HTTP/1.1", "h", "X-A", "1\r\n\r\n")
