--- a/internal/inner/check.go
+++ b/internal/inner/check.go
@@ -10,14 +10,20 @@
 
 // Limits of the header fields. Lengths are in bytes.
 const (
+	// MaxIDLen is the limit for call IDs, parent IDs and incarnations.
 	MaxIDLen = 128
 	// MaxRequestIDLen is the limit for request IDs, which callers and upstreams choose.
 	MaxRequestIDLen = callctx.MaxRequestIDLen
-	MaxNameLen      = 128
-	MaxKeyLen       = 256
-	MaxTraceLen     = 256
-	MaxDetailLen    = 512
-	MaxAddrLen      = 64
+	// MaxNameLen is the limit for the names of workspaces, services and nodes.
+	MaxNameLen = 128
+	// MaxKeyLen is the limit for idempotency keys.
+	MaxKeyLen = 256
+	// MaxTraceLen is the limit for trace parents.
+	MaxTraceLen = 256
+	// MaxDetailLen is the limit for the detail of a refusal.
+	MaxDetailLen = 512
+	// MaxAddrLen is the limit for inner addresses.
+	MaxAddrLen = 64
 	// MaxDepth limits the call depth in a header. Call chains are up to 10 deep by design; the limit
 	// in a template is lower.
 	MaxDepth = 64
@@ -29,7 +35,8 @@
 	MaxRetryAfter = time.Hour
 )
 
-// FieldError reports a field that is out of bounds, with its value and the limit.
+// FieldError reports a field of a header or a control message that is out of bounds, with its value
+// and the limit.
 type FieldError struct {
 	Field string
 	Value string
@@ -38,7 +45,7 @@
 
 // Error implements error.
 func (e *FieldError) Error() string {
-	return fmt.Sprintf("inner header: %s is %s, must be %s", e.Field, e.Value, e.Bound)
+	return fmt.Sprintf("inner protocol: %s is %s, must be %s", e.Field, e.Value, e.Bound)
 }
 
 func checkCall(h *CallHeader) error {
--- a/internal/inner/check_control.go
+++ b/internal/inner/check_control.go
@@ -26,8 +26,8 @@
 const headerFieldValue protoreflect.FullName = "galenagrade.inner.v1.HeaderField.value"
 
 // CheckMessage returns a *FieldError for the first field of m that is out of bounds; nil if there is
-// none. It iterates over the message descriptor, so that new fields are always checked. Control
-// messages arrive about once per second.
+// none. It iterates over the message descriptor, so that new fields are always checked. The
+// cost is low, since control messages arrive about once per second.
 func CheckMessage(m proto.Message) error {
 	return checkMessage(m.ProtoReflect(), "")
 }
--- a/internal/inner/codec_test.go
+++ b/internal/inner/codec_test.go
@@ -71,11 +71,14 @@
 	})
 }
 
+// Guards against a negative remaining time after the deadline. The receiver would reject the header
+// as invalid.
 func TestPassedDeadlineLeavesZeroRemaining(t *testing.T) {
 	c := sampleContext()
 	must.Eq(t, 0, FromContext(c, c.Deadline.Add(time.Hour), 0).RemainingUs)
 }
 
+// Guards against a field out of bounds that is accepted, or rejected without its name.
 func TestDecodeCallNamesTheField(t *testing.T) {
 	cases := []struct {
 		field   string
@@ -104,6 +107,8 @@
 	}
 }
 
+// Guards against a header that is accepted although it is too long or empty. A call that cannot be
+// encoded gives an empty header, which the receiver rejects.
 func TestCodecBoundsHeaderLength(t *testing.T) {
 	_, err := DecodeCall(strings.Repeat("A", MaxHeaderLen+1))
 	must.ErrorIs(t, err, ErrTooLong)
@@ -127,6 +132,8 @@
 	must.True(t, proto.Equal(sampleCall(), h))
 }
 
+// Guards against fields that change between sender and receiver, and against an HTTP status that is
+// accepted as a result code.
 func TestAnswerRoundTrip(t *testing.T) {
 	h, err := DecodeAnswer(EncodeAnswer(sampleAnswer()))
 	must.NoError(t, err)
@@ -151,7 +158,7 @@
 		before := proto.CloneOf(h)
 		got, err := DecodeAnswer(EncodeAnswer(h))
 		must.NoError(t, err)
-		must.True(t, proto.Equal(before, h), must.Sprint("the caller's header isn't touched"))
+		must.True(t, proto.Equal(before, h), must.Sprint("EncodeAnswer must not change its argument"))
 		refusal := ToRefusal(got)
 		must.Eq(t, r.Code, refusal.Code)
 		must.Eq(t, r.AllFull, refusal.AllFull)
@@ -160,8 +167,8 @@
 	})
 }
 
-// Decoding must not panic on any input. A header that it accepts has to be equal after encoding and
-// decoding it again.
+// FuzzDecodeCall checks DecodeCall with arbitrary input. Decoding must not panic. A header that it
+// accepts has to be equal after encoding and decoding it again.
 func FuzzDecodeCall(f *testing.F) {
 	f.Add(EncodeCall(sampleCall()))
 	f.Add("")
@@ -177,6 +184,7 @@
 	})
 }
 
+// FuzzDecodeAnswer checks the same as FuzzDecodeCall for the header of a response.
 func FuzzDecodeAnswer(f *testing.F) {
 	f.Add(EncodeAnswer(sampleAnswer()))
 	f.Fuzz(func(t *testing.T, s string) {
--- a/internal/inner/context.go
+++ b/internal/inner/context.go
@@ -7,7 +7,7 @@
 )
 
 // FromContext returns the header of a call that is sent at now with a retry allowance. The sender
-// sets BodyHash, TargetIncarnation, Reattach, Marks and FromNode.
+// sets BodyHash, TargetIncarnation, Reattach, Marks, FromNode and Hlc.
 func FromContext(c *callctx.Context, now time.Time, allowance uint32) *CallHeader {
 	h := &CallHeader{
 		CallId:      c.CallID,
--- a/internal/inner/control_test.go
+++ b/internal/inner/control_test.go
@@ -34,6 +34,8 @@
 	return NewControlClient(srv.Client(), srv.URL)
 }
 
+// Guards against a message with a field out of bounds that reaches the handler, and against an error
+// that does not name the field.
 func TestControlRejectsFieldsOutOfBounds(t *testing.T) {
 	h := &echoControl{from: "kurume-1"}
 	c := controlPair(t, h)
@@ -70,6 +72,7 @@
 	must.ErrorContains(t, err, "from.node_id")
 }
 
+// Guards against a peer that fills the memory of a node with one large message.
 func TestControlBoundsMessageSize(t *testing.T) {
 	c := controlPair(t, &echoControl{})
 	part := &innerpb.HandOverRequest{Entries: []*innerpb.KeyEntry{{Body: make([]byte, MaxControlBytes)}}}
