--- a/internal/h1/error.go
+++ b/internal/h1/error.go
@@ -20,7 +20,7 @@
 	StageMismatch
 )
 
-var stageNames = [...]string{"connect", "send", "read header", "read body", "body too large", "response to another request"}
+var stageNames = [...]string{"connect", "send", "read head", "read body", "body too large", "answer of another request"}
 
 // String returns the name of the step that failed.
 func (s Stage) String() string {
