--- a/cmd/galenactl/cli.go
+++ b/cmd/galenactl/cli.go
@@ -26,7 +26,7 @@
 	Cert    string        `help:"PEM file of this operator's certificate, for nodes that require one." env:"GALENACTL_CERT_FILE" type:"path"`
 	Key     string        `help:"PEM file of the certificate's private key." env:"GALENACTL_KEY_FILE" type:"path"`
 	Output  string        `help:"Output format: ${enum}." short:"o" enum:"table,json" default:"table"`
-	Timeout time.Duration `help:"Time for one call, beyond --wait." default:"15s"`
+	Timeout time.Duration `help:"Timeout of one call, in addition to --wait." default:"15s"`
 
 	Template templateCmd `cmd:"" help:"Templates of overload behaviour."`
 	Instance instanceCmd `cmd:"" help:"Templates with the values for one workspace and service."`
--- a/cmd/galenactl/node.go
+++ b/cmd/galenactl/node.go
@@ -16,7 +16,7 @@
 // nodeCmd shows the state of one node that serves by routes. --address is the node's metrics address.
 type nodeCmd struct {
 	Status  nodeStatusCmd  `cmd:"" help:"State, limits, and the age of its routes and members."`
-	Routes  nodeRoutesCmd  `cmd:"" help:"Routes in force, optionally against another node's."`
+	Routes  nodeRoutesCmd  `cmd:"" help:"Routes in force, optionally compared with those of another node."`
 	Members nodeMembersCmd `cmd:"" help:"Members known to the node."`
 	Quotas  nodeQuotasCmd  `cmd:"" help:"Quotas of workspaces, the node's share of them, and the requests that it refused."`
 }
--- a/cmd/galenactl/node_test.go
+++ b/cmd/galenactl/node_test.go
@@ -18,7 +18,7 @@
 	"github.com/galenagrade/galenagrade/platform/standin"
 )
 
-// startMeshNode runs a node whose routes have the given version and lead to service. It returns the
+// startMeshNode runs a node whose routes have the given version and target service. It returns the
 // node's metrics address.
 func startMeshNode(t *testing.T, name string, version int64, service string) string {
 	store := standin.Start()
--- a/cmd/galenactl/publish.go
+++ b/cmd/galenactl/publish.go
@@ -18,9 +18,9 @@
 
 // publishFlags are shared by all commands that publish.
 type publishFlags struct {
-	BasedOn     *uint64       `help:"Version that the change is based on; default: the one in force now. 0: there is none yet."`
+	BasedOn     *uint64       `help:"Version that the change is based on; default: the one in force now. 0 means that none has been published yet."`
 	ChangeID    string        `name:"change-id" help:"ID of the change; a change that is sent again with the same ID is published once. Default: a new ID."`
-	Wait        time.Duration `help:"Wait this long until the change is in force; 0: don't." default:"9s"`
+	Wait        time.Duration `help:"Maximum time to wait until the change is in force; 0 means no wait." default:"9s"`
 	WaitPercent uint32        `help:"Share of the known nodes to wait for." default:"100"`
 }
 
--- a/cmd/galenactl/status.go
+++ b/cmd/galenactl/status.go
@@ -70,7 +70,7 @@
 type drainCmd struct {
 	Node   string        `arg:"" help:"Node ID."`
 	Reason string        `help:"Shown on the timeline."`
-	Wait   time.Duration `help:"Wait this long for the calls in flight; 0: don't."`
+	Wait   time.Duration `help:"Maximum time to wait for the calls in flight; 0 means no wait."`
 }
 
 // Run implements the command.
--- a/cmd/galenad/mesh.go
+++ b/cmd/galenad/mesh.go
@@ -31,12 +31,12 @@
 const gcPercent = 200
 
 // logFlushTimeout bounds how long the process, at its end, waits until buffered log lines are written:
-// the reader of the log may have stopped reading.
+// the process that reads its standard output may have stopped reading.
 const logFlushTimeout = 200 * time.Millisecond
 
 // runMesh runs a mesh node until a signal to stop and returns the exit code.
 func runMesh(args meshCommand) int {
-	// Must come first: until SIGHUP is handled, it ends the process.
+	// Must come first: a SIGHUP that arrives before Notify ends the process.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	cfg, exit := load(args.Config, args.Check, settings.LoadMesh)
