--- a/cmd/galenabench/log.go
+++ b/cmd/galenabench/log.go
@@ -48,7 +48,7 @@
 			_ = srv.Close()
 		}
 	})
-	announceListener("log", l.Addr().String())
+	printListener("log", l.Addr().String())
 	if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrap(err, "serve")
 	}
@@ -60,7 +60,7 @@
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// announceListener prints the name and the address of a stand-in as one JSON line, for scripts.
-func announceListener(name, addr string) {
+// printListener prints the name and the address of a stand-in as one JSON line, for scripts.
+func printListener(name, addr string) {
 	_ = json.NewEncoder(os.Stdout).Encode(map[string]string{"what": name, "listening": addr})
 }
--- a/cmd/galenabench/main.go
+++ b/cmd/galenabench/main.go
@@ -69,7 +69,7 @@
 
 // Run prints one JSON line.
 func (c *latencyCmd) Run() error {
-	added, err := bench.MeasureAdded(c.Rate, c.For, c.Seed)
+	added, err := bench.MeasureAddedLatency(c.Rate, c.For, c.Seed)
 	if err != nil {
 		return err
 	}
--- a/cmd/galenabench/upstream.go
+++ b/cmd/galenabench/upstream.go
@@ -21,7 +21,8 @@
 const (
 	// announcePeriod is the time between two announcements of an upstream to its node.
 	announcePeriod = time.Second
-	// drainPollInterval is how often a leaving upstream queries its node for calls in flight.
+	// drainPollInterval is the time between two queries of a leaving upstream to its node for its
+	// calls in flight.
 	drainPollInterval = 100 * time.Millisecond
 )
 
@@ -58,7 +59,7 @@
 	}
 	defer srv.Crash()
 	a.announcement = node.Announcement{Service: c.Service, Address: srv.Addr(), Slots: c.Slots, Connections: c.Connections}
-	announceListener("upstream "+c.Service, srv.Addr())
+	printListener("upstream "+c.Service, srv.Addr())
 	ctx, cancel := onSignal()
 	defer cancel()
 	a.run(ctx)
@@ -99,7 +100,8 @@
 	return resp.StatusCode, body, err
 }
 
-// announcer sends the upstream's announcements to its node and queries the node's state of it.
+// announcer sends the upstream's announcements to its node and queries the node for the upstream's
+// state.
 type announcer struct {
 	exit         string
 	announcement node.Announcement
--- a/internal/bench/callers.go
+++ b/internal/bench/callers.go
@@ -40,13 +40,14 @@
 	Code int
 	// Ran is what the caller knows about the execution; empty under the baseline.
 	Ran result.Ran
-	// Success reports a response with a good status and a body of the announced
-	// length.
+	// Success reports a response with status 200 and a body of the length that the
+	// response announced.
 	Success bool
-	// Whole reports that the body was complete and unchanged.
-	Whole bool
-	// AnswerTo and AnswerFrom are the operation and the service that the body names.
-	AnswerTo, AnswerFrom string
+	// BodyComplete reports that the body was complete and unchanged.
+	BodyComplete bool
+	// ResponseRequest and ResponseService are the operation and the service that the
+	// body names.
+	ResponseRequest, ResponseService string
 	// Err is the error or the problem detail of a failed attempt.
 	Err string
 }
@@ -59,9 +60,9 @@
 		s.Err = err.Error()
 		return false
 	}
-	s.Whole = a.IsComplete()
-	s.AnswerTo, s.AnswerFrom = a.Op, a.Service
-	return s.Whole && a.Op == o.Op && a.Service == o.Kind.Service
+	s.BodyComplete = a.IsComplete()
+	s.ResponseRequest, s.ResponseService = a.Op, a.Service
+	return s.BodyComplete && a.Op == o.Op && a.Service == o.Kind.Service
 }
 
 // Outcome is one caller's request with all its attempts.
@@ -71,7 +72,8 @@
 	Level   callctx.Level
 	Arrived time.Duration // since the run's start
 	Latency time.Duration
-	// Good reports that the complete response to this request arrived within Patience.
+	// Good reports that the complete response to this request arrived within
+	// CallerTimeout.
 	Good bool
 	// Poison requests crash every upstream that runs them, so they never succeed.
 	Poison bool
@@ -179,8 +181,8 @@
 	return callctx.LevelLow
 }
 
-// sendWithRetries sends attempts until one succeeds, Patience has passed or MaxSends
-// is reached. The attempts use the entry nodes in turn.
+// sendWithRetries sends attempts until one succeeds, CallerTimeout has passed or
+// MaxAttempts is reached. The attempts use the entry nodes in turn.
 func (g *loadGenerator) sendWithRetries(o *Outcome, caller string, entries []*vm) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), CallerTimeout)
--- a/internal/bench/child.go
+++ b/internal/bench/child.go
@@ -26,9 +26,9 @@
 	ConnsPerHost = 120
 )
 
-// downstreamCaller returns the function by which an upstream calls downstream
-// services: through its node, or directly under the baseline.
-func (w *World) downstreamCaller(v *vm) upstream.CallFunc {
+// deeperServiceCaller returns the function by which an upstream calls deeper services:
+// through its node, or directly under the baseline.
+func (w *World) deeperServiceCaller(v *vm) upstream.CallFunc {
 	if w.policy == PolicyBaseline {
 		return func(ctx context.Context, step upstream.Step, parent http.Header) (int, []byte, error) {
 			return w.baseline.call(ctx, v.zone, step, parent)
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -58,10 +58,10 @@
 	// Settled is the time from the moment at which all nodes know each other to the
 	// last append that the start caused, in seconds.
 	Settled float64 `json:"settled_seconds"`
-	// SentBytes is the rate at which a node sends to other nodes; on average it
-	// receives as much.
+	// SentBytes is the number of bytes that a node sends to other nodes per second; on
+	// average it receives as many.
 	SentBytes float64 `json:"sent_bytes_per_second_per_node"`
-	// WireBytes is the sum of what a node sends and receives.
+	// WireBytes is the sum of the bytes that a node sends and receives per second.
 	WireBytes float64 `json:"sent_and_received_bytes_per_second_per_node"`
 	// PacketBytes is WireBytes plus an estimate for TCP and IP: one header per write
 	// and one per acknowledgement.
@@ -73,8 +73,8 @@
 	Dials       float64 `json:"dials_per_second_per_node"`
 	LogReads    float64 `json:"log_reads_per_second"`
 	LogAppends  float64 `json:"log_appends_per_second"`
-	// HeadAge is the median age of a node's newest observation of the log's head,
-	// over all nodes and samples; MaxHeadAge is the highest.
+	// HeadAge is the median age, in ms, of a node's newest observation of the log's
+	// head, over all nodes and samples; MaxHeadAge is the highest.
 	HeadAge    float64 `json:"proof_age_ms_median"`
 	MaxHeadAge float64 `json:"proof_age_ms_oldest"`
 	// CPU is the CPU time of the whole process, log and harness included, divided by
@@ -83,9 +83,10 @@
 	HeapBytes float64 `json:"heap_bytes_per_node"`
 	// Resident is the resident memory of the process divided by the number of nodes.
 	Resident float64 `json:"resident_bytes_per_node"`
-	// ApplyMillisLogUp are the times from the append until the last node applies the
-	// configuration. AcceptedOut are the times from an outage of the log, which
-	// begins as soon as the first node applies it, until the last node does.
+	// ApplyMillisLogUp are the times, in ms, from the append of a configuration change
+	// until the last node applies it. ApplyMillisLogOut are the times, in ms, from the
+	// start of a log outage until the last node applies the change; the outage starts
+	// as soon as the first node applies it.
 	ApplyMillisLogUp  []float64 `json:"config_ms_worst_node_log_up"`
 	ApplyMillisLogOut []float64 `json:"config_ms_worst_node_log_out"`
 }
--- a/internal/bench/control_measure.go
+++ b/internal/bench/control_measure.go
@@ -16,19 +16,20 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// controlCounts is a snapshot of all counters, summed over the nodes.
+// controlCounts is a snapshot of all counters, summed over the nodes. peerBytes and
+// logBytes are the bytes on the connections between nodes and to the log.
 type controlCounts struct {
-	at                             time.Time
-	cpu                            time.Duration
-	peerBytes, packets, dials, log int64
-	stats                          server.ControlStats
+	at                                  time.Time
+	cpu                                 time.Duration
+	peerBytes, packets, dials, logBytes int64
+	stats                               server.ControlStats
 }
 
 func (w *controlWorld) counts() controlCounts {
 	c := controlCounts{
 		at: time.Now(), cpu: processTime(),
 		peerBytes: w.peers.bytes.Load(), packets: w.peers.packets.Load(), dials: w.peers.dials.Load(),
-		log: w.logs.bytes.Load(),
+		logBytes: w.logs.bytes.Load(),
 	}
 	for _, n := range w.nodes {
 		s := n.ControlStats()
@@ -42,8 +43,8 @@
 	return c
 }
 
-// measureIdle measures the nodes for Duration, while nothing but a publication every
-// ChangeEvery happens.
+// measureIdle measures the nodes for Duration. The only activity is a publication every
+// ChangeEvery.
 func (w *controlWorld) measureIdle() ControlResult {
 	before := w.counts()
 	end := time.NewTimer(w.opts.Duration)
@@ -94,7 +95,7 @@
 		Members: w.opts.Members, Zones: w.opts.Zones,
 		SentBytes: sent, WireBytes: 2 * sent,
 		PacketBytes: 2 * (sent + 2*packetHeaderBytes*packets),
-		LogBytes:    float64(after.log-before.log) / perNode,
+		LogBytes:    float64(after.logBytes-before.logBytes) / perNode,
 		Messages:    float64(messages) / perNode,
 		Exchanges:   float64(after.stats.Exchanges-before.stats.Exchanges) / perNode,
 		Probes:      float64(after.stats.Probes-before.stats.Probes) / perNode,
@@ -132,7 +133,8 @@
 func (w *controlWorld) timeChange(outage bool) (float64, error) {
 	if outage {
 		// A short outage ends the long polls of all readers first. Otherwise the
-		// append itself would answer all of them.
+		// append itself would complete all of them, and every reader would have the
+		// change before the outage.
 		w.log.Update(func(k *logd.Knobs) { k.Outage = true })
 		time.Sleep(50 * time.Millisecond)
 		w.log.Update(func(k *logd.Knobs) { k.Outage = false })
--- a/internal/bench/deployment.go
+++ b/internal/bench/deployment.go
@@ -18,7 +18,7 @@
 	Upstreams   int
 	Slots       int
 	Connections int
-	// Operations are by path.
+	// Operations maps the path of a request to how the service handles it.
 	Operations map[string]upstream.Operation
 }
 
@@ -135,7 +135,7 @@
 
 // occupancy returns the time, in seconds, for which one request for path occupies a
 // slot of its own service. It adds the slot seconds that the request uses at each
-// service, downstream calls included, to use.
+// service, calls to deeper services included, to use.
 func (d *Deployment) occupancy(service, path string, slowdown map[string]float64, use map[string]float64) float64 {
 	op := d.service(service).Operations[path]
 	t := op.Mean.Seconds() * factor(slowdown, service)
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -102,7 +102,7 @@
 	ctx, cancel := context.WithTimeout(w.ctx, stopTimeout)
 	defer cancel()
 	cutCalls := v.currentNode().Shutdown(ctx)
-	w.recordStop(cutCalls, v.server.LastStart().Sub(requested))
+	w.recordStop(cutCalls, v.server.LastRunStart().Sub(requested))
 	if err := w.startNode(v); err != nil {
 		return
 	}
--- a/internal/bench/latency.go
+++ b/internal/bench/latency.go
@@ -15,9 +15,10 @@
 	"github.com/galenagrade/galenagrade/internal/standin/upstream"
 )
 
-// Added is the latency that a hop through the nodes adds to a direct call: the
-// difference of the quantiles of both kinds of call, which alternate in one run.
-type Added struct {
+// AddedLatency is the latency, in µs, that a hop through the nodes adds to a direct
+// call: the difference of the quantiles of both kinds of call, which alternate in one
+// run.
+type AddedLatency struct {
 	Rate      float64 `json:"rate_rps"`
 	Nodes     int     `json:"nodes"`
 	Calls     int     `json:"calls"`
@@ -51,16 +52,16 @@
 	}
 }
 
-// MeasureAdded makes rate calls per second for d, every other one directly to the
-// upstream, and returns the added latency.
-func MeasureAdded(rate float64, d time.Duration, seed uint64) (Added, error) {
+// MeasureAddedLatency makes rate calls per second for d, every other one directly to
+// the upstream, and returns the added latency.
+func MeasureAddedLatency(rate float64, d time.Duration, seed uint64) (AddedLatency, error) {
 	// An earlier run in this process leaves closing connections and garbage on the
 	// heap, which would disturb the measurement.
 	time.Sleep(cooldown)
 	runtime.GC()
 	w, err := NewWorld(latencyDeployment(), PolicyGalenagrade, seed)
 	if err != nil {
-		return Added{}, err
+		return AddedLatency{}, err
 	}
 	defer w.Close()
 	warmup := &latencyRun{world: w, client: latencyClient()}
@@ -68,12 +69,12 @@
 	run := &latencyRun{world: w, client: warmup.client}
 	run.offer(rate, d)
 	if len(run.direct) == 0 || len(run.routed) == 0 {
-		return Added{}, errors.New("no direct call or no routed call succeeded")
+		return AddedLatency{}, errors.New("no direct call or no routed call succeeded")
 	}
 	slices.Sort(run.direct)
 	slices.Sort(run.routed)
 	micros := func(list []time.Duration, q float64) int64 { return quantile(list, q).Microseconds() }
-	return Added{
+	return AddedLatency{
 		Rate: rate, Nodes: len(w.allVMs()), Calls: len(run.direct) + len(run.routed), Failed: run.failed,
 		DirectP50: micros(run.direct, 0.50),
 		DirectP99: micros(run.direct, 0.99),
--- a/internal/bench/measure.go
+++ b/internal/bench/measure.go
@@ -63,8 +63,8 @@
 func (ph phases) underPressure(t time.Duration) bool { return t >= ph.pressure && t < ph.recovery }
 
 // measureGoodput counts responses that arrived in the pressure phase. A later response
-// doesn't count, even if its request arrived during pressure: upstreams that have
-// recovered served it.
+// doesn't count, even if its request arrived during pressure, because upstreams that
+// have recovered served it.
 func (w *World) measureGoodput(r *Result, outcomes []*Outcome, ph phases) {
 	var good, goodWorth float64
 	var critical shareCounter
--- a/internal/bench/record.go
+++ b/internal/bench/record.go
@@ -91,7 +91,7 @@
 func sendRecord(o *Outcome, s Attempt) history.Send {
 	return history.Send{
 		Request: o.Op, Attempt: s.ID, Service: o.Kind.Service,
-		Code: result.Code(s.Code), Success: s.Success, BodyComplete: s.Whole,
-		ResponseRequest: s.AnswerTo, ResponseService: s.AnswerFrom, Err: s.Err,
+		Code: result.Code(s.Code), Success: s.Success, BodyComplete: s.BodyComplete,
+		ResponseRequest: s.ResponseRequest, ResponseService: s.ResponseService, Err: s.Err,
 	}
 }
--- a/internal/bench/report/seconds.go
+++ b/internal/bench/report/seconds.go
@@ -15,15 +15,15 @@
 	Status   int // HTTP status; 0 without a response
 }
 
-// WritePerSecond prints a table with one line for each of the seconds after begun, with the
-// outcomes of the requests that began in it. note returns the text at the end of a line;
-// its argument is the time from begun to the start of that second.
-func WritePerSecond(out io.Writer, outcomes []Outcome, begun time.Time, seconds int, note func(time.Duration) string) {
+// WritePerSecond prints a table with one line for each of the first seconds after start,
+// with the outcomes of the requests that began in it. note returns the text at the end of
+// a line; its argument is the time from start to the beginning of that second.
+func WritePerSecond(out io.Writer, outcomes []Outcome, start time.Time, seconds int, note func(time.Duration) string) {
 	fmt.Fprintln(out, "second  sent  served  refused  failed   p50 ms   p99 ms")
 	for second := range seconds {
 		at := time.Duration(second) * time.Second
-		from := begun.Add(at)
-		var took []time.Duration
+		from := start.Add(at)
+		var latencies []time.Duration
 		sent, refused, failed := 0, 0, 0
 		for _, o := range outcomes {
 			if o.Start.Before(from) || !o.Start.Before(from.Add(time.Second)) {
@@ -32,16 +32,16 @@
 			sent++
 			switch o.Status {
 			case http.StatusOK:
-				took = append(took, o.Duration)
+				latencies = append(latencies, o.Duration)
 			case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 				refused++
 			default:
 				failed++
 			}
 		}
-		slices.Sort(took)
-		fmt.Fprintf(out, "%6d %5d %7d %8d %7d %8.1f %8.1f  %s\n", second, sent, len(took), refused, failed,
-			milliseconds(took, 0.5), milliseconds(took, 0.99), note(at))
+		slices.Sort(latencies)
+		fmt.Fprintf(out, "%6d %5d %7d %8d %7d %8.1f %8.1f  %s\n", second, sent, len(latencies), refused, failed,
+			milliseconds(latencies, 0.5), milliseconds(latencies, 0.99), note(at))
 	}
 }
 
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -19,7 +19,9 @@
 	// Goodput is the number of good responses during pressure, divided by the number
 	// that the upstreams could have served of the offered load. Requests in flight at
 	// the start of pressure count, those in flight at its end don't.
-	Goodput         float64 `json:"goodput"`
+	Goodput float64 `json:"goodput"`
+	// WeightedGoodput is the worth of the good responses during pressure, divided by
+	// the highest worth that the upstreams could have served of the offered load.
 	WeightedGoodput float64 `json:"weighted_goodput"`
 	// CriticalServed is the share of requests of the highest priority that arrived
 	// during pressure and got a good response.
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -45,10 +45,10 @@
 // RunWith runs one scenario on a deployment. It also returns the run's history, on
 // which the figures on invariants are based.
 func RunWith(s Scenario, d *Deployment, opts Options) (Result, *history.History, error) {
-	var latency Added
+	var latency AddedLatency
 	if opts.Probe > 0 && opts.Policy != PolicyBaseline {
 		var err error
-		if latency, err = MeasureAdded(probeRate, opts.Probe, opts.Seed); err != nil {
+		if latency, err = MeasureAddedLatency(probeRate, opts.Probe, opts.Seed); err != nil {
 			return Result{}, nil, errors.Wrap(err, "latency probe")
 		}
 	}
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -53,11 +53,13 @@
 	slots               int
 	server              *upstream.Server
 	stopping            atomic.Bool
-	// gate is closed while the VM's node is paused.
+	// gate blocks the traffic of the VM's node while the node is paused.
 	gate *pauseGate
 
-	mu            sync.Mutex
-	node          *server.Server
+	mu   sync.Mutex
+	node *server.Server
+	// callers, exit and inner are the node's listen addresses for callers, for its
+	// upstream and for other nodes.
 	callers, exit string
 	inner         string
 }
@@ -205,7 +207,7 @@
 	v.server = upstream.New(upstream.Config{
 		Name: name, Service: svc.Name, Slots: svc.Slots, Connections: svc.Connections,
 		Operations: svc.Operations, Seed: w.seed*1000 + uint64(len(w.allVMs())+1),
-	}, w.downstreamCaller(v), w.ledger)
+	}, w.deeperServiceCaller(v), w.ledger)
 	if err := v.server.Start(); err != nil {
 		return err
 	}
@@ -344,8 +346,8 @@
 	return errors.Errorf("nodes were not ready within %s", readyTimeout)
 }
 
-// ready reports whether every node routes to every upstream, has its configuration and
-// the owners of keys are settled.
+// ready reports whether every node routes to every upstream, has its configuration, and
+// the owners of the keys of its service are settled.
 func (w *World) ready() bool {
 	for _, v := range w.allVMs() {
 		n := v.currentNode()
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -121,9 +121,9 @@
 	return &net.OpError{Op: "dial", Net: "tcp", Err: ErrPartitioned}
 }
 
-// conn delays its traffic and may be blackholed. Both delays are applied at the
-// dialling side, to its writes and its reads, so that the accepting side needs no
-// wrapper.
+// conn delays its traffic and may be blackholed. The delays of both directions are
+// applied at the dialling side, to its writes and its reads, so that the accepting
+// side needs no wrapper.
 type conn struct {
 	net.Conn
 	network  *Network
--- a/internal/standin/logd/logd.go
+++ b/internal/standin/logd/logd.go
@@ -201,8 +201,8 @@
 }
 
 // readPage returns the entries that are present from offset from on, and the
-// channel that the next append closes. A page holds at least one entry if there
-// is one, else at most MaxPageBytes/2 of bodies.
+// channel that the next append closes. A page holds the first entry whatever its
+// size, and further ones while the bodies together are at most MaxPageBytes/2.
 func (s *Server) readPage(from int64, max int) (logstore.Page, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -1,5 +1,5 @@
 // Package upstream is a stand-in for an upstream: it has a fixed number of slots
-// and a service time, calls downstream services, and can crash, slow down and
+// and a service time, calls deeper services, and can crash, slow down and
 // start cold. It records its executions in a Ledger, independently of the nodes.
 package upstream
 
@@ -35,7 +35,7 @@
 	HeaderIssued = "X-Bench-Issued"
 )
 
-// Step is one call to a downstream service.
+// Step is one call to a deeper service.
 type Step struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
@@ -66,7 +66,7 @@
 	Seed uint64
 }
 
-// CallFunc calls a downstream service for the request whose headers are parent. It
+// CallFunc calls a deeper service for the request whose headers are parent. It
 // returns the HTTP status and the body of the response.
 type CallFunc func(ctx context.Context, step Step, parent http.Header) (status int, body []byte, err error)
 
@@ -123,15 +123,15 @@
 	// waiting counts the requests that wait for a slot.
 	waiting atomic.Int64
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	listener  net.Listener
-	server    *http.Server
-	addr      string
-	crashes   int
-	started   time.Time
-	warmup    time.Duration
-	lastStart time.Time
+	mu           sync.Mutex
+	rng          *rand.Rand
+	listener     net.Listener
+	server       *http.Server
+	addr         string
+	crashes      int
+	started      time.Time
+	warmup       time.Duration
+	lastRunStart time.Time
 }
 
 // New returns an upstream that doesn't listen yet.
@@ -206,8 +206,8 @@
 // SetSlowdown sets the factor on all service times that are not fixed.
 func (s *Server) SetSlowdown(factor float64) { s.slowdownMilli.Store(int64(factor * 1000)) }
 
-// SetWarmup makes service times fall linearly from 10 times to normal over d after
-// each start from now on.
+// SetWarmup makes service times fall linearly from 10 times the normal to the normal
+// value over d after each start from now on.
 func (s *Server) SetWarmup(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,8 +223,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// Half is constant and half exponential, which gives a minimum and a long tail.
-	// The tail is cut at 6 times its mean.
+	// Half is constant and half exponential, which gives a minimum, as real work has,
+	// and a long tail. The tail is cut at 6 times its mean.
 	d := float64(op.Mean) * (0.5 + 0.5*min(s.rng.ExpFloat64(), 6))
 	if remaining := s.warmup - time.Since(s.started); remaining > 0 {
 		d *= 1 + (warmupSlowdown-1)*float64(remaining)/float64(s.warmup)
@@ -233,8 +233,8 @@
 }
 
 // ServeHTTP handles one request: it waits for a slot, sleeps for the service time
-// and calls the steps. Without a slot, or without the service time, before the
-// deadline the response is 504; a failed step gives 502.
+// and calls the steps. The response is 504 if the deadline passes before the end of
+// the service time, and 502 if a step fails.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	op, ok := s.cfg.Operations[r.URL.Path]
 	if !ok {
@@ -257,7 +257,7 @@
 		Key:      r.Header.Get("Idempotency-Key"),
 		Poison:   r.Header.Get(HeaderPoison) == s.cfg.Service,
 	})
-	s.recordStart()
+	s.recordRunStart()
 	if run.Poison {
 		go s.Crash()
 		<-r.Context().Done()
@@ -283,17 +283,17 @@
 	return len(s.slots), int(s.waiting.Load())
 }
 
-func (s *Server) recordStart() {
+func (s *Server) recordRunStart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastStart = time.Now()
+	s.lastRunStart = time.Now()
 }
 
-// LastStart returns the start time of the latest execution; zero before the first.
-func (s *Server) LastStart() time.Time {
+// LastRunStart returns the start time of the latest execution; zero before the first.
+func (s *Server) LastRunStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lastStart
+	return s.lastRunStart
 }
 
 func (s *Server) execute(ctx context.Context, w http.ResponseWriter, r *http.Request, op Operation, run *Run) {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait provides waits with a time limit that end early when a context or a channel does.
+// Package wait provides waits with a time limit that end early when a context ends or a channel
+// delivers a signal.
 package wait
 
 import (
