--- a/cmd/galenabench/load.go
+++ b/cmd/galenabench/load.go
@@ -119,7 +119,7 @@
 // request sends one request. It returns status 0 when no complete response arrived; code is the name
 // under which the report counts the result.
 func (l *loader) request(target string, caller int) (status int, code, requestID string) {
-	req, err := http.NewRequest(l.cfg.Method, url(target)+l.cfg.Path, bytes.NewReader(nil))
+	req, err := http.NewRequest(l.cfg.Method, baseURL(target)+l.cfg.Path, bytes.NewReader(nil))
 	if err != nil {
 		return 0, "bad request", ""
 	}
@@ -155,7 +155,8 @@
 	return fmt.Sprintf("%d %s", n, result.Code(n))
 }
 
-func url(target string) string {
+// baseURL returns target as a URL; the scheme defaults to http.
+func baseURL(target string) string {
 	if strings.Contains(target, "://") {
 		return target
 	}
--- a/internal/bench/callers.go
+++ b/internal/bench/callers.go
@@ -53,16 +53,16 @@
 }
 
 // recordBody records the body of a success and reports whether it is the response to o.
-func (s *Attempt) recordBody(body []byte, o *Outcome) bool {
-	s.Success = true
-	var a upstream.Response
-	if err := json.Unmarshal(body, &a); err != nil {
-		s.Err = err.Error()
+func (a *Attempt) recordBody(body []byte, o *Outcome) bool {
+	a.Success = true
+	var resp upstream.Response
+	if err := json.Unmarshal(body, &resp); err != nil {
+		a.Err = err.Error()
 		return false
 	}
-	s.BodyComplete = a.IsComplete()
-	s.ResponseRequest, s.ResponseService = a.Op, a.Service
-	return s.BodyComplete && a.Op == o.Op && a.Service == o.Kind.Service
+	a.BodyComplete = resp.IsComplete()
+	a.ResponseRequest, a.ResponseService = resp.Op, resp.Service
+	return a.BodyComplete && resp.Op == o.Op && resp.Service == o.Kind.Service
 }
 
 // Outcome is one caller's request with all its attempts.
@@ -188,9 +188,9 @@
 	ctx, cancel := context.WithTimeout(context.Background(), CallerTimeout)
 	defer cancel()
 	for i := range MaxAttempts {
-		s := Attempt{ID: o.Op + "." + strconv.Itoa(i)}
-		ok := g.sendAttempt(ctx, o, &s, caller, entries[i%len(entries)])
-		o.Attempts = append(o.Attempts, s)
+		a := Attempt{ID: o.Op + "." + strconv.Itoa(i)}
+		ok := g.sendAttempt(ctx, o, &a, caller, entries[i%len(entries)])
+		o.Attempts = append(o.Attempts, a)
 		if ok {
 			o.Latency = time.Since(began)
 			o.Good = o.Latency <= CallerTimeout
@@ -207,12 +207,12 @@
 	}
 }
 
-func (g *loadGenerator) sendAttempt(ctx context.Context, o *Outcome, s *Attempt, caller string, entry *vm) bool {
+func (g *loadGenerator) sendAttempt(ctx context.Context, o *Outcome, a *Attempt, caller string, entry *vm) bool {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	header := http.Header{}
 	header.Set(upstream.HeaderOp, o.Op)
-	header.Set(upstream.HeaderAttempt, s.ID)
+	header.Set(upstream.HeaderAttempt, a.ID)
 	issuedAt := o.keyIssuedAt.UTC().Format(time.RFC3339Nano)
 	header.Set(callctx.HeaderIssuedAt, issuedAt)
 	header.Set(upstream.HeaderIssued, issuedAt)
@@ -220,7 +220,7 @@
 		header.Set(upstream.HeaderPoison, o.Kind.Service)
 	}
 	if g.world.policy == PolicyBaseline {
-		return g.sendBaselineAttempt(ctx, o, s, header)
+		return g.sendBaselineAttempt(ctx, o, a, header)
 	}
 	addr, _ := entry.addresses()
 	req, err := http.NewRequestWithContext(ctx, o.Kind.Method, "http://"+addr+o.Kind.Path+"?q="+o.Op, nil)
@@ -238,25 +238,25 @@
 	}
 	resp, err := g.client.Do(req)
 	if err != nil {
-		s.Err = err.Error()
-		s.Ran = ranAfterError(err)
+		a.Err = err.Error()
+		a.Ran = ranAfterError(err)
 		return false
 	}
 	defer func() { _ = resp.Body.Close() }()
-	s.Code, _ = strconv.Atoi(resp.Header.Get(result.HeaderResult))
-	s.Ran = result.Code(s.Code).Ran()
+	a.Code, _ = strconv.Atoi(resp.Header.Get(result.HeaderResult))
+	a.Ran = result.Code(a.Code).Ran()
 	if resp.StatusCode != http.StatusOK {
 		var p result.Problem
 		_ = json.NewDecoder(resp.Body).Decode(&p)
-		s.Err = p.Detail
+		a.Err = p.Detail
 		return false
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		s.Err = err.Error()
+		a.Err = err.Error()
 		return false
 	}
-	return s.recordBody(body, o)
+	return a.recordBody(body, o)
 }
 
 // ranAfterError returns what a caller knows about the execution of an attempt
@@ -269,13 +269,13 @@
 	return result.RanUnknown
 }
 
-func (g *loadGenerator) sendBaselineAttempt(ctx context.Context, o *Outcome, s *Attempt, header http.Header) bool {
+func (g *loadGenerator) sendBaselineAttempt(ctx context.Context, o *Outcome, a *Attempt, header http.Header) bool {
 	step := upstream.Step{Service: o.Kind.Service, Method: o.Kind.Method, Path: o.Kind.Path}
 	status, body, err := g.world.baseline.call(ctx, clientsLocation, step, header)
 	if err != nil || status != http.StatusOK {
 		return false
 	}
-	return s.recordBody(body, o)
+	return a.recordBody(body, o)
 }
 
 func (g *loadGenerator) wait() []*Outcome {
--- a/internal/bench/measure.go
+++ b/internal/bench/measure.go
@@ -185,10 +185,10 @@
 	}
 	r.MaxCrashes = maxCrashesOfOneRequest(h.Runs)
 	for _, o := range outcomes {
-		for _, s := range o.Attempts {
-			r.Codes[s.Code]++
-			if s.Err != "" {
-				r.Details[s.Code] = s.Err
+		for _, a := range o.Attempts {
+			r.Codes[a.Code]++
+			if a.Err != "" {
+				r.Details[a.Code] = a.Err
 			}
 		}
 	}
--- a/internal/bench/measure_keyed.go
+++ b/internal/bench/measure_keyed.go
@@ -57,8 +57,8 @@
 	if o.Good || len(o.Attempts) == 0 {
 		return
 	}
-	for _, s := range o.Attempts {
-		if s.Ran == result.RanUnknown || s.Ran == "" {
+	for _, a := range o.Attempts {
+		if a.Ran == result.RanUnknown || a.Ran == "" {
 			r.UnknownOutcomes++
 			return
 		}
--- a/internal/bench/operators.go
+++ b/internal/bench/operators.go
@@ -154,20 +154,20 @@
 // every operator got a decision.
 func (o *operators) countRound(service string, results []publishResult) {
 	var winners []publishResult
-	for _, t := range results {
-		if t.decided && t.decision.Outcome == policy.Accepted {
-			winners = append(winners, t)
-			o.watch.addAccepted(acceptedChange{service: service, version: t.decision.Version, at: t.at})
+	for _, r := range results {
+		if r.decided && r.decision.Outcome == policy.Accepted {
+			winners = append(winners, r)
+			o.watch.addAccepted(acceptedChange{service: service, version: r.decision.Version, at: r.at})
 		}
 	}
-	for _, t := range results {
-		if !t.decided {
+	for _, r := range results {
+		if !r.decided {
 			return
 		}
 	}
 	consistent := len(winners) == 1
-	for _, t := range results {
-		if consistent && t.author != winners[0].author && !conflictsWith(t.decision, winners[0].author) {
+	for _, r := range results {
+		if consistent && r.author != winners[0].author && !conflictsWith(r.decision, winners[0].author) {
 			consistent = false
 		}
 	}
--- a/internal/bench/record.go
+++ b/internal/bench/record.go
@@ -66,8 +66,8 @@
 func (w *World) history(outcomes []*Outcome) *history.History {
 	h := &history.History{Versions: w.versions.snapshot()}
 	for _, o := range outcomes {
-		for _, s := range o.Attempts {
-			h.Sends = append(h.Sends, sendRecord(o, s))
+		for _, a := range o.Attempts {
+			h.Sends = append(h.Sends, sendRecord(o, a))
 		}
 	}
 	for _, r := range w.ledger.Runs() {
@@ -88,10 +88,10 @@
 	return h
 }
 
-func sendRecord(o *Outcome, s Attempt) history.Send {
+func sendRecord(o *Outcome, a Attempt) history.Send {
 	return history.Send{
-		Request: o.Op, Attempt: s.ID, Service: o.Kind.Service,
-		Code: result.Code(s.Code), Success: s.Success, BodyComplete: s.BodyComplete,
-		ResponseRequest: s.ResponseRequest, ResponseService: s.ResponseService, Err: s.Err,
+		Request: o.Op, Attempt: a.ID, Service: o.Kind.Service,
+		Code: result.Code(a.Code), Success: a.Success, BodyComplete: a.BodyComplete,
+		ResponseRequest: a.ResponseRequest, ResponseService: a.ResponseService, Err: a.Err,
 	}
 }
--- a/internal/bench/report/seconds_test.go
+++ b/internal/bench/report/seconds_test.go
@@ -12,14 +12,14 @@
 
 // Guards against outcomes that are counted in the wrong second or column.
 func TestSecondsCountsOutcomesPerSecond(t *testing.T) {
-	begun := time.Now()
-	at := func(ms int) time.Time { return begun.Add(time.Duration(ms) * time.Millisecond) }
+	start := time.Now()
+	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	var out bytes.Buffer
 	WritePerSecond(&out, []Outcome{
 		{Start: at(0), Duration: 20 * time.Millisecond, Status: http.StatusOK},
 		{Start: at(999), Duration: 40 * time.Millisecond, Status: http.StatusServiceUnavailable},
 		{Start: at(1000), Status: 0},
-	}, begun, 2, func(since time.Duration) string {
+	}, start, 2, func(since time.Duration) string {
 		if since < time.Second {
 			return ""
 		}
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -322,7 +322,7 @@
 }
 
 // IsComplete reports whether the filler arrived in full and unchanged.
-func (a *Response) IsComplete() bool { return a.Filler == filler }
+func (r *Response) IsComplete() bool { return r.Filler == filler }
 
 // fillerBytes makes a response about 1 KB long.
 const fillerBytes = 900
