--- a/internal/bench/measure.go
+++ b/internal/bench/measure.go
@@ -63,8 +63,8 @@
 func (ph phases) underPressure(t time.Duration) bool { return t >= ph.pressure && t < ph.recovery }
 
 // measureGoodput counts responses that arrived in the pressure phase. A later response
-// doesn't count, even if its request arrived during pressure: upstreams that have
-// recovered served it.
+// doesn't count, even if its request arrived during pressure, because upstreams that
+// have recovered served it.
 func (w *World) measureGoodput(r *Result, outcomes []*Outcome, ph phases) {
 	var good, goodWorth float64
 	var critical shareCounter
@@ -185,10 +185,10 @@
 	}
 	r.MaxCrashes = maxCrashesOfOneRequest(h.Runs)
 	for _, o := range outcomes {
-		for _, s := range o.Attempts {
-			r.Codes[s.Code]++
-			if s.Err != "" {
-				r.Details[s.Code] = s.Err
+		for _, a := range o.Attempts {
+			r.Codes[a.Code]++
+			if a.Err != "" {
+				r.Details[a.Code] = a.Err
 			}
 		}
 	}
