--- a/internal/lease/authority.go
+++ b/internal/lease/authority.go
@@ -48,7 +48,7 @@
 	l.observedHead = head
 }
 
-// Promise records a promise of the process at addr. requestedAt is the At of the AskPromise
+// Promise records a promise of the process at addr. requestedAt is the At of the RequestPromise
 // action; the promise covers the slots that self owned at that time. If the guard known at addr
 // has stopped and a newer incarnation has its address, the promise of the newer one counts for
 // both: the old process can no longer append a takeover.
--- a/internal/lease/handover.go
+++ b/internal/lease/handover.go
@@ -21,7 +21,7 @@
 	// EffectiveIn is the remaining time until the sender's own takeover takes effect.
 	EffectiveIn time.Duration `json:"effectiveIn,omitempty"`
 	// UnknownBefore is the wall clock time before which issued keys have an unknown outcome at the
-	// sender; zero if there are none. It is only compared with wall clock times. CleanIn is the
+	// sender; zero if there are none. It is only compared with wall clock times. UnknownFor is the
 	// remaining time during which they stay unknown.
 	UnknownBefore time.Time     `json:"unknownBefore,omitzero"`
 	UnknownFor    time.Duration `json:"cleanIn,omitempty"`
@@ -62,7 +62,7 @@
 	return handed
 }
 
-// Reclaim takes back released slots after the receiver has refused or has not responded. The log
+// Reclaim takes back released slots after the receiver refused the hand-over or did not respond. The log
 // decides between the two guards: if the receiver's takeover comes first, this record is void.
 func (l *Lessor) Reclaim(now time.Time) (AppendTakeover, bool) {
 	var slots []int
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// ApplyJoin folds a join record. serves reports whether the member is a guard of this service. Joins
-// of other members are folded as well, because they show that an address has a new process.
+// ApplyJoin folds a join record. serves reports whether the member is a guard of this service.
+// Joins of other members are folded as well, because they show that an address has a new process.
 func (l *Lessor) ApplyJoin(now time.Time, offset int64, id Identity, addr string, serves bool) {
 	if !l.acceptOffset(offset) {
 		return
@@ -163,8 +163,8 @@
 	l.stopped = l.stopped || id == l.self
 }
 
-// ApplyEvict folds an evict record: later takeovers of the incarnation are void. The record does not
-// show that the process has stopped.
+// ApplyEvict folds an evict record: later takeovers of the incarnation are void. The record does
+// not show that the process has stopped.
 func (l *Lessor) ApplyEvict(now time.Time, offset int64, id Identity) {
 	if !l.acceptOffset(offset) {
 		return
--- a/internal/lease/promise_test.go
+++ b/internal/lease/promise_test.go
@@ -11,10 +11,10 @@
 // the receiver's earlier promise to the sender blocks its takeover.
 func TestHandOverEndsThePromiseGivenToItsSender(t *testing.T) {
 	now := time.Unix(1000, 0)
-	owner, taker := Identity{Node: "a", Incarnation: 1}, Identity{Node: "b", Incarnation: 1}
-	l := NewLessor(DefaultConfig(), Options{Self: taker, Addr: "b:1", Service: "s"})
+	owner, receiver := Identity{Node: "a", Incarnation: 1}, Identity{Node: "b", Incarnation: 1}
+	l := NewLessor(DefaultConfig(), Options{Self: receiver, Addr: "b:1", Service: "s"})
 	l.ApplyJoin(now, 0, owner, "a:1", true)
-	l.ApplyJoin(now, 1, taker, "b:1", true)
+	l.ApplyJoin(now, 1, receiver, "b:1", true)
 	var all []int
 	for i := range DefaultConfig().Slots {
 		all = append(all, i)
@@ -23,7 +23,7 @@
 	l.ObservePeerHead(owner, 3)
 	must.True(t, l.OnPromiseRequest(now, owner, []int{7, 8}))
 	must.True(t, l.ImportedHandOver(now, HandOver{From: owner, Slots: []HandedSlot{{Slot: 7, Offset: 2}}}))
-	actions := l.Plan(now, []Identity{owner, taker})
+	actions := l.Plan(now, []Identity{owner, receiver})
 	must.SliceLen(t, 1, actions)
 	must.Eq(t, []int{7}, actions[0].(AppendTakeover).Record.Slots)
 }
--- a/internal/lease/property_test.go
+++ b/internal/lease/property_test.go
@@ -50,7 +50,8 @@
 	return coverage, nil
 }
 
-// Guards against the same fault in long runs; rapid's runs are short so that they shrink well. A
+// Guards against the fault of TestNeverTwoOwners in long runs; runs of rapid are short so that
+// they shrink well. A
 // narrow skew bound makes late starts likely, a wide one makes wrong issue times likely.
 func TestNeverTwoOwnersLong(t *testing.T) {
 	for _, skew := range []time.Duration{300 * time.Millisecond, 2 * time.Second} {
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -26,11 +26,12 @@
 	At time.Time `json:"at"`
 }
 
-// Action is an action that Plan requests: AskPromise, AppendTakeover or MoveSlots.
+// Action is an action that Plan requests: RequestPromise, AppendTakeover or MoveSlots.
 type Action interface{ leaseAction() }
 
-// RequestPromise requests that the process at an address, whichever it is now, promises not to take
-// over the slots. If the response is true, the caller passes it to Promise together with At.
+// RequestPromise requests a promise not to take over the slots from the process that now runs at
+// Addr, which may be a newer incarnation than To. If the process promises, the caller passes its
+// identity to Promise together with At.
 type RequestPromise struct {
 	// At is the time at which the request was planned, which is not after the time at which it was
 	// sent.
