--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -20,9 +20,9 @@
 	Body   []byte
 }
 
-func (a *Response) size() int64 {
-	n := int64(responseOverhead + len(a.Body))
-	for name, values := range a.Header {
+func (resp *Response) size() int64 {
+	n := int64(responseOverhead + len(resp.Body))
+	for name, values := range resp.Header {
 		n += int64(len(name))
 		for _, v := range values {
 			n += int64(len(v))
@@ -130,8 +130,8 @@
 }
 
 // Begin looks up the key of a call before the call runs. After Start the caller must call one of
-// Finish, NotRun and Lost with the same callID; until then the key is never removed. bodyHash
-// distinguishes requests with the same key.
+// Finish, NotRun and MarkOutcomeUnknown with the same callID; until then the key is never removed.
+// bodyHash distinguishes requests with the same key.
 func (t *Table) Begin(now time.Time, key Key, bodyHash uint64, callID string) BeginResult {
 	t.Expire(now)
 	r, ok := t.records[key]
@@ -160,20 +160,20 @@
 	return BeginResult{Kind: Start}
 }
 
-// Finish stores the response of a call. A complete response that arrives after Lost also replaces
-// the unknown outcome.
-func (t *Table) Finish(now time.Time, key Key, callID string, a Response) {
+// Finish stores the response of a call. A complete response that arrives after MarkOutcomeUnknown
+// also replaces the unknown outcome.
+func (t *Table) Finish(now time.Time, key Key, callID string, resp Response) {
 	r := t.recordOf(key, callID)
 	if r == nil || (r.state != running && r.state != outcomeUnknown) {
 		return
 	}
 	t.touch(now, r)
-	r.code = a.Code
-	t.storeResponse(now, r, &a)
+	r.code = resp.Code
+	t.storeResponse(now, r, &resp)
 }
 
 // NotRun removes a running key whose call provably had no effect, so that a resend may run. It
-// does nothing after Lost: a call that may have run keeps its unknown outcome.
+// does nothing after MarkOutcomeUnknown: a call that may have run keeps its unknown outcome.
 func (t *Table) NotRun(_ time.Time, key Key, callID string) {
 	r := t.recordOf(key, callID)
 	if r == nil || r.state != running {
@@ -182,8 +182,8 @@
 	t.remove(r)
 }
 
-// MarkOutcomeUnknown marks a running key whose call may have run but returned no complete response. Its outcome
-// is unknown.
+// MarkOutcomeUnknown records that the outcome of a running call is unknown: the call may have run
+// but returned no complete response.
 func (t *Table) MarkOutcomeUnknown(now time.Time, key Key, callID string) {
 	r := t.recordOf(key, callID)
 	if r == nil || r.state != running {
@@ -247,11 +247,11 @@
 
 // storeResponse stores a response and evicts the oldest ones until the total is within MaxBytes. A
 // response larger than MaxBytes is evicted at once; only its code is kept.
-func (t *Table) storeResponse(now time.Time, r *record, a *Response) {
+func (t *Table) storeResponse(now time.Time, r *record, resp *Response) {
 	r.state = responseStored
-	r.response = a
+	r.response = resp
 	r.storedAt = now
-	r.size = a.size()
+	r.size = resp.size()
 	r.responseElement = t.byStoredAt.PushBack(r)
 	t.storedBytes += r.size
 	for t.storedBytes > t.cfg.MaxBytes {
