--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -80,7 +80,8 @@
 // OnProbeTimeout.
 type Probe struct{ To Identity }
 
-// ProbeVia requests that a helper probes a target. The caller reports the result to OnIndirect.
+// ProbeVia requests that a helper probes a target. The caller reports the result to
+// OnIndirectProbe.
 type ProbeVia struct{ Helper, Target Identity }
 
 // Exchange requests that findings are sent to the parent in the zone's tree, which returns its
@@ -125,7 +126,7 @@
 	leader       Identity
 	peers        []Identity // sorted, self included
 	states       map[Identity]*peerState
-	unresponsive map[Identity]bool // targets that have not responded since the last response of any target
+	unresponsive map[Identity]bool // targets whose probes timed out since the last response of any target
 }
 
 // NewDetector returns a detector without peers; cfg must be valid.
@@ -250,14 +251,14 @@
 	return out
 }
 
-// OnIndirectProbe records the result of an indirect probe; answered is false if the target or the
+// OnIndirectProbe records the result of an indirect probe; responded is false if the target or the
 // helper did not respond.
-func (d *Detector) OnIndirectProbe(now time.Time, target Identity, answered bool) {
+func (d *Detector) OnIndirectProbe(now time.Time, target Identity, responded bool) {
 	s, ok := d.states[target]
 	if !ok {
 		return
 	}
-	if answered {
+	if responded {
 		d.OnProbeReply(now, target)
 		s.pendingHelpers = 0
 		return
--- a/internal/membership/elector_test.go
+++ b/internal/membership/elector_test.go
@@ -152,7 +152,7 @@
 func (c *churnSim) report(t *testing.T, name string, restarts int, start time.Time) {
 	seconds := c.now.Sub(start).Seconds()
 	extra := float64(c.messages)/seconds/float64(len(c.processes)-1) - 1
-	t.Logf("%-9v %-14s zone %d, %d restarts: %d changes, %v without an agreed leader, %+.4f of the steady messages",
+	t.Logf("%-9v %-14s zone %d, %d restarts: %d changes, %v without an agreed leader, messages %+.4f relative to one heartbeat per second per peer",
 		c.cfg.Strategy, name, len(c.processes), restarts, c.changes, c.leaderless, extra)
 }
 
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -55,6 +55,7 @@
 // stopped: a process that still runs must join again with a new incarnation.
 type Evict struct {
 	ID Identity
+	// By is the process that wrote the record.
 	By Identity
 }
 
