--- a/internal/logstore/appender.go
+++ b/internal/logstore/appender.go
@@ -104,8 +104,11 @@
 	stats AppenderStats
 }
 
-// AppenderStats holds counters since the start of the Appender, and in Queued the current
-// number of records that are queued or in flight.
+// AppenderStats holds counters since the start of the Appender. Appends and Records count the
+// append requests and the records in them, Failures the failed requests, and Uncertain the failed
+// requests that may have taken effect. Retries counts records sent again, GaveUp records whose
+// RepeatFor passed, and Refused records rejected because the queue was full. Queued is the
+// current number of records that are queued or in flight.
 type AppenderStats struct {
 	Appends, Records, Failures, Uncertain, Retries, GaveUp, Refused int64
 	Queued                                                          int
@@ -132,7 +135,7 @@
 
 // Append queues rec and waits until the reader has folded it. It returns the offset of the
 // record's first copy. If the error matches ErrUncertain, the record may be in the log or may
-// still reach it; every other error means that it is not in the log and never will be.
+// still reach it; every other error means that it is not in the log and never reaches it.
 func (a *Appender) Append(ctx context.Context, rec Record) (int64, error) {
 	p, err := a.enqueue(rec)
 	if err != nil {
--- a/internal/logstore/appender_run.go
+++ b/internal/logstore/appender_run.go
@@ -26,21 +26,21 @@
 		if len(group) == 0 {
 			continue
 		}
-		hint, failed := a.send(ctx, group)
+		retryAfter, failed := a.send(ctx, group)
 		if !failed {
 			failures = 0
 			continue
 		}
 		failures++
-		if !wait.For(ctx, max(hint, backoff(a.cfg.Rand, a.cfg.MinBackoff, a.cfg.MaxBackoff, failures))) {
+		if !wait.For(ctx, max(retryAfter, backoff(a.cfg.Rand, a.cfg.MinBackoff, a.cfg.MaxBackoff, failures))) {
 			return ctx.Err()
 		}
 	}
 }
 
 // Observe settles the records among entries, which the node's reader has folded. An
-// acknowledgement of the log does not settle a record: it can be lost, and it does not tell
-// what the fold decided.
+// acknowledgement of the log does not settle a record: it can be lost, and it does not contain
+// the decision of the fold.
 func (a *Appender) Observe(entries []Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -57,8 +57,6 @@
 	}
 }
 
-// enqueue adds rec to the queue. If a record with the same ID is pending, it returns that one.
-// enqueue adds rec to the queue. If a record with the same ID is pending, it returns that one.
 // enqueue adds rec to the queue. If a record with the same ID is pending, it returns that one.
 func (a *Appender) enqueue(rec Record) (*pendingRecord, error) {
 	if err := CheckRecords([]Record{rec}); err != nil {
@@ -122,8 +120,6 @@
 	close(p.settled)
 }
 
-// settleAll settles all pending records when Run returns.
-// settleAll settles all pending records when Run returns.
 // settleAll settles all pending records when Run returns.
 func (a *Appender) settleAll() {
 	a.mu.Lock()
@@ -150,8 +146,6 @@
 	}
 }
 
-// waitForWork blocks until the queue is not empty; it returns false if ctx ends first.
-// waitForWork blocks until the queue is not empty; it returns false if ctx ends first.
 // waitForWork blocks until the queue is not empty; it returns false if ctx ends first.
 func (a *Appender) waitForWork(ctx context.Context) bool {
 	for {
@@ -213,9 +207,9 @@
 	a.stats.Retries++
 }
 
-// send appends one group and records the outcome. hint is the delay that the log requested
+// send appends one group and records the outcome. retryAfter is the delay that the log requested
 // before the next append.
-func (a *Appender) send(ctx context.Context, group []*pendingRecord) (hint time.Duration, failed bool) {
+func (a *Appender) send(ctx context.Context, group []*pendingRecord) (retryAfter time.Duration, failed bool) {
 	records := make([]Record, len(group))
 	for i, p := range group {
 		records[i] = p.rec
@@ -239,9 +233,9 @@
 	a.failLocked(group, err)
 	var overloaded *OverloadedError
 	if errors.As(err, &overloaded) {
-		hint = min(overloaded.RetryAfter, a.cfg.MaxBackoff)
+		retryAfter = min(overloaded.RetryAfter, a.cfg.MaxBackoff)
 	}
-	return hint, true
+	return retryAfter, true
 }
 
 // failLocked returns the records of a failed append to the front of the queue, in order.
--- a/internal/logstore/appender_test.go
+++ b/internal/logstore/appender_test.go
@@ -246,6 +246,7 @@
 	})
 }
 
+// Guards against a configuration error that does not name the setting, its value and the bound.
 func TestAppenderConfigErrorNamesSettingAndBound(t *testing.T) {
 	cfg := logstore.DefaultAppenderConfig()
 	cfg.RepeatFor = time.Second
--- a/internal/logstore/client.go
+++ b/internal/logstore/client.go
@@ -170,8 +170,6 @@
 	return e
 }
 
-// decodeBounded decodes JSON of at most limit bytes into out.
-// decodeBounded decodes JSON of at most limit bytes into out.
 // decodeBounded decodes JSON of at most limit bytes into out.
 func decodeBounded(r io.Reader, limit int64, out any) error {
 	data, err := io.ReadAll(io.LimitReader(r, limit+1))
@@ -206,8 +204,6 @@
 	return &UncertainError{Cause: &UnavailableError{Cause: err}}
 }
 
-// classifyReadError maps the failure of a read from offset from to one of the package's errors.
-// classifyReadError maps the failure of a read from offset from to one of the package's errors.
 // classifyReadError maps the failure of a read from offset from to one of the package's errors.
 func classifyReadError(err error, from int64) error {
 	var se *statusError
--- a/internal/logstore/client_test.go
+++ b/internal/logstore/client_test.go
@@ -25,6 +25,8 @@
 	return log, logstore.NewClient(srv.URL+"/", logstore.ClientOptions{}), srv.URL
 }
 
+// Guards against records, offsets or errors that change between the HTTP client and the log
+// service.
 func TestClientRoundTrip(t *testing.T) {
 	log, c, _ := newHTTPClient(t)
 	ctx := t.Context()
@@ -89,6 +91,8 @@
 	}
 }
 
+// Guards against a read at the log's head that returns before a record is appended: readers would
+// then poll the log.
 func TestReadWaitsForAnAppend(t *testing.T) {
 	_, c, _ := newHTTPClient(t)
 	got := make(chan logstore.Page)
@@ -102,6 +106,8 @@
 	must.Len(t, 1, (<-got).Entries)
 }
 
+// Guards against a stand-in log server that ignores the faults set over HTTP, so that a scenario
+// would run without them.
 func TestKnobsOverHTTP(t *testing.T) {
 	log, _, url := newHTTPClient(t)
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPut, url+logd.PathKnobs,
--- a/internal/logstore/dedup.go
+++ b/internal/logstore/dedup.go
@@ -46,8 +46,6 @@
 // Len returns the number of stored IDs.
 func (d *Dedup) Len() int { return len(d.seen) }
 
-// evict removes the IDs of offsets below the given one.
-// evict removes the IDs of offsets below the given one.
 // evict removes the IDs of offsets below the given one.
 func (d *Dedup) evict(below int64) {
 	for d.head < len(d.order) && d.order[d.head].offset < below {
--- a/internal/logstore/follow.go
+++ b/internal/logstore/follow.go
@@ -47,7 +47,7 @@
 }
 
 // Follow reads log into sink until ctx ends. During an outage it retries with backoff; the
-// sink keeps what it has, and reading resumes at sink.Next.
+// sink keeps its state, and reading resumes at sink.Next.
 func Follow(ctx context.Context, log Log, cfg FollowConfig, sink Sink) error {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
--- a/internal/logstore/fuzz_test.go
+++ b/internal/logstore/fuzz_test.go
@@ -14,8 +14,6 @@
 	"github.com/galenagrade/galenagrade/internal/standin/logd"
 )
 
-// staticTransport is an http.RoundTripper that returns the same body for every request.
-// staticTransport is an http.RoundTripper that returns the same body for every request.
 // staticTransport is an http.RoundTripper that returns the same body for every request.
 type staticTransport []byte
 
--- a/internal/logstore/log.go
+++ b/internal/logstore/log.go
@@ -90,9 +90,9 @@
 	ErrOverloaded = errors.New("log is overloaded")
 	// ErrUncertain matches an append that may or may not have taken effect.
 	ErrUncertain = errors.New("append may have taken effect")
-	// ErrBadRequest matches an invalid request. It had no effect, and every retry of it fails
-	// as well.
-	ErrBadRequest = errors.New("log refused the request")
+	// ErrBadRequest matches a request that the client or the log rejected as invalid. It had no
+	// effect, and every retry of it fails as well.
+	ErrBadRequest = errors.New("invalid log request")
 )
 
 // TruncatedError is the error of a read from an offset that has expired. From is the requested
