--- a/internal/control/call_sim_test.go
+++ b/internal/control/call_sim_test.go
@@ -263,13 +263,13 @@
 func TestCallSimulationIsDeterministic(t *testing.T) {
 	first := simulateMinute(t, 7)
 	must.Greater(t, 5000, len(first))
-	answered := 0
+	succeeded := 0
 	for _, line := range first {
 		if strings.HasSuffix(line, " 1000") {
-			answered++
+			succeeded++
 		}
 	}
-	must.Greater(t, 4000, answered)
+	must.Greater(t, 4000, succeeded)
 	must.Eq(t, first, simulateMinute(t, 7))
 	must.NotEq(t, first[100], simulateMinute(t, 8)[100])
 }
--- a/internal/control/codec.go
+++ b/internal/control/codec.go
@@ -133,7 +133,8 @@
 	}
 }
 
-// leaderChanged updates the peers and notes an update for children and the parent.
+// leaderChanged passes the new leader to the failure detector and counts an update that the
+// children and the parent must receive.
 func (p *Plane) leaderChanged() {
 	p.setPeers()
 	p.updates++
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -173,7 +173,7 @@
 // sentState describes the content of the last exchange response to a node.
 type sentState struct {
 	updates    uint64    // value of Plane.updates
-	headReadAt time.Time // t0 of the head observation
+	headReadAt time.Time // readAt of the head observation that it contained
 }
 
 // ResponseDue reports whether the response to a held exchange request should be sent now: the
@@ -199,12 +199,12 @@
 	if p.IsLeader() {
 		minHold = p.cfg.Exchange * 3 / 5
 	}
-	return heldFor >= minHold && p.head.known && p.head.t0.After(lastResponse.headReadAt)
+	return heldFor >= minHold && p.head.known && p.head.readAt.After(lastResponse.headReadAt)
 }
 
 // NewResponse returns the response to an exchange request that arrived at received.
 func (p *Plane) NewResponse(now, received time.Time, req *innerpb.ExchangeRequest) *innerpb.ExchangeResponse {
-	p.lastResponses[req.GetFrom().GetNodeId()] = sentState{updates: p.updates, headReadAt: p.head.t0}
+	p.lastResponses[req.GetFrom().GetNodeId()] = sentState{updates: p.updates, headReadAt: p.head.readAt}
 	resp := &innerpb.ExchangeResponse{
 		From:        Ref(p.self),
 		Head:        p.headOf(now),
@@ -238,7 +238,7 @@
 	return &innerpb.LogHead{
 		NextOffset:   uint64(p.head.next),
 		OldestOffset: uint64(p.head.oldest),
-		AgeUs:        now.Sub(p.head.t0).Microseconds(),
+		AgeUs:        now.Sub(p.head.readAt).Microseconds(),
 		Known:        true,
 		Hops:         p.head.hops + 1,
 	}
@@ -264,7 +264,7 @@
 	return fetch
 }
 
-// updateHeadFromResponse applies the head observation of a response. Its t0 must not be later
+// updateHeadFromResponse applies the head observation of a response. Its readAt must not be later
 // than the time at which the log was read, on the local clock. The peer received the request
 // after sent, and held it for held_us until the observation's age was age_us. The read was
 // therefore sent held_us minus age_us after the request was received, and not before sent plus
@@ -277,7 +277,7 @@
 		p.hasState = true
 	}
 	p.updateHead(logHead{
-		known: true, t0: sent.Add(since), hops: h.GetHops(),
+		known: true, readAt: sent.Add(since), hops: h.GetHops(),
 		next: int64(h.GetNextOffset()), oldest: int64(h.GetOldestOffset()),
 	})
 }
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -23,33 +23,33 @@
 
 // add appends the entries with offsets from from up to next. If they leave a gap after the
 // cached ones, the cache is cleared first.
-func (f *recordCache) add(entries []logstore.Entry, from, next int64) {
-	if from != f.from+int64(len(f.entries)) {
-		*f = recordCache{from: from}
+func (c *recordCache) add(entries []logstore.Entry, from, next int64) {
+	if from != c.from+int64(len(c.entries)) {
+		*c = recordCache{from: from}
 	}
 	for _, e := range entries {
 		if e.Offset < from || e.Offset >= next {
 			continue
 		}
-		f.entries = append(f.entries, e)
-		f.bytes += recordSize(e)
+		c.entries = append(c.entries, e)
+		c.bytes += recordSize(e)
 	}
 	drop := 0
-	for len(f.entries)-drop > maxCachedRecords || f.bytes > maxCachedBytes {
-		f.bytes -= recordSize(f.entries[drop])
+	for len(c.entries)-drop > maxCachedRecords || c.bytes > maxCachedBytes {
+		c.bytes -= recordSize(c.entries[drop])
 		drop++
 	}
-	f.entries = f.entries[drop:]
-	f.from += int64(drop)
+	c.entries = c.entries[drop:]
+	c.from += int64(drop)
 }
 
 // since returns at most max cached records from an offset on, limited to about the given number
 // of bytes. It returns at least one record if the cache has any; nil if from is not cached.
-func (f *recordCache) since(from int64, max, bytes int) []logstore.Entry {
-	if from < f.from || from-f.from >= int64(len(f.entries)) {
+func (c *recordCache) since(from int64, max, bytes int) []logstore.Entry {
+	if from < c.from || from-c.from >= int64(len(c.entries)) {
 		return nil
 	}
-	out := f.entries[from-f.from:]
+	out := c.entries[from-c.from:]
 	size := 0
 	for i := range out {
 		size += recordSize(out[i])
@@ -113,7 +113,7 @@
 		p.caughtUp = true
 		p.hasState = true
 	}
-	p.updateHead(logHead{known: true, t0: sent, next: page.Head, oldest: page.Oldest})
+	p.updateHead(logHead{known: true, readAt: sent, next: page.Head, oldest: page.Oldest})
 }
 
 // OnReadFailed records that a read of the log failed. The records read last may not have
@@ -153,24 +153,24 @@
 
 // updateHead stores h if it is newer than the current observation of the log's head.
 func (p *Plane) updateHead(h logHead) {
-	if p.head.known && !h.t0.After(p.head.t0) {
+	if p.head.known && !h.readAt.After(p.head.readAt) {
 		return
 	}
 	p.head = h
 	if p.follower != nil {
-		p.follower.ObserveHead(h.t0, h.next)
+		p.follower.ObserveHead(h.readAt, h.next)
 	}
 }
 
 // HeadAge returns the age of the newest observation of the log's head; false if there is none.
 func (p *Plane) HeadAge(now time.Time) (time.Duration, bool) {
-	return now.Sub(p.head.t0), p.head.known
+	return now.Sub(p.head.readAt), p.head.known
 }
 
 // headStale reports whether the head age exceeds Stale, or this node is the zone's reader and
 // its reads fail.
 func (p *Plane) headStale(now time.Time) bool {
-	return p.readFailing && p.IsLeader() || !p.head.known || now.Sub(p.head.t0) > p.cfg.Stale
+	return p.readFailing && p.IsLeader() || !p.head.known || now.Sub(p.head.readAt) > p.cfg.Stale
 }
 
 // membersChanged updates the state that depends on the members: soft members that the log now
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -63,7 +63,7 @@
 	o.withLocalLessor(func(l *lease.Lessor) { l.SetResendHorizon(d) })
 }
 
-// OnTruncated records that entries of the log expired before this node folded them, so that it
+// Truncated records that entries of the log expired before this node folded them, so that it
 // may not know some owners.
 func (o *Ownership) Truncated() {
 	o.mu.Lock()
@@ -154,13 +154,13 @@
 	return services
 }
 
-// ObserveHead applies an observation of the log's head: at some time after t0, on the local
+// ObserveHead applies an observation of the log's head: at some time after readAt, on the local
 // clock, no record at or beyond head existed.
-func (o *Ownership) ObserveHead(t0 time.Time, head int64) {
+func (o *Ownership) ObserveHead(readAt time.Time, head int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, l := range o.lessors {
-		l.ObserveHead(t0, head)
+		l.ObserveHead(readAt, head)
 	}
 }
 
@@ -209,7 +209,7 @@
 }
 
 // OwnedSlots returns the number of slots that this guard owns according to the log, including those
-// that it has released for a handover.
+// that it has released for a hand-over.
 func (o *Ownership) OwnedSlots() (n int) {
 	o.withLocalLessor(func(l *lease.Lessor) {
 		for _, s := range l.State().Slots {
@@ -248,11 +248,11 @@
 	return ok
 }
 
-// Head returns the newest log head that this guard has observed; proven is false if there is
+// Head returns the newest log head that this guard has observed; observed is false if there is
 // none.
-func (o *Ownership) Head() (head int64, proven bool) {
-	o.withLocalLessor(func(l *lease.Lessor) { head, proven = l.Head() })
-	return head, proven
+func (o *Ownership) Head() (head int64, observed bool) {
+	o.withLocalLessor(func(l *lease.Lessor) { head, observed = l.Head() })
+	return head, observed
 }
 
 // ObservePeerHead applies the newest log head that another guard reports to have observed.
@@ -260,13 +260,14 @@
 	o.withLocalLessor(func(l *lease.Lessor) { l.ObservePeerHead(from, head) })
 }
 
-// OnPromise applies the promise of another guard that was requested at t0.
-func (o *Ownership) OnPromise(t0 time.Time, from membership.Identity, addr string) {
-	o.withLocalLessor(func(l *lease.Lessor) { l.Promise(t0, from, addr) })
+// OnPromise applies the promise of another guard that was requested at requestedAt.
+func (o *Ownership) OnPromise(requestedAt time.Time, from membership.Identity, addr string) {
+	o.withLocalLessor(func(l *lease.Lessor) { l.Promise(requestedAt, from, addr) })
 }
 
-// OnPromiseRequest handles the request of another guard that this one promise not to take over slots for
-// a limited time. It reports whether the promise is granted.
+// OnPromiseRequest handles a request of another guard, which asks this one to promise that it
+// takes over none of the slots for a limited time; see lease.Lessor.OnPromiseRequest. It reports
+// whether this guard has promised.
 func (o *Ownership) OnPromiseRequest(now time.Time, service string, from membership.Identity, slots []int) (granted bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -283,7 +284,7 @@
 }
 
 // Release stops starting calls in the slots, which move to the guard at addr, and returns the
-// handover for that guard.
+// hand-over for that guard.
 func (o *Ownership) Release(now time.Time, addr string, slots []int) (h lease.HandOver) {
 	o.withLocalLessor(func(l *lease.Lessor) { h = l.Release(now, addr, slots) })
 	return h
@@ -296,8 +297,8 @@
 	return t, ok
 }
 
-// ImportedHandOver records that this guard has imported the keys of the slots in h. It reports whether
-// the guard can take the slots over.
+// ImportedHandOver records that this guard has imported the keys of the slots in h. It reports
+// whether the guard can take over the slots.
 func (o *Ownership) ImportedHandOver(now time.Time, h lease.HandOver) (ok bool) {
 	o.withLocalLessor(func(l *lease.Lessor) { ok = l.ImportedHandOver(now, h) })
 	return ok
--- a/internal/control/plane.go
+++ b/internal/control/plane.go
@@ -88,9 +88,9 @@
 	Applied(now time.Time, entries []logstore.Entry)
 	// Truncated reports that entries expired before this node read them.
 	Truncated()
-	// ObserveHead reports that at some time after t0 the next offset of the log was head. t0
+	// ObserveHead reports that at some time after readAt the next offset of the log was head. readAt
 	// is a local time before the read that returned head was sent.
-	ObserveHead(t0 time.Time, head int64)
+	ObserveHead(readAt time.Time, head int64)
 }
 
 // Peer is the destination of a message. ID is zero if only the address is known.
@@ -102,7 +102,7 @@
 // logHead is an observation of the log's head.
 type logHead struct {
 	known  bool
-	t0     time.Time // local time before the read was sent
+	readAt time.Time // local time before the read was sent
 	next   int64     // offset that the next append gets
 	oldest int64     // first offset that has not expired
 	hops   uint32    // exchanges between the node that read the log and this one
--- a/internal/control/plane_sim_test.go
+++ b/internal/control/plane_sim_test.go
@@ -102,10 +102,10 @@
 // Truncated implements control.Follower.
 func (n *planeNode) Truncated() { n.next = n.sim.oldest }
 
-// ObserveHead checks that every entry that was in the log at t0 has an offset below head.
-func (n *planeNode) ObserveHead(t0 time.Time, head int64) {
-	must.GreaterEq(n.sim.t, n.sim.headAt(t0), head, must.Sprintf("%s: head observation with age %v", n.id.Node, n.sim.now.Sub(t0)))
-	n.headReadAt = t0
+// ObserveHead checks that every entry that was in the log at readAt has an offset below head.
+func (n *planeNode) ObserveHead(readAt time.Time, head int64) {
+	must.GreaterEq(n.sim.t, n.sim.headAt(readAt), head, must.Sprintf("%s: head observation with age %v", n.id.Node, n.sim.now.Sub(readAt)))
+	n.headReadAt = readAt
 }
 
 // headAt returns the head of the log just before t.
@@ -248,18 +248,18 @@
 // exchange keeps one exchange request held at a peer, as the server does.
 func (n *planeNode) exchange() {
 	sim := n.sim
-	if q := n.pending; q != nil {
-		to := sim.reachable(n, q.peer.Addr)
+	if pending := n.pending; pending != nil {
+		to := sim.reachable(n, pending.peer.Addr)
 		switch {
 		case to == nil:
-			if sim.now.Sub(q.sent) > 2*time.Second {
-				n.plane.OnRequestFailed(sim.now, q.peer)
+			if sim.now.Sub(pending.sent) > 2*time.Second {
+				n.plane.OnRequestFailed(sim.now, pending.peer)
 				n.pending = nil
 			}
 			return
 		case n.plane.RequestDue():
-		case to.plane.ResponseDue(sim.now, q.sent, q.req):
-			n.deliverResponse(to, q)
+		case to.plane.ResponseDue(sim.now, pending.sent, pending.req):
+			n.deliverResponse(to, pending)
 		default:
 			return
 		}
@@ -273,27 +273,28 @@
 // sendRequest sends an exchange request; with a hold of 0 the peer responds immediately.
 func (n *planeNode) sendRequest(peer control.Peer, hold time.Duration) *pendingRequest {
 	sim := n.sim
-	q := &pendingRequest{peer: peer, sent: sim.now, req: n.plane.NewRequest(sim.now, hold)}
+	pending := &pendingRequest{peer: peer, sent: sim.now, req: n.plane.NewRequest(sim.now, hold)}
 	to := sim.reachable(n, peer.Addr)
 	if to == nil {
 		if sim.nodeAt(peer.Addr) == nil {
 			n.plane.OnRequestFailed(sim.now, peer) // connection refused
 			return nil
 		}
-		return q // lost in the network
+		return pending // lost in the network
 	}
-	to.plane.OnRequest(sim.now, q.req)
+	to.plane.OnRequest(sim.now, pending.req)
 	if hold > 0 {
-		return q
+		return pending
 	}
-	n.deliverResponse(to, q)
+	n.deliverResponse(to, pending)
 	return nil
 }
 
-// deliverResponse passes the response of to for q to n, and the state of to if n requires it.
-func (n *planeNode) deliverResponse(to *planeNode, q *pendingRequest) {
+// deliverResponse passes the response of to for the pending request to n, and the state of to if
+// n requires it.
+func (n *planeNode) deliverResponse(to *planeNode, pending *pendingRequest) {
 	sim := n.sim
-	if n.plane.OnResponse(sim.now, q.sent, q.peer, to.plane.NewResponse(sim.now, q.sent, q.req)) {
+	if n.plane.OnResponse(sim.now, pending.sent, pending.peer, to.plane.NewResponse(sim.now, pending.sent, pending.req)) {
 		state, err := to.plane.State(sim.now)
 		must.NoError(sim.t, err)
 		must.NoError(sim.t, n.plane.OnState(sim.now, state))
--- a/internal/control/plane_test.go
+++ b/internal/control/plane_test.go
@@ -110,9 +110,9 @@
 	must.False(t, n.plane.Complete())
 	sim.logDown[""] = false
 	sim.waitUntil(15*time.Second, "has read the skipped records", n.plane.Complete)
-	holder, ok := n.plane.Replica().Claim(7)
+	winner, ok := n.plane.Replica().Claim(7)
 	must.True(t, ok)
-	must.Eq(t, "a-0", holder.Node)
+	must.Eq(t, "a-0", winner.Node)
 }
 
 // Guards against owners that lose their authority because the reader of their zone fails and
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -189,7 +189,7 @@
 	return endpoints
 }
 
-// Claim returns the claim that holds the key with the given hash; false if there is none.
+// Claim returns the claim that won the key with the given hash; false if there is none.
 func (r *Replica) Claim(keyHash uint64) (idempotency.Claim, bool) {
 	return r.claims.Winner(keyHash)
 }
--- a/internal/control/tick.go
+++ b/internal/control/tick.go
@@ -101,8 +101,9 @@
 		}
 	}
 	maps.DeleteFunc(p.failedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= failedPeerBackoff })
-	// A relayed heartbeat of a removed member can arrive only while some node still holds that
-	// member for the leader. This time is over when so many leaders have followed it.
+	// A heartbeat of a removed member is relayed only while some node still considers that member
+	// the leader. After maxReceivedSeqs other leaders no node does, so its sequence number is no
+	// longer needed.
 	maps.DeleteFunc(p.receivedSeqs, func(id membership.Identity, _ uint64) bool {
 		return len(p.receivedSeqs) > maxReceivedSeqs && p.Members().Gone(id)
 	})
@@ -173,7 +174,7 @@
 // evicted, they would have to stop although they still serve callers on their side. Therefore
 // no node is evicted while more than MaxEvictShare of the zone is dead, and each one only
 // after nodes of other zones could not reach it either. Nodes that are not evicted are only
-// removed from this node's routing, which ends when they are reachable again.
+// removed from this node's routing until they are reachable again.
 func (p *Plane) evictActions(now time.Time, id membership.Identity) []Action {
 	limit := max(1, int(float64(len(p.zoneIDs))*p.cfg.MaxEvictShare))
 	if len(p.dead) > limit || p.evicting[id] {
--- a/internal/control/updates.go
+++ b/internal/control/updates.go
@@ -87,7 +87,7 @@
 	p.applyDrain(now, p.self, 0, true)
 }
 
-// applyDrain records that a node began to drain a time of elapsed ago.
+// applyDrain records that a node takes no new work; elapsed is the time since its drain began.
 func (p *Plane) applyDrain(now time.Time, id membership.Identity, elapsed time.Duration, upward bool) {
 	if _, ok := p.drains[id]; ok || elapsed >= drainTTL {
 		return
