--- a/internal/policy/decide.go
+++ b/internal/policy/decide.go
@@ -236,9 +236,9 @@
 
 // conflict returns the outcome of a publication whose BaseVersion is not the version of the
 // object.
-func (s *State) conflict(d Decision, to change) outcome {
+func (s *State) conflict(d Decision, conflicting change) outcome {
 	d.Outcome = Conflicted
-	d.Conflict = &ConflictingPublication{ID: to.ID, Author: to.Author, Version: to.Version, What: to.What}
+	d.Conflict = &ConflictingPublication{ID: conflicting.ID, Author: conflicting.Author, Version: conflicting.Version, What: conflicting.What}
 	return outcome{decision: d, bytes: s.bytes}
 }
 
--- a/internal/policy/decision.go
+++ b/internal/policy/decision.go
@@ -20,7 +20,8 @@
 	Rejected Outcome = "rejected"
 )
 
-// ConflictingPublication is the accepted publication that last changed the object of a Lost one.
+// ConflictingPublication is the accepted publication that last changed the object of a Conflicted
+// one.
 type ConflictingPublication struct {
 	ID      string  `json:"id"`
 	Author  string  `json:"author"`
--- a/internal/policy/effective.go
+++ b/internal/policy/effective.go
@@ -29,19 +29,24 @@
 	RetryAllowance int
 	// RetryRatio bounds the retries to a destination as a share of its successes.
 	RetryRatio float64
-	MaxDepth   int
+	// MaxDepth bounds the length of a chain of calls.
+	MaxDepth int
 	// DefaultTimeout applies to calls without a timeout; MaxTimeout bounds the timeout of all
 	// calls.
 	DefaultTimeout, MaxTimeout time.Duration
-	DefaultLevel               callctx.Level
+	// DefaultLevel applies to calls without a level.
+	DefaultLevel callctx.Level
 	// Worth is the value of one complete response by level, for shedding and measurements.
 	Worth [callctx.Levels]float64
 
 	// KeyRequired refuses a non-idempotent call without Idempotency-Key.
 	KeyRequired bool
-	AtMostOnce  string
+	// AtMostOnce is AtMostOnceClaims or AtMostOnceOwnership.
+	AtMostOnce string
 	// ResendHorizon is the time for which callers may send a key again.
-	ResendHorizon   time.Duration
+	ResendHorizon time.Duration
+	// KeepAnswers is the time for which a response is stored for resends. KeepAnswerBytes bounds
+	// the size in bytes of the stored responses of the service on one node.
 	KeepAnswers     time.Duration
 	KeepAnswerBytes int64
 	// MaxBody bounds the size in bytes of a body that is held for a retry.
@@ -49,12 +54,18 @@
 	// IdempotentMethods are the methods whose calls may run twice.
 	IdempotentMethods []string
 
-	QueueLimit                              int
+	// QueueLimit bounds the calls that wait at one guard.
+	QueueLimit int
+	// The guard sheds calls once the queueing time has exceeded SojournTarget for SojournInterval.
+	// MaxWait bounds the queueing time of each call.
 	SojournTarget, SojournInterval, MaxWait time.Duration
 	// Adapt adjusts the concurrency limit to the measured latency.
 	Adapt bool
 
-	SlowStart       time.Duration
+	// SlowStart is the time in which a cold upstream reaches its full share of the calls.
+	SlowStart time.Duration
+	// EjectFor is the duration of the first ejection of a failing upstream. MaxEjectedShare bounds
+	// the share of a service's upstreams that may be ejected at the same time.
 	EjectFor        time.Duration
 	MaxEjectedShare float64
 	// QuarantineFor is the time for which a request that crashes upstreams is refused.
--- a/internal/policy/linearizability_test.go
+++ b/internal/policy/linearizability_test.go
@@ -154,8 +154,8 @@
 	return response{version: e.last.Version, id: e.last.ID}
 }
 
-// recorder collects the history. An operation with unknown outcome ends with the run, since its
-// record may be appended at any later time.
+// recorder collects the history. It records an operation with unknown outcome as ending after the
+// run, since its record may be appended at any later time.
 type recorder struct {
 	mu    sync.Mutex
 	clock int64
@@ -261,13 +261,13 @@
 	}
 	must.True(t, isLinearizable(good))
 	bad := map[string][]porcupine.Operation{
-		"both of two racing changes accepted": {write(1, "a", 0, accepted(5)), write(3, "b", 0, accepted(6))},
+		"two changes of one version accepted": {write(1, "a", 0, accepted(5)), write(3, "b", 0, accepted(6))},
 		"accepted change reverted":            {write(1, "a", 0, accepted(5)), write(3, "b", 5, accepted(6)), read(5, "a", 5)},
 		"accepted change lost":                {write(1, "a", 0, accepted(5)), read(3, "", 0)},
-		"lost to one that never was":          {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{Conflicted, 4, "x"})},
-		"version fell":                        {write(1, "a", 0, accepted(5)), write(3, "b", 5, accepted(4))},
-		"unknown change applied on another":   {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{}), read(5, "b", 7)},
-		"lost change came in force":           {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{Conflicted, 5, "a"}), read(5, "b", 7)},
+		"conflict with a missing change":      {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{Conflicted, 4, "x"})},
+		"version decreased":                   {write(1, "a", 0, accepted(5)), write(3, "b", 5, accepted(4))},
+		"unknown change on another version":   {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{}), read(5, "b", 7)},
+		"conflicting change came into force":  {write(1, "a", 0, accepted(5)), write(3, "b", 0, response{Conflicted, 5, "a"}), read(5, "b", 7)},
 	}
 	for name, ops := range bad {
 		must.False(t, isLinearizable(ops), must.Sprint(name))
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -29,8 +29,8 @@
 )
 
 // Parameter is a value that an instance of a template may set. Default, Min and Max have the text
-// form of values. An empty Min or Max means that only the bound of the behaviour field applies
-// that refers to the parameter.
+// form of values. If Min or Max is empty, only the bound of the behaviour field that refers to the
+// parameter applies.
 type Parameter struct {
 	Name    string `json:"name"`
 	Type    Type   `json:"type"`
--- a/internal/policy/replica.go
+++ b/internal/policy/replica.go
@@ -55,18 +55,18 @@
 }
 
 // Behind reports whether entries expired before they were read and no snapshot or peer has filled
-// the gap yet. The state in force is then outdated, but does not go back. A process that has just
+// the gap yet. The state in force is then outdated, but is never reverted. A process that has just
 // started has no state and can't serve.
 func (r *Replica) Behind() bool { return r.scanOffset >= 0 }
 
 // Blocked reports whether the next entry needs rules of a newer release. The state in force stays
-// until a newer release runs or a peer with a newer release passes its state.
+// until this process runs a newer release or merges the state of a peer that does.
 func (r *Replica) Blocked() bool { return r.blocked == r.state.version+1 }
 
 // HeadRegressed reports whether the log's head in the last page was below the version of the
 // state: the log lost acknowledged records or was replaced by another one. New records at these
-// offsets would be skipped as already folded, so an operator has to intervene. Stale reads of the
-// log can cause it for a moment.
+// offsets would be skipped as already folded, so an operator has to intervene. A stale read of the
+// log can also cause it temporarily.
 func (r *Replica) HeadRegressed() bool { return r.headRegressed }
 
 // Take folds a page that was read from Next and reports whether the state changed.
@@ -143,7 +143,7 @@
 	// Retention is the time for which the log keeps a record.
 	Retention time.Duration
 	// Every is the age of the newest snapshot at which the next one is written. It is at most a
-	// quarter of Retention, so that three writers in a row may fail.
+	// quarter of Retention, so that three attempts in a row to write a snapshot may fail.
 	Every time.Duration
 	// MaxBehind is the number of entries that a starting reader may have to fold.
 	MaxBehind int64
@@ -166,8 +166,8 @@
 	return asError(errs)
 }
 
-// SnapshotDue reports whether the state is to be written as a snapshot. oldest is the oldest
-// offset in the last page. The caller polls it. A process that is behind writes no snapshot,
+// SnapshotDue reports whether the state is to be written as a snapshot. oldest is the Oldest of
+// the last page. The caller calls it periodically. A process that is behind writes no snapshot,
 // since its state is outdated.
 func (r *Replica) SnapshotDue(rule *SnapshotRule, now time.Time, oldest int64) bool {
 	if r.Behind() {
--- a/internal/policy/scenarios_test.go
+++ b/internal/policy/scenarios_test.go
@@ -10,8 +10,8 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// Guards against two changes of one version that are both accepted, and against a conflict that
-// is not reported with the publication that caused it.
+// Guards against the later one of two changes of one version coming into force, wholly or in part,
+// and against a conflict that is not reported with the publication that caused it.
 func TestConflictingChangesOfTwoOperators(t *testing.T) {
 	h := newHistory()
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
@@ -30,7 +30,7 @@
 
 // Guards against a retry of an accepted publication that undoes a later change of another
 // operator.
-func TestRepeatAfterLostAck(t *testing.T) {
+func TestRetryAfterLostAck(t *testing.T) {
 	h := newHistory()
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
 	first := record(&Publication{ID: "a", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")})
@@ -90,7 +90,7 @@
 
 // Guards against a reader that adopts, across a gap, a snapshot from another log. Such a snapshot
 // claims to fold more entries than there are before it.
-func TestSnapshotFromTheFutureIsIgnored(t *testing.T) {
+func TestSnapshotAheadOfItsOffsetIsIgnored(t *testing.T) {
 	r, err := EmptyAt(90).SnapshotRecord("s", epoch)
 	must.NoError(t, err)
 	s := NewState().Apply(logstore.Entry{Offset: 50, Record: r})
@@ -102,7 +102,7 @@
 // Guards against a retry that undoes a change after the decision on the first attempt was
 // dropped. It is decided again and must conflict, since the version that it is based on never
 // returns.
-func TestRepeatAfterDroppedDecisionConflicts(t *testing.T) {
+func TestRetryAfterDroppedDecisionConflicts(t *testing.T) {
 	h := newHistory()
 	first := record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)})
 	h.append(first)
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -74,8 +74,8 @@
 	return len(data)
 }
 
-// UnmarshalState decodes and validates the output of Marshal. It returns either the whole state
-// or an error, since a part of a configuration must not come into force.
+// UnmarshalState decodes and validates the output of Marshal. It returns either the complete
+// state or an error, since a part of a configuration must not come into force.
 func UnmarshalState(data []byte) (*State, error) {
 	var doc document
 	if errs := decodeStrict(data, &doc); len(errs) > 0 {
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -165,8 +165,8 @@
 // let replicas of one log differ.
 //
 // A publication with rules that this release does not know is not folded either, for the same
-// reason. The behaviour in force stays, and Replica continues from the snapshot or the peer of a
-// release that can decide the publication.
+// reason. The behaviour in force stays, and Replica continues from a snapshot or a peer's state
+// that was written by a release that can decide the publication.
 func (s *State) Apply(e logstore.Entry) *State {
 	if Version(e.Offset) < s.version {
 		return s
