--- a/internal/idempotency/stats.go
+++ b/internal/idempotency/stats.go
@@ -6,12 +6,12 @@
 type Stats struct {
 	// Running is the number of keys whose call is still running.
 	Running int `json:"running"`
-	// Answered is the number of keys with a stored response.
-	Answered int `json:"answered"`
+	// Stored is the number of keys with a stored response.
+	Stored int `json:"answered"`
 	// Evicted is the number of keys whose call ended with a response that is no longer stored.
 	Evicted int `json:"evicted"`
-	// Lost is the number of keys whose call has an unknown outcome.
-	Lost int `json:"lost"`
+	// OutcomeUnknown is the number of keys whose call has an unknown outcome.
+	OutcomeUnknown int `json:"lost"`
 	// Bytes is the size of the stored responses, including responseOverhead for each one.
 	Bytes int64 `json:"bytes"`
 	// Oldest is the time since the last use of the least recently used key.
@@ -29,11 +29,11 @@
 		case running:
 			s.Running++
 		case responseStored:
-			s.Answered++
+			s.Stored++
 		case responseEvicted:
 			s.Evicted++
 		default:
-			s.Lost++
+			s.OutcomeUnknown++
 		}
 	}
 	if e := t.byLastSeen.Front(); e != nil {
--- a/internal/logstore/appender_test.go
+++ b/internal/logstore/appender_test.go
@@ -222,7 +222,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, func(c *logstore.AppenderConfig) { c.MaxQueue = 8 })
 		h.log.Update(func(k *logd.Knobs) { k.Hang = true })
-		refused := 0
+		rejected := 0
 		for round := range 20 {
 			var wg sync.WaitGroup
 			var mu sync.Mutex
@@ -233,7 +233,7 @@
 					mu.Lock()
 					defer mu.Unlock()
 					if err == logstore.ErrQueueFull {
-						refused++
+						rejected++
 					}
 				})
 			}
@@ -241,7 +241,7 @@
 			cancel()
 			must.Zero(t, h.app.Stats().Queued)
 		}
-		must.Eq(t, 40, refused)
+		must.Eq(t, 40, rejected)
 		h.stop()
 	})
 }
--- a/internal/policy/linearizability_test.go
+++ b/internal/policy/linearizability_test.go
@@ -245,9 +245,9 @@
 	}
 }
 
-// Guards against a checker that accepts every history: it must refuse each of these histories,
+// Guards against a checker that accepts every history: it must reject each of these histories,
 // which violate the guarantee.
-func TestCheckerRefusesBadHistories(t *testing.T) {
+func TestCheckerRejectsBadHistories(t *testing.T) {
 	write := func(at int64, id string, baseVersion Version, out response) porcupine.Operation {
 		return porcupine.Operation{Input: operation{id, baseVersion}, Output: out, Call: at, Return: at + 1}
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
 // Package policy computes the overload behaviour in force for each service. Operators publish
 // templates of overload behaviour and instances of templates. The log orders the publications,
-// and a deterministic fold accepts or refuses each one, so that all readers of the log have the
+// and a deterministic fold accepts or rejects each one, so that all readers of the log have the
 // same configuration. The package is pure: no I/O, no clock, no goroutines.
 package policy
 
