--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
 // Package policy computes the overload behaviour in force for each service. Operators publish
 // templates of overload behaviour and instances of templates. The log orders the publications,
-// and a deterministic fold accepts or refuses each one, so that all readers of the log have the
+// and a deterministic fold accepts or rejects each one, so that all readers of the log have the
 // same configuration. The package is pure: no I/O, no clock, no goroutines.
 package policy
 
@@ -29,8 +29,8 @@
 )
 
 // Parameter is a value that an instance of a template may set. Default, Min and Max have the text
-// form of values. An empty Min or Max means that only the bound of the behaviour field applies
-// that refers to the parameter.
+// form of values. If Min or Max is empty, only the bound of the behaviour field that refers to the
+// parameter applies.
 type Parameter struct {
 	Name    string `json:"name"`
 	Type    Type   `json:"type"`
