--- a/internal/server/announce.go
+++ b/internal/server/announce.go
@@ -33,10 +33,12 @@
 	mu            sync.Mutex
 	current       *node.Announcement
 	lastAnnounced time.Time
-	down          bool
+	// down reports whether the upstream crashed or its announcements expired after lastAnnounced.
+	down bool
 }
 
-// upstreamState is the response to the upstream.
+// upstreamState is the response to every request of the upstream: the state of the drain and
+// the number of calls in flight.
 type upstreamState struct {
 	Draining bool `json:"draining"`
 	InFlight int  `json:"in_flight"`
--- a/internal/server/authority.go
+++ b/internal/server/authority.go
@@ -16,9 +16,9 @@
 // NeedsClaim implements node.Authority.
 func (a authority) NeedsClaim(call *node.Call) bool { return a.server.node.NeedsClaim(call) }
 
-// MayStart implements node.Authority. With claims, the claim of the key was decided right
-// before, so nothing is left to check. With ownership, a claim of another guard still counts:
-// the service may have changed from claims to ownership while callers resend.
+// MayStart implements node.Authority. With claims, the claim of the key was decided
+// immediately before, so nothing is left to check. With ownership, a claim of another guard still
+// counts: the service may have changed from claims to ownership while callers resend.
 func (a authority) MayStart(now time.Time, call *node.Call) (time.Time, *result.Refusal) {
 	if a.NeedsClaim(call) {
 		return time.Time{}, nil
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -57,9 +57,9 @@
 	mu        sync.Mutex
 	plane     *control.Plane
 	updated   chan struct{} // closed and replaced at each update
-	updates   uint64
-	claimSeq  uint64
-	evicted   chan struct{}
+	updates   uint64        // Plane.Updates at the last step
+	claimSeq  uint64        // sequence number of this node's last claim
+	evicted   chan struct{} // closed when the log shows that this node is no longer a member
 	evictOnce sync.Once
 	closeOnce sync.Once
 }
@@ -131,6 +131,8 @@
 	evicted          bool
 }
 
+// step runs f on the plane while it holds mu, and returns what f changed for the node. If f
+// changed the update count or the head age, step closes updated.
 func (c *controlLoop) step(now time.Time, f func(now time.Time, p *control.Plane)) stepResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,7 +231,9 @@
 	}
 }
 
-// tick runs the timeouts of the plane at each interval, and at once after requestTick.
+// tick calls Plane.Tick every planeTickInterval, and at once after requestTick. It performs the
+// actions of the plane, gossips crash records and exchanges with the peers that the plane names.
+// It returns when ctx ends.
 func (c *controlLoop) tick(ctx context.Context) {
 	t := time.NewTicker(planeTickInterval)
 	defer t.Stop()
--- a/internal/server/events_rpc.go
+++ b/internal/server/events_rpc.go
@@ -64,7 +64,9 @@
 	return eventsRPC{s.control.server}.FetchEvents(ctx, req)
 }
 
-// encodeFitting encodes the newest events that fit into one response.
+// encodeFitting encodes the newest events that fit into one response: it drops the older half of
+// the events until the rest is at most maxFetchedBytes long. It returns the events and their JSON
+// lines.
 func encodeFitting(events []timeline.Event) ([]timeline.Event, []byte, error) {
 	for {
 		var lines bytes.Buffer
@@ -116,7 +118,7 @@
 				continue
 			}
 			streams = append(streams, timeline.Select(f.events, filter))
-			resp.Forgotten += f.forgotten
+			resp.Forgotten += f.evicted
 		}
 	}
 	limit := int(r.GetMaxEvents())
@@ -135,10 +137,10 @@
 
 // fetchResult is the response of one member to FetchEvents.
 type fetchResult struct {
-	node      string
-	events    []timeline.Event
-	forgotten uint64
-	err       error
+	node    string
+	events  []timeline.Event
+	evicted uint64
+	err     error
 }
 
 func (b *backend) fetchAll(ctx context.Context, f timeline.Filter) []fetchResult {
@@ -158,7 +160,7 @@
 			return
 		}
 		b.server.node.ObserveClock(resp.Msg.GetHlc())
-		out[i].forgotten = resp.Msg.GetForgotten()
+		out[i].evicted = resp.Msg.GetForgotten()
 		out[i].events, out[i].err = timeline.ReadJSONLines(bytes.NewReader(resp.Msg.GetJsonLines()), maxFetched)
 	})
 	return out
@@ -172,13 +174,13 @@
 	return string(bytes.TrimRight(line.Bytes(), "\n")), nil
 }
 
-// followers counts the open event streams for the metrics.
-type followers struct{ n atomic.Int64 }
+// eventStreamCounter counts the open event streams for the metrics.
+type eventStreamCounter struct{ open atomic.Int64 }
 
 // Events implements admin.Backend. It sends the events of this node.
 func (b *backend) Events(ctx context.Context, r *adminpb.EventsRequest, send func(*adminpb.EventsResponse) error) error {
-	b.server.followers.n.Add(1)
-	defer b.server.followers.n.Add(-1)
+	b.server.eventStreams.open.Add(1)
+	defer b.server.eventStreams.open.Add(-1)
 	ring := b.server.node.Ring()
 	filter := timelineFilter(r.GetFilter())
 	events, position, _ := ring.Since(0, filter)
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -18,7 +18,7 @@
 )
 
 // metricsHandler returns the handler of the metrics. It updates the gauges at each request, so
-// that nothing is measured without a reader.
+// that they cost nothing while the metrics are not read.
 func (s *Server) metricsHandler() http.Handler {
 	next := s.metrics.Handler()
 	var exported exportedCounters
@@ -37,8 +37,8 @@
 	appender      logstore.AppenderStats
 	control       ControlStats
 	rejectedCalls int64
-	// droppedEvents counts the events that newer ones displaced from the ring.
-	droppedEvents int64
+	// evictedEvents counts the events evicted from the timeline ring.
+	evictedEvents int64
 }
 
 func (s *Server) refresh(exported *exportedCounters) {
@@ -81,9 +81,9 @@
 	rejected := s.proxy.Held().Rejected
 	s.metrics.CountRejected(metrics.BoundCallsInFlight, rejected-exported.rejectedCalls)
 	exported.rejectedCalls = rejected
-	dropped := int64(s.node.Ring().Evicted())
-	s.metrics.CountRejected(metrics.BoundTimeline, dropped-exported.droppedEvents)
-	exported.droppedEvents = dropped
+	evicted := int64(s.node.Ring().Evicted())
+	s.metrics.CountRejected(metrics.BoundTimeline, evicted-exported.evictedEvents)
+	exported.evictedEvents = evicted
 }
 
 // refreshControl adds the counters of the control plane to the metrics.
@@ -116,7 +116,7 @@
 	watch(metrics.BoundMembers, 0, func() int64 { return int64(s.control.memberView().Len()) })
 	watch(metrics.BoundAppends, int64(s.appenderConfig().MaxQueue), func() int64 { return int64(s.appender.Stats().Queued) })
 	watch(metrics.BoundAccounts, int64(l.CallsInFlight), func() int64 { return int64(guard.Busy()) })
-	watch(metrics.BoundFollowers, admin.MaxEventStreams, s.followers.n.Load)
+	watch(metrics.BoundFollowers, admin.MaxEventStreams, s.eventStreams.open.Load)
 }
 
 func boolToInt(b bool) int64 {
--- a/internal/server/ownership.go
+++ b/internal/server/ownership.go
@@ -21,7 +21,8 @@
 )
 
 const (
-	// planPeriod is how often ownership is planned. Promises are valid for seconds.
+	// planPeriod is how often ownership is planned. It is short compared with the validity of
+	// promises, which is in the order of seconds.
 	planPeriod = 250 * time.Millisecond
 	// headExchangePeriod is how often a guard that may not take slots yet exchanges heads of the
 	// log with the other guards.
@@ -67,6 +68,8 @@
 	}
 }
 
+// run plans ownership and checks authority every planPeriod, and plans at once after
+// requestPlan. It returns when ctx ends.
 func (o *ownership) run(ctx context.Context) {
 	t := time.NewTicker(planPeriod)
 	defer t.Stop()
@@ -158,13 +161,13 @@
 func (o *ownership) sendPromiseRequest(ctx context.Context, addr string, slots []int) (*innerpb.PromiseResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
-	head, proven := o.state.Head()
+	head, observed := o.state.Head()
 	resp, err := o.client(addr).Promise(ctx, connect.NewRequest(&innerpb.PromiseRequest{
 		Owner:     control.Ref(o.server.control.self()),
 		Service:   &innerpb.ServiceRef{Service: o.state.Local()},
 		Slots:     encodeSlotNumbers(slots),
 		ProofHead: head,
-		Proven:    proven,
+		Proven:    observed,
 	}))
 	if err != nil {
 		return nil, err
@@ -213,12 +216,12 @@
 	slots := decodeSlotNumbers(req.Msg.GetSlots())
 	granted := len(slots) > 0 && o.state.OnPromiseRequest(now, req.Msg.GetService().GetService(), from, slots)
 	o.countPromise(len(slots) > 0, granted)
-	head, proven := o.state.Head()
+	head, observed := o.state.Head()
 	return connect.NewResponse(&innerpb.PromiseResponse{
 		From:      control.Ref(o.server.control.self()),
 		Granted:   granted,
 		ProofHead: head,
-		Proven:    proven,
+		Proven:    observed,
 		Eligible:  o.state.Eligible(now) && !o.server.node.Guard().Draining(),
 	}), nil
 }
--- a/internal/server/peerclient.go
+++ b/internal/server/peerclient.go
@@ -166,6 +166,8 @@
 	return s, err
 }
 
+// call sends in as JSON to a path on the inner port of a member and decodes the JSON response
+// into out.
 func (p *peerClient) call(ctx context.Context, m membership.Member, method, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
--- a/internal/server/probe.go
+++ b/internal/server/probe.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// probeTimeout bounds a direct probe and a probe by way of a helper; helperTimeout bounds the
-	// probe that the helper makes.
+	// probeTimeout bounds a direct probe, and an indirect probe including the response of its
+	// helper. helperTimeout bounds the probe that the helper sends to the target.
 	probeTimeout  = 400 * time.Millisecond
 	helperTimeout = 300 * time.Millisecond
 )
@@ -110,7 +110,7 @@
 			ctx, cancel := context.WithTimeout(ctx, rpcTimeout)
 			defer cancel()
 			c.counters.gossips.Add(1)
-			// A message that is lost here is replaced by the next exchanges.
+			// An error is ignored: the next exchanges carry the crash records of a lost message.
 			_, _ = c.clients.client(peer.Addr).SpreadSuspects(ctx, connect.NewRequest(req))
 		})
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -36,8 +36,7 @@
 	guardTick = 10 * time.Millisecond
 	// headerTimeout bounds the time in which the header of a request must arrive.
 	headerTimeout = 10 * time.Second
-	// timerSample is the sampling of durations on the path of a call: one in timerSample is
-	// measured.
+	// timerSample is N in "record 1 in N durations" for the timers on the path of a call.
 	timerSample = 8
 )
 
@@ -49,7 +48,7 @@
 	Dial proxy.DialFunc
 	// Logger receives the log lines of the node.
 	Logger zerolog.Logger
-	// Observer may be nil.
+	// Observer receives the end of calls; it may be nil.
 	Observer node.Observer
 	// BeforeRun may be nil; see proxy.Upstream.BeforeRun.
 	BeforeRun func(context.Context) error
@@ -72,11 +71,11 @@
 	metrics   *metrics.Set
 	tokens    *admin.Tokens
 
-	listeners   listeners
-	servers     []*http.Server
-	followers   followers
-	connections connectionCounter
-	certs       certificates
+	listeners    listeners
+	servers      []*http.Server
+	eventStreams eventStreamCounter
+	connections  connectionCounter
+	certs        certificates
 	// innerServer is the server for other nodes; it is one of servers.
 	innerServer *http.Server
 	// stopping is closed when the listeners close, and ends open streams.
@@ -258,6 +257,7 @@
 	return s.cfg.Inner.Advertised
 }
 
+// newSeed returns a random seed, or one from the clock if the system's random source fails.
 func newSeed() [32]byte {
 	var seed [32]byte
 	if _, err := rand.Read(seed[:]); err != nil {
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -68,12 +68,12 @@
 	if ctx.Err() == nil {
 		s.control.leave()
 	}
-	cut := s.closeServers(ctx)
+	interrupted := s.closeServers(ctx)
 	s.node.Event(s.node.Now(), timeline.Event{
-		Kind: timeline.DrainFinished, Upstream: s.cfg.NodeID, Detail: fmt.Sprintf("%d calls cut", cut),
+		Kind: timeline.DrainFinished, Upstream: s.cfg.NodeID, Detail: fmt.Sprintf("%d calls interrupted", interrupted),
 	})
 	s.node.Event(s.node.Now(), timeline.Event{Kind: timeline.NodeStopped})
-	return cut
+	return interrupted
 }
 
 // awaitDrainNotice keeps the listeners open until the other nodes know that the node is
@@ -96,20 +96,20 @@
 func (s *Server) closeServers(ctx context.Context) int {
 	s.endStreams()
 	s.control.endHeldRequests()
-	cut := 0
+	interrupted := 0
 	for _, srv := range s.servers {
 		if srv == s.innerServer {
 			continue
 		}
 		if err := srv.Shutdown(ctx); err != nil {
-			cut = max(cut, s.InFlight())
+			interrupted = max(interrupted, s.InFlight())
 			_ = srv.Close()
 		}
 	}
 	for s.proxy.PendingPeerCalls() > 0 && ctx.Err() == nil {
 		wait.For(ctx, drainPollInterval)
 	}
-	cut = max(cut, s.node.Guard().Busy(), s.proxy.PendingPeerCalls())
+	interrupted = max(interrupted, s.node.Guard().Busy(), s.proxy.PendingPeerCalls())
 	wait.For(ctx, flushDelay)
 	_ = s.innerServer.Close()
 	s.stop()
@@ -117,7 +117,7 @@
 	s.peers.Close()
 	s.control.clients.close()
 	s.goroutines.Wait()
-	return cut
+	return interrupted
 }
 
 // Kill stops the node at once, like a crash of its VM.
