--- a/internal/admin/backend.go
+++ b/internal/admin/backend.go
@@ -26,7 +26,7 @@
 	ShowInstance(ctx context.Context, r *adminpb.ShowInstanceRequest) (*adminpb.ShowInstanceResponse, error)
 	// SetInstance publishes an instance. It returns under the same conditions as PublishTemplate.
 	SetInstance(ctx context.Context, operator string, r *adminpb.SetInstanceRequest) (*adminpb.Publication, error)
-	// DiffInstance compares proposed values with the instance in force, without a change.
+	// DiffInstance compares proposed values with the instance in force. It publishes nothing.
 	DiffInstance(ctx context.Context, r *adminpb.DiffInstanceRequest) (*adminpb.DiffInstanceResponse, error)
 
 	// Status returns the state of the known nodes.
--- a/internal/admin/tokens.go
+++ b/internal/admin/tokens.go
@@ -25,7 +25,9 @@
 
 // Identity is the name, role and workspaces that a bearer token grants.
 type Identity struct {
-	Name       string
+	// Name identifies the holder of the token, for the log, the timeline and publications.
+	Name string
+	// Role is the set of permissions.
 	Role       settings.Role
 	workspaces []string
 }
