--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -33,7 +33,8 @@
 type Callers struct {
 	// Address is IP:port.
 	Address string `json:"address"`
-	TLS     *TLS   `json:"tls"`
+	// TLS is nil for cleartext.
+	TLS *TLS `json:"tls"`
 	// RequireToken rejects callers without a token of role "caller" for their workspace. Default
 	// false.
 	RequireToken bool `json:"require_token"`
@@ -52,7 +53,7 @@
 	// Advertised is the IP:port that other nodes connect to. Default Address, which must then not
 	// be unspecified (0.0.0.0).
 	Advertised string `json:"advertised"`
-	// TLS with a CAFile requires a certificate from every peer.
+	// TLS with a CAFile requires a certificate from every peer. It is nil for cleartext.
 	TLS *TLS `json:"tls"`
 }
 
@@ -60,7 +61,8 @@
 type Admin struct {
 	// Address is IP:port.
 	Address string `json:"address"`
-	TLS     *TLS   `json:"tls"`
+	// TLS is nil for cleartext.
+	TLS *TLS `json:"tls"`
 }
 
 // TLS contains the certificate files of a listener.
@@ -115,8 +117,8 @@
 
 // Timing contains the node's periods and timeouts.
 type Timing struct {
-	// Exchange is the period of the control exchange with a relay. Default 1s: at 2 KB/s of
-	// control traffic each exchange may use 2 KB.
+	// Exchange is the period of the control exchange with a relay. Default 1s: with a limit of
+	// 2 KB/s for control traffic, each exchange may use 2 KB.
 	Exchange Duration `json:"exchange"`
 	// UpstreamSilence is the time without an announcement after which an upstream counts as gone.
 	// Default 3s, three announcements.
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// MaxNameLen is the maximum length of names of nodes, regions, zones and workspaces.
+// MaxNameLen is the maximum length in bytes of names of nodes, regions, zones and workspaces.
 const MaxNameLen = 64
 
 const (
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// checkAddr parses an IP:port. Host names are rejected because the resolver may be unreachable
-// while the platform is.
+// checkAddr parses an IP:port. Host names are rejected: they need a resolver, and an outage of the
+// platform may make the resolver unreachable too.
 func checkAddr(field, v string, allowPortZero bool) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(v)
 	if err != nil || (a.Port() == 0 && !allowPortZero) {
