--- a/internal/metrics/names.go
+++ b/internal/metrics/names.go
@@ -7,13 +7,17 @@
 const (
 	CallsReceived Counter = iota
 	CallsFromUpstream
+	// CallsLocal and CallsForwarded count attempts sent to this node's own guard and to other nodes.
 	CallsLocal
 	CallsForwarded
+	// CallsGuarded counts the admission decisions of this node's guard.
 	CallsGuarded
 	CallsRetried
 	CallsReattached
+	// CallsJoined counts calls that wait for a running call with the same idempotency key.
 	CallsJoined
 	CallsCancelled
+	// RetriesThrottled counts retries that the retry throttle rejected.
 	RetriesThrottled
 	UpstreamsEjected
 	UpstreamCrashes
@@ -23,9 +27,11 @@
 	LogAppendFailures
 	LogReads
 	LogReadFailures
+	// LogAppendsSettled counts failed appends whose records may be in the log nevertheless.
 	LogAppendsSettled
 	ControlExchanges
 	ControlExchangeFailures
+	// RecordsFolded counts the records of the log that this node applied.
 	RecordsFolded
 	Takeovers
 	AuthorityLapses
@@ -33,6 +39,8 @@
 	PromisesRefused
 	AuthRefused
 	CrashRecordsGossiped
+	// QuotaAsked counts quota tokens requested from other nodes; QuotaGranted counts tokens granted
+	// to other nodes.
 	QuotaAsked
 	QuotaGranted
 	numCounters
@@ -88,6 +96,7 @@
 	AuthorityAgeMillis
 	UpstreamsKnown
 	UpstreamsLive
+	// IsRelay is 1 while this node is the leader of its zone, which reads the log for the zone.
 	IsRelay
 	IsDraining
 	RetryBudgetLeft
@@ -140,7 +149,9 @@
 	BoundCrashRecords
 	BoundMembers
 	BoundAppends
+	// BoundAccounts is the number of calls that this node's guard runs or queues.
 	BoundAccounts
+	// BoundFollowers is the number of open event streams.
 	BoundFollowers
 	numBounds
 )
@@ -169,10 +180,12 @@
 
 // The timers of a node.
 const (
+	// CallTime is the total duration of a call; AddedTime is the part of it outside of attempts.
 	CallTime Timer = iota
 	AddedTime
 	QueueTime
 	UpstreamTime
+	// InnerTime is the duration of an attempt sent to another node.
 	InnerTime
 	LogAppendTime
 	LogReadTime
