--- a/internal/timeline/hlc.go
+++ b/internal/timeline/hlc.go
@@ -8,8 +8,9 @@
 )
 
 // HLC is a timestamp of a hybrid logical clock: milliseconds since the Unix epoch in the upper 48
-// bits, a counter in the lower 16. An event compares greater than every event that its process had
-// recorded or learned of by a message before.
+// bits, a counter in the lower 16. The timestamp of an event is greater than the timestamps of all
+// events that its process recorded before, and greater than all timestamps that its process received
+// in messages before, except those beyond MaxAhead.
 type HLC uint64
 
 const counterBits = 16
@@ -31,7 +32,8 @@
 // into the milliseconds, so the order is kept.
 func (h HLC) Next(now time.Time) HLC { return max(h+1, HLCAt(now)) }
 
-// Merge returns the timestamp, following h, for the receipt of remote at now.
+// Merge returns the timestamp that follows h for the receipt of a message with the timestamp remote
+// at now. A remote that is more than MaxAhead ahead of now is ignored.
 func (h HLC) Merge(remote HLC, now time.Time) HLC {
 	if remote > HLCAt(now.Add(MaxAhead)) {
 		return h.Next(now)
--- a/internal/timeline/jsonlines.go
+++ b/internal/timeline/jsonlines.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// MaxLineBytes is the maximum length of a line that ReadJSONLines accepts.
+// MaxLineBytes is the maximum length in bytes of a line that ReadJSONLines accepts.
 const MaxLineBytes = 16 << 10
 
 // WriteJSONLines writes one JSON object per line for each event.
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -34,7 +34,7 @@
 // only for the copy of one event.
 func (r *Ring) Add(now time.Time, e Event) { r.Put(now, e) }
 
-// Put is Add and returns the stored event.
+// Put stores e like Add and returns the event as stored.
 func (r *Ring) Put(now time.Time, e Event) Event {
 	if e.Node == "" {
 		e.Node = r.node
--- a/internal/timeline/treesampler.go
+++ b/internal/timeline/treesampler.go
@@ -35,8 +35,8 @@
 const maxMaskBits = 16
 
 // Keep reports whether to write a line about the request and, if so, counts the line. oneIn is N if
-// 1 in N trees is kept, for the line to state its weight. requestID may be the ID of any call of
-// the tree.
+// 1 in N trees is kept, for the caller to write into the line: the line then represents N trees.
+// requestID may be the ID of any call of the tree.
 func (s *TreeSampler) Keep(now time.Time, requestID string) (keep bool, oneIn int) {
 	h := hash(RootOf(requestID))
 	s.mu.Lock()
