--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -12,9 +12,9 @@
 	for _, check := range []func(*History) []Violation{
 		checkAtMostOnce,
 		checkRefusals,
-		checkAnswers,
+		checkResponses,
 		checkRetries,
-		checkDeaths,
+		checkCrashes,
 		checkVersions,
 	} {
 		all = append(all, check(h)...)
@@ -80,7 +80,7 @@
 	return found
 }
 
-func checkAnswers(h *History) []Violation {
+func checkResponses(h *History) []Violation {
 	var found []Violation
 	for _, s := range h.Sends {
 		if !s.Success {
@@ -115,16 +115,16 @@
 	return found
 }
 
-func checkDeaths(h *History) []Violation {
-	deaths := map[string]int{}
+func checkCrashes(h *History) []Violation {
+	crashes := map[string]int{}
 	var found []Violation
 	for _, r := range h.Runs {
 		if !r.Killed {
 			continue
 		}
-		deaths[r.Request]++
-		if deaths[r.Request] > MaxDeaths {
-			found = append(found, Violation{BoundedDeaths, r.Request, fmt.Sprintf("crash %d, of upstream %s", deaths[r.Request], r.Upstream)})
+		crashes[r.Request]++
+		if crashes[r.Request] > MaxCrashes {
+			found = append(found, Violation{BoundedDeaths, r.Request, fmt.Sprintf("crash %d, of upstream %s", crashes[r.Request], r.Upstream)})
 		}
 	}
 	return found
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -19,8 +19,8 @@
 	Success bool `json:"success,omitempty"`
 	// BodyComplete reports whether the content of a successful response's body was complete.
 	BodyComplete bool `json:"whole,omitempty"`
-	// ResponseRequest and AnswerFrom are the request ID and the service contained in the body of a
-	// successful response.
+	// ResponseRequest and ResponseService are the request ID and the service contained in the body
+	// of a successful response.
 	ResponseRequest string `json:"answer_to,omitempty"`
 	ResponseService string `json:"answer_from,omitempty"`
 	// Err is the error of an unsuccessful attempt.
@@ -53,8 +53,9 @@
 // records per root request; their sum counts.
 type Retries struct {
 	// Root is the ID of the root request.
-	Root  string `json:"root"`
-	Count int    `json:"count"`
+	Root string `json:"root"`
+	// Count is the number of retries that this record adds.
+	Count int `json:"count"`
 	// Allowance is the maximum number of retries in the whole call tree, or Unbounded.
 	Allowance int `json:"allowance"`
 }
@@ -88,15 +89,15 @@
 	RightAnswer Property = "right_answer"
 	// BoundedRetries requires that the retries of a root request do not exceed its allowance.
 	BoundedRetries Property = "bounded_retries"
-	// BoundedDeaths requires that one request crashes at most MaxDeaths upstreams.
+	// BoundedDeaths requires that one request crashes at most MaxCrashes upstreams.
 	BoundedDeaths Property = "bounded_deaths"
 	// RisingVersions requires that the configuration version in force at a node never decreases.
 	RisingVersions Property = "rising_versions"
 )
 
-// MaxDeaths is the maximum number of upstreams that one request may crash. The request is
+// MaxCrashes is the maximum number of upstreams that one request may crash. The request is
 // quarantined after the second crash.
-const MaxDeaths = 2
+const MaxCrashes = 2
 
 // Properties returns all properties in the order in which Check verifies them.
 func Properties() []Property {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -51,14 +51,14 @@
 		"a second run under another key": {history.AtMostOnce, func(h *history.History) {
 			h.Runs = append(h.Runs, history.Run{Upstream: "l2", Service: "letters", Path: "/issue", Request: "a", Attempt: "a.1", Key: "changed"})
 		}},
-		"a refused sending ran later, deeper in the chain": {history.TrueRefusal, func(h *history.History) {
+		"a refused attempt ran later at a deeper service": {history.TrueRefusal, func(h *history.History) {
 			h.Runs = append(h.Runs, history.Run{Upstream: "t1", Service: "tracker", Path: "/track", Request: "b", Attempt: "b.1"})
 		}},
 		"a short body as a success":      {history.RightAnswer, func(h *history.History) { h.Sends[1].BodyComplete = false }},
-		"another request's answer":       {history.RightAnswer, func(h *history.History) { h.Sends[1].ResponseRequest = "b" }},
-		"another service's answer":       {history.RightAnswer, func(h *history.History) { h.Sends[1].ResponseService = "archive" }},
-		"two nodes overspent one root":   {history.BoundedRetries, func(h *history.History) { h.Retries[1].Count = 2 }},
-		"a third upstream died":          {history.BoundedDeaths, func(h *history.History) { h.Runs = append(h.Runs, h.Runs[3]) }},
+		"another request's response":     {history.RightAnswer, func(h *history.History) { h.Sends[1].ResponseRequest = "b" }},
+		"another service's response":     {history.RightAnswer, func(h *history.History) { h.Sends[1].ResponseService = "archive" }},
+		"two nodes exceed the allowance": {history.BoundedRetries, func(h *history.History) { h.Retries[1].Count = 2 }},
+		"a third upstream crashed":       {history.BoundedDeaths, func(h *history.History) { h.Runs = append(h.Runs, h.Runs[3]) }},
 		"an older version after restart": {history.RisingVersions, func(h *history.History) { h.Versions[2].Version = 2 }},
 	}
 	for name, c := range cases {
--- a/internal/history/jsonlines.go
+++ b/internal/history/jsonlines.go
@@ -24,7 +24,7 @@
 	Records int `json:"records"`
 }
 
-// maxLineBytes is the maximum length of a line that Read accepts. Records are far shorter.
+// maxLineBytes is the maximum length in bytes of a line that Read accepts. Records are far shorter.
 const maxLineBytes = 1 << 20
 
 // Write writes h to w, one JSON object per line, followed by an end record.
