--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -23,7 +23,8 @@
 	exhaustedUntil time.Time
 	backoff        time.Duration
 	// lastRetryAt is the time at which the last refused caller was told to retry.
-	lastRetryAt    time.Time
+	lastRetryAt time.Time
+	// spent and refused count the requests that arrived at this node.
 	spent, refused int64
 }
 
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// initialFillShare is the share of its depth with which a new process fills a bucket. With full
+// initialFillShare is the share of its depth to which a new process fills a bucket. With full
 // buckets a workspace could exceed its quota when all nodes restart at once; with empty buckets a
 // workspace that sent nothing before the restart would be refused.
 const initialFillShare = 0.35
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -64,7 +64,7 @@
 
 // Decision is the result of Take for one request.
 type Decision struct {
-	// RecordGrant is true if the request has its token.
+	// Granted is true if the request has its token.
 	Granted bool
 	// Holders has the holders to request a token from, in this order.
 	Holders []Node
@@ -145,8 +145,8 @@
 }
 
 // Refuse records that a request found no token, and returns the delay after which its caller may
-// retry. The delays of successive callers follow each other at the rate of an equal part of the
-// quota for each node. u is a random number in [0, 1).
+// retry. The delays are spaced so that the retries of this node's callers arrive at the rate of an
+// equal part of the quota for each node. u is a random number in [0, 1).
 func (l *Ledger) Refuse(now time.Time, workspace string, u float64) time.Duration {
 	retryAfter := maxRetryAfter
 	l.withAccount(workspace, func(a *account) {
