--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -90,8 +90,8 @@
 	})
 }
 
-func report(id string, born, sequence int64) Report {
-	return Report{ID: id, Service: "s", Address: "a:1", Slots: 4, StartedAt: born, Sequence: sequence}
+func report(id string, startedAt, sequence int64) Report {
+	return Report{ID: id, Service: "s", Address: "a:1", Slots: 4, StartedAt: startedAt, Sequence: sequence}
 }
 
 // Guards against calls to a dead process of an upstream, after its report arrived late.
--- a/internal/fleet/upstream.go
+++ b/internal/fleet/upstream.go
@@ -60,8 +60,8 @@
 
 // process identifies one process of an upstream.
 type process struct {
-	id   string
-	born int64
+	id        string
+	startedAt int64 // Unix milliseconds
 }
 
 // maxPredecessors bounds the remembered processes. Reports are delayed by seconds, and an
@@ -107,8 +107,8 @@
 	return u.start(r)
 }
 
-// sameProcess compares the ID and the start time, since a new process may use the ID of the old
-// one.
+// sameProcess reports whether r comes from the current process. It compares the start time too,
+// since a new process may use the ID of the old one.
 func (u *LocalUpstream) sameProcess(r Report) bool {
 	return r.ID == u.latest.ID && r.StartedAt == u.latest.StartedAt
 }
@@ -140,10 +140,10 @@
 	return Unchanged
 }
 
-// Departed records that the process with this ID and start time has ended or is about to. born is
-// 0 if the start time was not reported.
-func (u *LocalUpstream) Departed(id string, born int64) Change {
-	if !u.known || u.latest.ID != id || (born != 0 && born < u.latest.StartedAt) {
+// Departed records that the process with this ID and start time has ended or is about to.
+// startedAt is in Unix milliseconds; 0 if the start time was not reported.
+func (u *LocalUpstream) Departed(id string, startedAt int64) Change {
+	if !u.known || u.latest.ID != id || (startedAt != 0 && startedAt < u.latest.StartedAt) {
 		return Outdated
 	}
 	if u.left {
