--- a/internal/routes/config.go
+++ b/internal/routes/config.go
@@ -75,6 +75,7 @@
 type FieldError struct {
 	Field string
 	Value any
+	// Bound describes the valid values; the message reads "must be" before it.
 	Bound string
 }
 
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -95,10 +95,10 @@
 		for i, n := range counts {
 			fair := float64(requests) * float64(weights[i]) / float64(total)
 			if float64(n) < fair-float64(len(weights)) || float64(n) > fair+float64(len(weights)) {
-				t.Fatalf("part %d got %d of %d, fair %.1f, weights %v", i, n, requests, fair, weights)
+				t.Fatalf("target %d got %d of %d requests, its share is %.1f, weights %v", i, n, requests, fair, weights)
 			}
 			if weights[i] == 0 && n > 0 {
-				t.Fatal(fmt.Sprint("part without weight got requests: ", weights))
+				t.Fatal(fmt.Sprint("target without weight got requests: ", weights))
 			}
 		}
 	})
--- a/internal/routes/workspace_test.go
+++ b/internal/routes/workspace_test.go
@@ -18,7 +18,7 @@
 
 // Guards against an API key that is assigned to another workspace, or to one although it is
 // unknown.
-func TestHolderFindsWorkspaceByKey(t *testing.T) {
+func TestWorkspaceIsFoundByKey(t *testing.T) {
 	c := configWithWorkspaces(Workspace{Name: "north", Keys: []Key{KeyOf("k1"), KeyOf("k2")}}, Workspace{Name: "south", Keys: []Key{KeyOf("k3")}})
 	must.NoError(t, c.Validate())
 	table := NewTable(nil, c, 0)
