--- a/internal/mesh/callerconn.go
+++ b/internal/mesh/callerconn.go
@@ -31,7 +31,7 @@
 	return &callerConn{Conn: c, timeouts: l.mesh}, nil
 }
 
-// callerTimeouts returns the timeouts for caller connections that are currently in force.
+// callerTimeouts provides the timeouts for caller connections that are currently in force.
 type callerTimeouts interface {
 	idleTimeout() time.Duration
 	headerTimeout() time.Duration
--- a/internal/mesh/callerconn_test.go
+++ b/internal/mesh/callerconn_test.go
@@ -16,7 +16,7 @@
 func (b fixedTimeouts) headerTimeout() time.Duration { return b.header }
 
 // connPair returns the node's end and the caller's end of a connection.
-func connPair(t *testing.T, b callerTimeouts) (node *callerConn, caller net.Conn) {
+func connPair(t *testing.T, timeouts callerTimeouts) (node *callerConn, caller net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer l.Close()
@@ -25,7 +25,7 @@
 	accepted, err := l.Accept()
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = caller.Close(); _ = accepted.Close() })
-	return &callerConn{Conn: accepted, timeouts: b}, caller
+	return &callerConn{Conn: accepted, timeouts: timeouts}, caller
 }
 
 func sentinel(d time.Duration) time.Time { return time.Now().Add(d) }
--- a/internal/mesh/compare.go
+++ b/internal/mesh/compare.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// offsetsPath is where a node serves the offsets up to which it has read the store's topics.
+	// offsetsPath is the path at which a node serves the offsets up to which it has read the
+	// store's topics.
 	offsetsPath = "/offsets"
 	// zoneCompareInterval is the mean time between two comparisons by all nodes of a zone
 	// together. minCompareInterval bounds the interval of a single node from below.
@@ -23,11 +24,11 @@
 	minCompareInterval  = 500 * time.Millisecond
 	// compareTimeout bounds one request for offsets.
 	compareTimeout = 500 * time.Millisecond
-	// maxOffsetsBytes bounds the response.
+	// maxOffsetsBytes bounds the response in bytes.
 	maxOffsetsBytes = 1 << 10
 )
 
-// offsets is how far a node has read the store's topics.
+// offsets contains the offsets up to which a node has read the store's topics.
 type offsets struct {
 	Members int64 `json:"members"`
 	Routes  int64 `json:"routes"`
@@ -35,12 +36,13 @@
 	RoutesVersion int64 `json:"routes_version"`
 }
 
-// compareOffsets periodically asks a random node of another zone how far it has read.
+// compareOffsets periodically compares this node's offsets with those of a random node of another
+// zone.
 //
 // It detects a store that no longer responds to the reader of a zone while the connection stays
 // open. A waiting read then looks the same as one during which nothing changes, and the whole
-// zone keeps outdated data. Each zone reads the store on its own, so nodes of another
-// zone are ahead as long as the store responds to one of them.
+// zone keeps outdated data. Each zone reads the store on its own, so nodes of another zone are
+// ahead as long as the store responds to one of them.
 func (m *Mesh) compareOffsets(ctx context.Context) {
 	for ctx.Err() == nil {
 		interval := max(time.Duration(len(m.members.zoneNeighbours(m.cfg)))*zoneCompareInterval, minCompareInterval)
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -14,8 +14,8 @@
 	timelineEvents = 1024
 	// timelineSample keeps the events of one in this many successful calls.
 	timelineSample = 256
-	// maxReroutes is how many unreachable upstreams a call may skip: with a third of a service
-	// gone, 3 in a row are rare.
+	// maxReroutes is how many unreachable upstreams a call may skip: with a third of a service's
+	// upstreams unreachable, 3 in a row are rare.
 	maxReroutes = 3
 )
 
@@ -38,8 +38,8 @@
 	// maxIdlePerPeer bounds the idle connections to one node: as many as one node has concurrent
 	// calls to another, with some room.
 	maxIdlePerPeer = 64
-	// minIdlePerPeer is kept per node however many nodes there are: with fewer, each call would
-	// open a connection.
+	// minIdlePerPeer is the smallest bound of idle connections to one node, however many nodes
+	// there are: with fewer, each call would open a connection.
 	minIdlePerPeer = 2
 	// peerDescriptorShare is the share of the file descriptors for idle connections to all other
 	// nodes. The other nodes keep as many to this one, and the other half is for callers and the
@@ -87,21 +87,21 @@
 	return min(max(minBatchWindow, time.Duration(nodes)*time.Second/deploymentReadsPerSecond), maxBatchWindow)
 }
 
-// maxProvenRequests is how many recently succeeded requests each guard remembers; each takes 8
+// maxRecentSuccesses is how many recently succeeded requests each guard remembers; each takes 8
 // bytes plus a map entry.
-const maxProvenRequests = 8192
+const maxRecentSuccesses = 8192
 
 const (
 	// completedRetention is how long the response of a completed call is kept for a sender whose
 	// connection became silent: it re-attaches within 1 s.
 	completedRetention = 3 * time.Second
-	// maxCompletedBytes bounds the size of those responses.
+	// maxCompletedBytes bounds the total size of those responses in bytes.
 	maxCompletedBytes = 2 << 20
 )
 
 func guardConfig() node.GuardConfig {
 	cfg := node.DefaultGuardConfig()
-	cfg.Quarantine.MaxRecentSuccesses = maxProvenRequests
+	cfg.Quarantine.MaxRecentSuccesses = maxRecentSuccesses
 	cfg.KeepDone = completedRetention
 	cfg.KeepDoneBytes = maxCompletedBytes
 	return cfg
--- a/internal/mesh/exchange.go
+++ b/internal/mesh/exchange.go
@@ -15,9 +15,10 @@
 )
 
 const (
-	// introductionPath is where a node receives another node's record and responds with its own.
+	// introductionPath is the path at which a node receives another node's record and responds
+	// with its own.
 	introductionPath = "/introduction"
-	// membersPath is where a node serves all member records that it has.
+	// membersPath is the path at which a node serves all member records that it has.
 	membersPath = "/members"
 	// introductionTimeout bounds one introduction within the zone.
 	introductionTimeout = 300 * time.Millisecond
@@ -39,11 +40,11 @@
 	if err != nil {
 		return fleet.Member{}, err
 	}
-	reply, err := m.sendControl(req, fleet.MaxMemberBytes)
+	response, err := m.sendControl(req, fleet.MaxMemberBytes)
 	if err != nil {
 		return fleet.Member{}, err
 	}
-	return fleet.DecodeMember(reply)
+	return fleet.DecodeMember(response)
 }
 
 // statusError is a response of another node with a status other than 200.
@@ -80,7 +81,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	m.members.learn(record)
+	m.members.applyMember(record)
 	if m.routes.Version() == 0 || !m.members.isInitialized() {
 		m.routes.fetch(record.Address)
 	}
--- a/internal/mesh/feed.go
+++ b/internal/mesh/feed.go
@@ -13,10 +13,10 @@
 	Items []Item `json:"items,omitempty"`
 	// Next is the offset of the next read.
 	Next int64 `json:"next"`
-	// AgeMillis is how long ago the sender last knew that the store had nothing newer, in
-	// milliseconds.
+	// AgeMillis is the time in milliseconds since the sender last knew that the store had
+	// nothing newer.
 	AgeMillis int64 `json:"age_ms"`
-	// Snapshot is whether Items are the newest record of each key rather than the records after
+	// Snapshot reports whether Items are the newest record of each key rather than the records after
 	// an offset.
 	Snapshot bool `json:"whole,omitempty"`
 }
@@ -53,7 +53,7 @@
 	changed chan struct{}
 }
 
-// feedState is how current a feed is with respect to the store.
+// feedState is the state of a feed relative to the store.
 type feedState int
 
 const (
--- a/internal/mesh/follow.go
+++ b/internal/mesh/follow.go
@@ -18,8 +18,8 @@
 	// however long it waits; keep-alive probes rather than the end of the read detect a dead
 	// connection.
 	readWait = 25 * time.Second
-	// routesReadWait is the same for published routes: the store may skip a waiting read when a
-	// record arrives, and routes have to be in force within 2 s.
+	// routesReadWait is the same for published routes: the store may leave a waiting read without
+	// a response when a record arrives, and routes have to be in force within 2 s.
 	routesReadWait = time.Second
 	// minRetryDelay and maxRetryDelay bound the delay after a failed call of the store. The
 	// node's record has to be in the store again about 2 s after the store returns.
@@ -87,10 +87,11 @@
 	confirmedAt atomic.Int64
 	// resync requests a new read of all keys.
 	resync atomic.Bool
+	// lostAt is the time of the first failed read; zero while reads succeed.
 	lostAt time.Time
-	// lost is whether the last read failed.
+	// lost reports whether the last read failed.
 	lost atomic.Bool
-	// nextProbe is when this node may probe a lost store again.
+	// nextProbe is the time from which this node may probe a lost store again.
 	nextProbe time.Time
 	// firstReadDone is closed when the first read has ended, successful or not.
 	firstReadDone chan struct{}
@@ -143,8 +144,8 @@
 }
 
 // resetToSnapshot makes the next read one of all keys.
-func (f *follower) resetToSnapshot(why Purpose) {
-	f.snapshotPurpose = why
+func (f *follower) resetToSnapshot(purpose Purpose) {
+	f.snapshotPurpose = purpose
 	f.next.Store(snapshotOffset)
 	f.peerOffset.Store(0)
 }
@@ -315,8 +316,8 @@
 
 // noteLost records that the store did not respond to a read.
 //
-// Load pattern: the store is down, and each node of a zone would probe it at the pace of a
-// single node. The reader of the zone keeps that pace; the others probe so rarely that together
+// Load pattern: the store is down, and each node of a zone would probe it with the retry delays
+// of a single node. Only the reader of the zone does so; the others probe so rarely that together
 // they send some 10 requests per second, and they learn of the store's return from each other.
 func (f *follower) noteLost(ctx context.Context, err error) {
 	f.nextProbe = time.Now().Add(f.probeInterval())
@@ -330,8 +331,8 @@
 	f.logger.Warn().Str("topic", f.topic.Name()).Err(err).Msg("store lost")
 }
 
-// probeInterval is how long this node leaves probing a lost store to the other nodes of its
-// zone.
+// probeInterval returns the time for which this node leaves probing a lost store to the other
+// nodes of its zone.
 func (f *follower) probeInterval() time.Duration {
 	if f.relay == nil || f.relay.readsStore {
 		return 0
--- a/internal/mesh/follow_test.go
+++ b/internal/mesh/follow_test.go
@@ -26,12 +26,12 @@
 // restarts when each node reads the store itself.
 func TestMemberReadsOfAllNodesAreBounded(t *testing.T) {
 	for _, nodes := range []int{1, 17, 76, 14000} {
-		settle := batchWindowFor(nodes)
-		must.Between(t, minBatchWindow, settle, maxBatchWindow)
+		window := batchWindowFor(nodes)
+		must.Between(t, minBatchWindow, window, maxBatchWindow)
 		synctest.Test(t, func(t *testing.T) {
 			topic := &busyTopic{}
 			f := newFollower(topic, func([]Item) {}, nil, zerolog.Nop())
-			f.batchWindow = func() time.Duration { return settle }
+			f.batchWindow = func() time.Duration { return window }
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			f.run(ctx)
--- a/internal/mesh/gossip.go
+++ b/internal/mesh/gossip.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// unstoredPath is where a node receives records that the store did not accept.
+	// unstoredPath is the path at which a node receives records that the store did not accept.
 	unstoredPath = "/unstored"
 	// gossipFanOut is how many nodes of the zone a new record is sent to at once; one node
 	// in 400 is chosen by no sender and receives the record in a later round.
@@ -26,7 +26,7 @@
 	// gossipDuration is how long a record is passed on.
 	gossipDuration = 8 * time.Second
 	// maxGossipRecords bounds the records that are passed on, and maxGossipBytes the size of one
-	// message.
+	// message in bytes.
 	maxGossipRecords = 64
 	maxGossipBytes   = 64 << 10
 	// gossipTimeout bounds one message within the zone.
@@ -36,15 +36,16 @@
 // unstoredItem is a record that the store did not accept.
 type unstoredItem struct {
 	Item
-	// AtMillis is when its node wrote it, in Unix milliseconds; of two records of a key the
-	// later one wins.
+	// AtMillis is the time at which its node wrote it, in Unix milliseconds; of two records of a
+	// key the later one wins.
 	AtMillis int64 `json:"at_ms"`
 }
 
-// gossipMessage is the message that carries such records.
+// gossipMessage is the message that carries unstored records to another node.
 type gossipMessage struct {
 	Items []unstoredItem `json:"items"`
-	// Address and RoutesVersion are where newer routes can be fetched and their version.
+	// Address is the sender's address, from which its routes can be fetched. RoutesVersion is the
+	// version of those routes.
 	Address       string `json:"address"`
 	RoutesVersion int64  `json:"routes_version"`
 }
@@ -66,7 +67,7 @@
 
 	mu      sync.Mutex
 	records map[string]gossipRecord
-	// forwardScheduled is whether records are being collected to be sent together.
+	// forwardScheduled reports whether records are being collected to be sent together.
 	forwardScheduled bool
 }
 
--- a/internal/mesh/introduce.go
+++ b/internal/mesh/introduce.go
@@ -19,7 +19,7 @@
 	// average: with 3, a round without any is rare.
 	introducersPerRound = 3
 	// maxConcurrentIntroductions bounds the concurrent introductions of a node: with a third of
-	// the 412 nodes of a zone gone, a round contacts one or two.
+	// the 412 nodes of a zone absent, a round contacts one or two.
 	maxConcurrentIntroductions = 8
 )
 
@@ -75,7 +75,7 @@
 	if record.Incarnation != to.Incarnation {
 		i.logger.Info().Str("member", record.Node).Str("state", string(record.State)).Str("address", to.Address).Msg("member restarted; its new record was received from it directly")
 	}
-	i.mesh.members.learn(record)
+	i.mesh.members.applyMember(record)
 }
 
 // unreachable reports whether recent calls to a node failed to reach it.
--- a/internal/mesh/local.go
+++ b/internal/mesh/local.go
@@ -9,7 +9,7 @@
 )
 
 // localUpstream applies the reports of the upstream beside the node. It implements
-// Announcements.
+// UpstreamReports.
 type localUpstream struct {
 	mesh *Mesh
 
@@ -17,7 +17,7 @@
 	known fleet.LocalUpstream
 }
 
-// Reported implements Announcements. When it returns, a reported drain is in force at the guard,
+// Reported implements UpstreamReports. When it returns, a reported drain is in force at the guard,
 // since acknowledging a report commits the node to it.
 func (l *localUpstream) Reported(r fleet.Report) {
 	l.mu.Lock()
@@ -72,11 +72,11 @@
 	return r.ID != ""
 }
 
-// Departed implements Announcements.
-func (l *localUpstream) Departed(id string, born int64) {
+// Departed implements UpstreamReports.
+func (l *localUpstream) Departed(id string, startedAt int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.known.Departed(id, born) == fleet.Left {
+	if l.known.Departed(id, startedAt) == fleet.Left {
 		r, _ := l.known.Current()
 		l.onLeft(r, "departed")
 	}
@@ -118,9 +118,9 @@
 	m.logger.Info().Str("upstream", r.ID).Str("how", how).Int64("sequence", r.Sequence).Int("in_flight", m.node.Guard().Busy()).Msg("upstream left; new calls to it are refused")
 }
 
-// servesSince returns now for an upstream that reports that it is still slow after its start,
-// and 0 otherwise: an upstream that reports no slowness has been warm for longer than any slow
-// start takes.
+// servesSince returns now in Unix milliseconds for an upstream that reports that it is still slow
+// after its start, and 0 otherwise: an upstream that reports no slowness has been warm for longer
+// than any slow start takes.
 func servesSince(r fleet.Report, now time.Time) int64 {
 	if r.ColdFor <= 0 {
 		return 0
@@ -143,5 +143,5 @@
 		own.ServesSince = since
 		own.State = state
 	})
-	l.mesh.members.learn(record)
+	l.mesh.members.applyMember(record)
 }
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -23,7 +23,7 @@
 
 	mu       sync.Mutex
 	registry *fleet.Registry
-	// initialized is whether the records of the deployment were read once, from the store or
+	// initialized reports whether the records of the deployment were read once, from the store or
 	// from another node.
 	initialized bool
 	// sameZone caches the neighbours as of the registry's change count sameZoneRevision: they
@@ -66,8 +66,8 @@
 	}
 }
 
-// learn applies a record that did not come from the store.
-func (m *members) learn(record fleet.Member) {
+// applyMember applies a record that did not come from the store.
+func (m *members) applyMember(record fleet.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.registry.Apply(record) {
@@ -90,7 +90,7 @@
 }
 
 // ApplyMember applies a record that did not come from the store, unless a newer one is known.
-func (m *Mesh) ApplyMember(record fleet.Member) { m.members.learn(record) }
+func (m *Mesh) ApplyMember(record fleet.Member) { m.members.applyMember(record) }
 
 // mergeRecords merges the records fetched from another node; invalid ones are skipped.
 func (m *members) mergeRecords(records []fleet.Member, from string) {
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -32,8 +32,8 @@
 	tunable  atomic.Pointer[settings.Mesh]
 	platform Platform
 	// logger writes rare lines. rateLimited writes lines whose number grows with requests or
-	// records: it limits them per second and drops the rest. Starts, stops and a lost
-	// store must never be dropped, so they go to logger.
+	// records: it limits them per second and drops the rest. Lines about starts, stops and a
+	// lost store must never be dropped, so they go to logger.
 	logger      zerolog.Logger
 	rateLimited zerolog.Logger
 	// successTrees and failureTrees select the call trees whose lines are written, for
--- a/internal/mesh/observe.go
+++ b/internal/mesh/observe.go
@@ -34,13 +34,13 @@
 	Store  StoreStats    `json:"store"`
 }
 
-// Freshness is how current data from the store is.
+// Freshness describes how current data from the store is.
 type Freshness struct {
 	Version int64 `json:"version,omitempty"`
-	// AgeMillis is how long ago the data was last known to be current, in milliseconds; negative
-	// if it was never read from the store.
+	// AgeMillis is the time in milliseconds since the data was last known to be current;
+	// negative if it was never read from the store.
 	AgeMillis int64 `json:"age_ms"`
-	// Lost is whether the last read failed.
+	// Lost reports whether the last read failed.
 	Lost bool `json:"lost"`
 	// Relay is the node of the zone that the data is read through; empty if the node reads the
 	// store itself.
@@ -60,7 +60,7 @@
 // MemberState is a member as this node sees it.
 type MemberState struct {
 	fleet.Member
-	// Unreachable is whether recent calls to the member failed to reach it.
+	// Unreachable reports whether recent calls to the member failed to reach it.
 	Unreachable bool `json:"unreached"`
 }
 
--- a/internal/mesh/platform.go
+++ b/internal/mesh/platform.go
@@ -39,9 +39,9 @@
 type UpstreamReports interface {
 	// Reported receives a report. When it returns, the report is in force.
 	Reported(fleet.Report)
-	// Departed receives the report that the process with that ID and start time has left; born
-	// is 0 if the start time was not given.
-	Departed(id string, born int64)
+	// Departed receives the report that the process with that ID and start time has left.
+	// startedAt is in Unix milliseconds; 0 if the start time was not given.
+	Departed(id string, startedAt int64)
 }
 
 // StoreStats counts calls of the store since the start.
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// quotaPath is where a node requests a token of a workspace's quota from another node.
+	// quotaPath is the path at which a node grants tokens of workspaces' quotas to other nodes.
 	quotaPath = "/quota"
 	// quotaRequestTimeout bounds such a request: a holder responds from memory.
 	quotaRequestTimeout = 150 * time.Millisecond
@@ -86,21 +86,21 @@
 	if decision.Granted {
 		return nil
 	}
-	answered := 0
+	responded := 0
 	for i := range decision.Holders {
 		granted, err := q.requestToken(ctx, &decision.Holders[i], workspace)
 		if granted {
 			return nil
 		}
 		if err == nil {
-			answered++
+			responded++
 		}
 	}
-	if decision.Unknown || len(decision.Holders) > 0 && answered == 0 {
+	if decision.Unknown || len(decision.Holders) > 0 && responded == 0 {
 		return result.Refuse(result.QuotaUnknown, "no node that holds a part of the quota of %s responds", workspace).WithRetryAfter(quotaUnknownRetryAfter)
 	}
 	retryAfter := q.ledger.Refuse(time.Now(), workspace, rand.Float64())
-	return result.Refuse(result.QuotaExceeded, "the quota of %s is exhausted at this node and at %d other nodes that were asked", workspace, answered).WithRetryAfter(retryAfter)
+	return result.Refuse(result.QuotaExceeded, "the quota of %s is exhausted at this node and at %d other nodes that responded", workspace, responded).WithRetryAfter(retryAfter)
 }
 
 // requestToken requests a token from a holder. An error means that the holder did not respond.
--- a/internal/mesh/relay.go
+++ b/internal/mesh/relay.go
@@ -20,7 +20,8 @@
 )
 
 const (
-	// watchPath is where a node serves the records that it has read of the store's topics.
+	// watchPath is the path at which a node serves the records that it has read of the store's
+	// topics.
 	watchPath = "/watch"
 	// membersWatchWait and routesWatchWait are how long a watch request waits for changes.
 	// watchMargin is how much longer its response may take: a paused process still acknowledges
@@ -33,12 +34,13 @@
 	maxWatchWait = 5 * time.Second
 	// refusedCooldown is how long a node that refused a request is not used, and
 	// unresponsiveCooldown the same for a node that did not respond: a starting node can serve
-	// within the first, and waiting for an unresponsive node takes 1 or 2 seconds.
+	// within refusedCooldown, and each wait for an unresponsive node takes 1 or 2 seconds.
 	refusedCooldown      = time.Second
 	unresponsiveCooldown = 10 * time.Second
-	// quickRefusal tells refusals from unresponsive nodes by the time until the failure. Once it
-	// has passed the store is read: after a second unresponsive node the records would be late.
-	quickRefusal = peerConnectTimeout
+	// maxRefusalTime is the time up to which a failed request counts as refused; if it fails
+	// later, the node counts as unresponsive. Once this time has passed, the store is read:
+	// after a wait for a second unresponsive node the records would be late.
+	maxRefusalTime = peerConnectTimeout
 	// maxSourceAttempts is how many nodes are tried in sequence as long as they refuse quickly.
 	// The last one is chosen at random: if the store serves only a few nodes, the first of the
 	// order may not be among them.
@@ -57,8 +59,8 @@
 	// wait is how long a watch request waits for changes.
 	wait   time.Duration
 	logger zerolog.Logger
-	// readsStore is whether there are no candidates, so that this node reads the store for its
-	// zone.
+	// readsStore reports whether there are no candidates, so that this node reads the store for
+	// its zone.
 	readsStore bool
 	// cooldowns maps nodes that failed recently to the time until which they are not used.
 	cooldowns map[string]time.Time
@@ -105,7 +107,7 @@
 func (r *relay) read(ctx context.Context, topic string, from, minNext int64) (batch, bool) {
 	started := time.Now()
 	sources := r.availableSources()
-	for attempt := 0; attempt < maxSourceAttempts && len(sources) > 0 && time.Since(started) < quickRefusal && ctx.Err() == nil; attempt++ {
+	for attempt := 0; attempt < maxSourceAttempts && len(sources) > 0 && time.Since(started) < maxRefusalTime && ctx.Err() == nil; attempt++ {
 		i := 0
 		if attempt == maxSourceAttempts-1 {
 			i = rand.IntN(len(sources))
@@ -121,9 +123,9 @@
 }
 
 // awaitStore waits for another node to regain the store. 2 in 3 requests go to the first source,
-// the parent in the tree, along which the store's return spreads at once. The others go to a
-// random source, to find a node that the store serves while it refuses the first node of the
-// zone's order.
+// the parent in the tree: the first node that regains the store passes its records down the tree
+// at once. The others go to a random source, to find a node that the store serves while it refuses
+// the first node of the zone's order.
 func (r *relay) awaitStore(ctx context.Context, topic string, from int64) (batch, bool) {
 	sources := r.availableSources()
 	if len(sources) == 0 {
@@ -147,8 +149,8 @@
 	return req
 }
 
-// fetchFrom sends a watch request to a source. A source that fails is put in cooldown, except
-// one that this node asked to wait for the store and that refused.
+// fetchFrom sends a watch request to a source. A source that fails is put in cooldown, unless it
+// refused a request with waitForStore.
 func (r *relay) fetchFrom(ctx context.Context, source *fleet.Member, req watchRequest) (batch, bool) {
 	sent := time.Now()
 	fetchCtx, cancel := context.WithTimeout(ctx, req.wait+watchMargin)
@@ -177,7 +179,7 @@
 	}
 	maps.DeleteFunc(r.cooldowns, func(_ string, until time.Time) bool { return !now.Before(until) })
 	cooldown := refusedCooldown
-	if now.Sub(sent) > quickRefusal {
+	if now.Sub(sent) > maxRefusalTime {
 		cooldown = unresponsiveCooldown
 	}
 	r.cooldowns[node] = now.Add(cooldown)
@@ -230,11 +232,12 @@
 	return b, nil
 }
 
-// checkRecipient returns an error if a request of another node is not meant for this one. The
-// address of a VM that is gone is assigned to another VM, so a node that takes this node for the
-// previous one may be this node itself, and would wait for changes from itself without end. While
-// new settings move the nodes to another store one by one, an offset of one store must not be
-// used for the other: the requester would wait at that offset for records that arrived long
+// checkRecipient returns an error if a request of another node is not meant for this one.
+//
+// The address of a removed VM is assigned to another VM. If that is the VM of this node, its own
+// requests to the removed node arrive here, and it would wait for changes from itself without end.
+// While new settings move the nodes to another store one by one, an offset of one store must not
+// be used for the other: the requester would wait at that offset for records that arrived long
 // before.
 func (m *Mesh) checkRecipient(query url.Values) *statusError {
 	if query.Get("of") != m.cfg.NodeID {
--- a/internal/mesh/routekeeper.go
+++ b/internal/mesh/routekeeper.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// routesPath is where a node serves its routes to other nodes.
+	// routesPath is the path at which a node serves its routes to other nodes.
 	routesPath = "/routes"
-	// maxRoutesBytes bounds the routes fetched from another node: 16,384 routes of some 300
-	// bytes.
+	// maxRoutesBytes bounds the routes fetched from another node, in bytes: 16,384 routes of some
+	// 300 bytes.
 	maxRoutesBytes = 8 << 20
 	// failedFetchPause is the pause after a failed fetch from another node before the next one.
 	failedFetchPause = 200 * time.Millisecond
--- a/internal/mesh/stop.go
+++ b/internal/mesh/stop.go
@@ -13,15 +13,15 @@
 	// stopNotice is how long a stopping node keeps accepting callers: the platform checks
 	// readiness once a second and acts on the second negative result.
 	stopNotice = 2500 * time.Millisecond
-	// answerShare is the share of the grace that is reserved for the last responses: the node
+	// responseShare is the share of the grace that is reserved for the last responses: the node
 	// accepts nothing new in it, so that received requests can complete.
-	answerShare = 0.3
+	responseShare = 0.3
 	// stopReserve is the part of the grace that is reserved for the end of the process: 2 times
 	// the time that the last log lines may take.
 	stopReserve = 400 * time.Millisecond
 	// stopPollInterval is how often a stopping node checks whether callers wait for a response.
 	stopPollInterval = 20 * time.Millisecond
-	// quietPeriod is how long no caller may have waited before the node stops.
+	// quietPeriod is the time without a waiting caller after which the node stops.
 	quietPeriod = 300 * time.Millisecond
 )
 
@@ -41,7 +41,7 @@
 	grace := m.Settings().Stop.Grace.Std()
 	end := started.Add(grace - stopReserve)
 	m.node.Guard().SetStopTime(end)
-	m.awaitNoCallers(started, started.Add(time.Duration((1-answerShare)*float64(grace))))
+	m.awaitNoCallers(started, started.Add(time.Duration((1-responseShare)*float64(grace))))
 	m.node.Guard().Drain(m.node.Now())
 	cut := m.shutdownServers(end)
 	m.close()
@@ -62,7 +62,7 @@
 			own.State = fleet.Stopping
 		}
 	})
-	m.members.learn(record)
+	m.members.applyMember(record)
 	m.membersFollower.feed.close()
 	m.routes.follower.feed.close()
 }
