--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -153,11 +153,11 @@
 
 func (d *Dispatch) pick(now time.Time) (*routing.Target, *result.Refusal) {
 	info := routing.PickInfo{
-		Service:      d.call.Ctx.Service,
-		Rank:         d.rank(),
-		Avoid:        d.tried,
-		HasPriorWork: d.call.Ctx.Depth > 0,
-		Node:         d.ownerNode,
+		Service: d.call.Ctx.Service,
+		Rank:    d.rank(),
+		Avoid:   d.tried,
+		IsChild: d.call.Ctx.Depth > 0,
+		Node:    d.ownerNode,
 	}
 	d.crashRecords = d.router.CrashRecords(now, d.call)
 	switch {
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -72,9 +72,9 @@
 	// SuspectedCrasher sends the call to the target with the fewest calls in flight, which limits
 	// the calls lost if it crashes the upstream.
 	SuspectedCrasher bool
-	// HasPriorWork means that work was already spent on the call's root request. A guard gives such
+	// IsChild means that work was already spent on the call's root request. A guard gives such
 	// a call an idle slot regardless of its threshold.
-	HasPriorWork bool
+	IsChild bool
 }
 
 // Outcome is the result of an attempt at a target.
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -39,13 +39,13 @@
 
 // pickState is the state of one Pick. It is allocated on the stack.
 type pickState struct {
-	at           int64
-	cfg          *Config
-	svc          *service
-	rng          *rand.Rand
-	rank         uint32
-	hasPriorWork bool
-	avoid        []string
+	at      int64
+	cfg     *Config
+	svc     *service
+	rng     *rand.Rand
+	rank    uint32
+	isChild bool
+	avoid   []string
 
 	// Targets found so far, by verdict: the best busy one, and the first one of each other verdict
 	// except hasCapacity.
@@ -72,7 +72,7 @@
 		svc:            v.svc,
 		rng:            rng,
 		rank:           info.Rank,
-		hasPriorWork:   info.HasPriorWork,
+		isChild:        info.IsChild,
 		avoid:          info.Avoid,
 		shedValidUntil: math.MaxInt64,
 	}
@@ -80,7 +80,7 @@
 		return c.pickNode(t, v, info.Node)
 	}
 	probe := false
-	if !c.hasPriorWork && v.svc.shedMemoCovers(c.at, c.rank) {
+	if !c.isChild && v.svc.shedMemoCovers(c.at, c.rank) {
 		probe = c.sampleProbe()
 		if !probe {
 			return nil, v.shedEarly
@@ -257,7 +257,7 @@
 		return isFallback
 	}
 	fresh := g.report.fresh(c.at, c.cfg.LoadAge)
-	if fresh && g.report.sheds(c.rank) && !(c.hasPriorWork && g.hasIdleSlot()) {
+	if fresh && g.report.sheds(c.rank) && !(c.isChild && g.hasIdleSlot()) {
 		return wouldShed
 	}
 	if fresh && g.report.saturated() || g.inFlight.Load() > g.capacity(fresh) {
@@ -310,7 +310,7 @@
 		if probe || c.sampleProbe() {
 			return c.shedding, nil
 		}
-		if len(c.avoid) == 0 && !c.hasPriorWork {
+		if len(c.avoid) == 0 && !c.isChild {
 			v.svc.setShedMemo(c.at, c.rank, c.shedValidUntil)
 		}
 		return nil, v.shedEarly
