--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -247,5 +247,5 @@
 
 // InFlight returns the number of calls at the node, in any role.
 func (m *Mesh) InFlight() int {
-	return max(m.node.Guard().Busy(), int(m.proxy.Held().Calls))
+	return max(m.node.Guard().Busy(), int(m.proxy.Usage().Calls))
 }
--- a/internal/node/guard_upstream.go
+++ b/internal/node/guard_upstream.go
@@ -162,8 +162,8 @@
 // with their bounds.
 type RetentionUsage struct{ Keys, MaxKeys, Bytes, MaxBytes int64 }
 
-// Kept returns the number of keys, and of bytes of responses, that are retained for resends.
-func (g *Guard) Kept() RetentionUsage {
+// RetentionUsage returns the number of keys, and of bytes of responses, that are retained for resends.
+func (g *Guard) RetentionUsage() RetentionUsage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	bounds := g.cfg.Keys
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -71,7 +71,7 @@
 // SetLimits sets the limits. It must be called before the first request.
 func (p *Proxy) SetLimits(l Limits) { p.gate.limits = l }
 
-// Held returns the calls and bytes that the node currently holds.
-func (p *Proxy) Held() Usage {
+// Usage returns the calls and bytes that the node currently holds.
+func (p *Proxy) Usage() Usage {
 	return Usage{Calls: p.gate.calls.Load(), Bytes: p.gate.bytes.Load(), Rejected: p.gate.rejected.Load()}
 }
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -78,7 +78,7 @@
 	s.metrics.CountRejected(metrics.BoundAppends, stats.Refused-exported.appender.Refused)
 	exported.appender = stats
 	s.refreshControl(exported)
-	rejected := s.proxy.Held().Rejected
+	rejected := s.proxy.Usage().Rejected
 	s.metrics.CountRejected(metrics.BoundCallsInFlight, rejected-exported.rejectedCalls)
 	exported.rejectedCalls = rejected
 	evicted := int64(s.node.Ring().Evicted())
@@ -103,14 +103,14 @@
 func (s *Server) watchBounds() {
 	l, guard := &s.cfg.Limits, s.node.Guard()
 	watch := s.metrics.WatchBound
-	retention := guard.Kept()
+	retention := guard.RetentionUsage()
 	watch(metrics.BoundQueue, int64(l.Queue), func() int64 { return int64(guard.Load().Queued) })
-	watch(metrics.BoundCallsInFlight, int64(l.CallsInFlight), func() int64 { return s.proxy.Held().Calls })
+	watch(metrics.BoundCallsInFlight, int64(l.CallsInFlight), func() int64 { return s.proxy.Usage().Calls })
 	watch(metrics.BoundCallerConnections, int64(l.CallerConnections), s.connections.open.Load)
 	watch(metrics.BoundPeerConnections, 0, s.peers.Open)
-	watch(metrics.BoundHeldBytes, int64(l.HeldBytes), func() int64 { return s.proxy.Held().Bytes })
-	watch(metrics.BoundAnswerBytes, retention.MaxBytes, func() int64 { return guard.Kept().Bytes })
-	watch(metrics.BoundAnswerKeys, retention.MaxKeys, func() int64 { return guard.Kept().Keys })
+	watch(metrics.BoundHeldBytes, int64(l.HeldBytes), func() int64 { return s.proxy.Usage().Bytes })
+	watch(metrics.BoundAnswerBytes, retention.MaxBytes, func() int64 { return guard.RetentionUsage().Bytes })
+	watch(metrics.BoundAnswerKeys, retention.MaxKeys, func() int64 { return guard.RetentionUsage().Keys })
 	watch(metrics.BoundTimeline, int64(s.node.Ring().Cap()), func() int64 { return int64(s.node.Ring().Len()) })
 	watch(metrics.BoundCrashRecords, int64(l.Suspects), func() int64 { return int64(len(guard.CrashRecords(s.node.Now()))) })
 	watch(metrics.BoundMembers, 0, func() int64 { return int64(s.control.memberView().Len()) })
--- a/internal/server/observe_test.go
+++ b/internal/server/observe_test.go
@@ -175,7 +175,7 @@
 			codes <- h.Get(result.HeaderResult)
 		})
 	}
-	w.waitFor("two refusals", func() bool { return a.proxy.Held().Rejected == 2 })
+	w.waitFor("two refusals", func() bool { return a.proxy.Usage().Rejected == 2 })
 	release()
 	wg.Wait()
 	var got []string
@@ -233,7 +233,7 @@
 	w.waitFor("the call", func() bool { return b.node.Guard().Busy() == 1 })
 	must.Eq(t, result.Shed, send("c2", false))
 	go func() { codes <- send("c1", true) }()
-	w.waitFor("the re-attachment", func() bool { return b.proxy.Held().Calls == 2 })
+	w.waitFor("the re-attachment", func() bool { return b.proxy.Usage().Calls == 2 })
 	release()
 	must.Eq(t, result.OK, <-codes)
 	must.Eq(t, result.OK, <-codes)
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -85,7 +85,7 @@
 // InFlight returns the number of calls that the node holds in any role: calls that its guard
 // runs or that wait there, and calls that it forwards to other guards.
 func (s *Server) InFlight() int {
-	return max(s.node.Guard().Busy(), int(s.proxy.Held().Calls))
+	return max(s.node.Guard().Busy(), int(s.proxy.Usage().Calls))
 }
 
 // closeServers waits until the handlers have ended, including those of calls that this node
