--- a/internal/control/call_sim_test.go
+++ b/internal/control/call_sim_test.go
@@ -170,7 +170,7 @@
 	}
 	child.Method, child.Target = "GET", "/"+child.Ctx.CallID
 	n.dispatch(child, account, func(a *node.Response) {
-		if !a.Whole() {
+		if !a.Complete() {
 			end(&node.Response{CallID: call.Ctx.CallID, Code: result.UpstreamFailed, Status: 502})
 			return
 		}
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -108,5 +108,5 @@
 // Succeeded reports whether the upstream responded with success or the response is replayed.
 func (a *Response) Succeeded() bool { return a.Code == result.OK || a.Code == result.Replayed }
 
-// Whole reports whether the response is complete and may be passed to the caller unchanged.
-func (a *Response) Whole() bool { return a.Refusal == nil }
+// Complete reports whether the response is complete and may be passed to the caller unchanged.
+func (a *Response) Complete() bool { return a.Refusal == nil }
--- a/internal/node/concurrent_test.go
+++ b/internal/node/concurrent_test.go
@@ -219,7 +219,7 @@
 			a := action.Response
 			s.rec.ended(history.Send{
 				Request: request, Attempt: call.Ctx.RequestID, Service: "s", Code: a.Code,
-				Success: a.Whole(), BodyComplete: a.Whole(), ResponseRequest: string(a.Body), ResponseService: "s",
+				Success: a.Complete(), BodyComplete: a.Complete(), ResponseRequest: string(a.Body), ResponseService: "s",
 			}, d.retries)
 			return a
 		}
@@ -230,7 +230,7 @@
 func (s *sim) caller(rng *rand.Rand, request string) {
 	time.Sleep(time.Duration(rng.IntN(500)) * time.Millisecond)
 	for i := range 4 {
-		if s.send(rng, request, i).Whole() && rng.IntN(3) > 0 {
+		if s.send(rng, request, i).Complete() && rng.IntN(3) > 0 {
 			return
 		}
 		time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -218,7 +218,7 @@
 		d.node.recordEjection(now, d, wasEjected)
 	}
 	throttle := d.router.Throttle(d.call.Ctx.Service)
-	if a.Whole() {
+	if a.Complete() {
 		throttle.Success()
 		d.final = a
 		return
@@ -339,7 +339,7 @@
 
 func routingOutcome(a *Response) routing.Outcome {
 	switch {
-	case a.Whole():
+	case a.Complete():
 		return routing.Answered
 	case a.Code == result.Unreachable, a.Code == result.NoUpstream:
 		// A node without an upstream is treated like an unreachable node.
--- a/internal/node/dispatch_property_test.go
+++ b/internal/node/dispatch_property_test.go
@@ -96,7 +96,7 @@
 				}
 				now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "took")) * time.Millisecond)
 				a := drawResponse(t, action)
-				attempts = append(attempts, sentAttempt{action.Attempt.Ctx.CallID, action.Target.Endpoint().Node, a.Code.Ran(), a.Whole()})
+				attempts = append(attempts, sentAttempt{action.Attempt.Ctx.CallID, action.Target.Endpoint().Node, a.Code.Ran(), a.Complete()})
 				d.Observe(now, a)
 			}
 			if len(attempts) > bound {
@@ -122,13 +122,13 @@
 			mayHaveRun++
 		}
 	}
-	if !final.Whole() && final.Code.Ran() == result.RanNo && mayHaveRun > 0 {
+	if !final.Complete() && final.Code.Ran() == result.RanNo && mayHaveRun > 0 {
 		t.Fatalf("%d attempts may have run, the caller gets %d %s", mayHaveRun, int(final.Code), final.Code)
 	}
 	if !d.call.Ctx.Idempotent && mayHaveRun > 1 {
 		t.Fatalf("%d attempts of a call that is not idempotent may have run", mayHaveRun)
 	}
-	if final.Whole() && !attempts[len(attempts)-1].whole {
+	if final.Complete() && !attempts[len(attempts)-1].whole {
 		t.Fatalf("the final response is complete, the response of the last attempt is not")
 	}
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -41,16 +41,16 @@
 	n.cfg.Metrics.Result(a.Code)
 	n.cfg.Metrics.Observe(metrics.CallTime, total)
 	n.cfg.Metrics.Observe(metrics.AddedTime, total-d.attemptTime)
-	if !a.Whole() && n.cfg.OnRefused != nil {
+	if !a.Complete() && n.cfg.OnRefused != nil {
 		n.cfg.OnRefused(call, a.Refusal)
 	}
 	attempts := d.attempts
-	if a.Whole() && a.Code != result.UpstreamFailed && attempts == 1 && !call.Sampled {
+	if a.Complete() && a.Code != result.UpstreamFailed && attempts == 1 && !call.Sampled {
 		return
 	}
 	kind := timeline.CallAnswered
 	detail := fmt.Sprintf("attempts %d", attempts)
-	if !a.Whole() {
+	if !a.Complete() {
 		kind = timeline.CallRefused
 		detail = fmt.Sprintf("attempts %d: %s", attempts, a.Refusal.Detail)
 	}
--- a/internal/node/guard_arrive.go
+++ b/internal/node/guard_arrive.go
@@ -26,7 +26,7 @@
 		return e.attach(w)
 	}
 	token, response := g.decideLocked(now, call, w, deferred)
-	if response != nil && !response.Whole() {
+	if response != nil && !response.Complete() {
 		g.events.refused(now, call, response.Refusal)
 	}
 	if response != nil && call.Reattach {
--- a/internal/node/guard_end.go
+++ b/internal/node/guard_end.go
@@ -24,7 +24,7 @@
 	}
 	for _, j := range e.joins {
 		response := joinedResponse(j.call.Ctx.CallID, a)
-		if j.call.Reattach && !a.Whole() {
+		if j.call.Reattach && !a.Complete() {
 			g.keepReattachmentLocked(now, j.call, response)
 		}
 		*deferred = append(*deferred, func() { j.waiter(response) })
@@ -42,7 +42,7 @@
 	}
 	key := call.IdempotencyKey()
 	switch {
-	case a.Whole():
+	case a.Complete():
 		g.keys.Finish(now, key, call.Ctx.CallID, idempotency.Response{
 			Code: a.Code, Status: a.Status, Header: a.Header, Body: a.Body,
 		})
@@ -171,7 +171,7 @@
 	c := *a
 	c.CallID = callID
 	c.UnusedAllowance = 0
-	if c.Whole() {
+	if c.Complete() {
 		c.Code = result.Replayed
 	}
 	return &c
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -165,11 +165,11 @@
 	}
 	ran := now.Sub(e.started)
 	o.node.cfg.Metrics.Observe(metrics.UpstreamTime, ran)
-	if a.Whole() && !o.sampled(e.call) {
+	if a.Complete() && !o.sampled(e.call) {
 		return
 	}
 	detail := "ran " + ran.Round(time.Microsecond).String()
-	if !a.Whole() {
+	if !a.Complete() {
 		detail += ": " + a.Refusal.Detail
 	}
 	event := callEvent(timeline.CallAnswered, e.call)
--- a/internal/proxy/innerhop.go
+++ b/internal/proxy/innerhop.go
@@ -228,11 +228,11 @@
 		UnusedAllowance:    uint32(resp.UnusedAllowance),
 		Load:               encodeLoad(resp.Load),
 		CrashedIncarnation: resp.Crashed,
-		Whole:              resp.Whole(),
+		Whole:              resp.Complete(),
 		Hlc:                p.node.Stamp(call),
 	}
 	status := resp.Status
-	if !resp.Whole() {
+	if !resp.Complete() {
 		status = http.StatusOK
 		h.Detail = resp.Refusal.Detail
 		h.RetryAfterUs = resp.Refusal.RetryAfter.Microseconds()
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -220,7 +220,7 @@
 	resp := c.roundTrip(c.ctx, peer.pool, call)
 	timer.Stop()
 	resp = c.finalResponse(resp)
-	if resp.Whole() {
+	if resp.Complete() {
 		peer.responseTime.observe(p.node.Now().Sub(started))
 	}
 	return resp
@@ -307,7 +307,7 @@
 // needsSecondResponse reports whether the first response is not final, so that the response of the
 // second transmission decides.
 func needsSecondResponse(first *node.Response) bool {
-	if first.Whole() {
+	if first.Complete() {
 		return false
 	}
 	return connectionFailed(first) || first.Code == result.CancelledRunning || first.Code.Ran() == result.RanNo
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -265,7 +265,7 @@
 func writeResponse(w http.ResponseWriter, call *node.Call, resp *node.Response) {
 	h := w.Header()
 	h.Set(callctx.HeaderRequestID, call.Ctx.RequestID)
-	if !resp.Whole() {
+	if !resp.Complete() {
 		resp.Refusal.Write(w, call.Ctx.RequestID)
 		return
 	}
--- a/internal/proxy/reattach_test.go
+++ b/internal/proxy/reattach_test.go
@@ -168,7 +168,7 @@
 	close(release)
 	for range 2 {
 		resp := <-responses
-		must.True(t, resp.Whole())
+		must.True(t, resp.Complete())
 		must.Eq(t, "re:a", string(resp.Body))
 	}
 	must.EqOp(t, 1, ran.count("a"))
--- a/internal/proxy/routed.go
+++ b/internal/proxy/routed.go
@@ -228,7 +228,7 @@
 	if resp.Code.Ran() == result.RanNo {
 		h.returnQuota(call)
 	}
-	if !resp.Whole() {
+	if !resp.Complete() {
 		h.edge.Refuse(w, resp.Refusal)
 		return
 	}
