--- a/internal/logstore/appender.go
+++ b/internal/logstore/appender.go
@@ -110,8 +110,8 @@
 // RepeatFor passed, and Refused records rejected because the queue was full. Queued is the
 // current number of records that are queued or in flight.
 type AppenderStats struct {
-	Appends, Records, Failures, Uncertain, Retries, GaveUp, Refused int64
-	Queued                                                          int
+	Appends, Records, Failures, Uncertain, Retries, GaveUp, Rejected int64
+	Queued                                                           int
 }
 
 // NewAppender returns an Appender for log.
--- a/internal/logstore/appender_run.go
+++ b/internal/logstore/appender_run.go
@@ -68,7 +68,7 @@
 		return p, nil
 	}
 	if len(a.byID) >= a.cfg.MaxQueue {
-		a.stats.Refused++
+		a.stats.Rejected++
 		return nil, ErrQueueFull
 	}
 	if len(a.queue) >= 2*a.cfg.MaxQueue {
--- a/internal/server/observe.go
+++ b/internal/server/observe.go
@@ -75,7 +75,7 @@
 	s.metrics.Inc(metrics.LogAppends, stats.Appends-exported.appender.Appends)
 	s.metrics.Inc(metrics.LogAppendFailures, stats.Failures-exported.appender.Failures)
 	s.metrics.Inc(metrics.LogAppendsSettled, stats.Uncertain-exported.appender.Uncertain)
-	s.metrics.CountRejected(metrics.BoundAppends, stats.Refused-exported.appender.Refused)
+	s.metrics.CountRejected(metrics.BoundAppends, stats.Rejected-exported.appender.Rejected)
 	exported.appender = stats
 	s.refreshControl(exported)
 	rejected := s.proxy.Usage().Rejected
