--- a/internal/upkeep/layers_test.go
+++ b/internal/sourcecheck/layers_test.go
@@ -1,4 +1,4 @@
-package upkeep
+package sourcecheck
 
 import (
 	"path"
--- a/internal/upkeep/wire_test.go
+++ b/internal/sourcecheck/wire_test.go
@@ -1,4 +1,4 @@
-package upkeep
+package sourcecheck
 
 import (
 	"os"
@@ -18,7 +18,7 @@
 // platform would then affect more than the adapter.
 func TestPlatformNamesStayInTheAdapter(t *testing.T) {
 	for _, s := range sources(t) {
-		if strings.HasPrefix(s.path, "platform/") || s.path == "internal/upkeep/wire_test.go" {
+		if strings.HasPrefix(s.path, "platform/") || s.path == "internal/sourcecheck/wire_test.go" {
 			continue
 		}
 		text, err := os.ReadFile(filepath.Join(root, s.path))
--- a/internal/upkeep/words_test.go
+++ b/internal/sourcecheck/words_test.go
@@ -1,4 +1,4 @@
-package upkeep
+package sourcecheck
 
 import (
 	"regexp"
@@ -10,11 +10,21 @@
 
 // bannedTerms maps terms private to this project to the customary terms that replace them.
 var bannedTerms = map[string]string{
-	"news":        "updates, changes",
-	"rescue":      "re-attachment",
-	"last resort": "fallback",
-	"by lot":      "at random",
-	"turned away": "rejected",
+	"news":         "updates, changes",
+	"rescue":       "re-attachment",
+	"last resort":  "fallback",
+	"by lot":       "at random",
+	"turned away":  "rejected",
+	"nobody":       "no node, no caller",
+	"whoever":      "the node or caller that",
+	"lately":       "recently",
+	"for ever":     "permanently",
+	"in vain":      "without effect",
+	"doomed":       "cannot meet its deadline",
+	"guilty":       "confirmed crasher",
+	"forgets":      "removes, expires",
+	"heard of":     "received, reported",
+	"stands still": "is paused",
 }
 
 // bannedWord matches a banned term, also where a line break separates its words.
@@ -29,7 +39,7 @@
 // Guards against comments that use project-private terms, which a newcomer would have to learn.
 func TestCommentsUseTheTermsOfTheField(t *testing.T) {
 	for _, s := range sources(t) {
-		if strings.HasSuffix(s.path, "internal/upkeep/words_test.go") {
+		if strings.HasSuffix(s.path, "internal/sourcecheck/words_test.go") {
 			continue
 		}
 		for _, group := range s.file.Comments {
