--- a/cmd/galenabench/load.go
+++ b/cmd/galenabench/load.go
@@ -28,7 +28,7 @@
 	Method    string        `default:"GET" help:"Method; requests other than GET carry an idempotency key."`
 	Path      string        `default:"/run" help:"Path."`
 	Rate      float64       `default:"50" help:"Requests a second."`
-	For       time.Duration `default:"5s" help:"How long to send."`
+	Duration  time.Duration `name:"for" default:"5s" help:"How long to send."`
 	Timeout   time.Duration `default:"5s" help:"Timeout of a request."`
 	Callers   int           `default:"100" help:"Distinct callers."`
 	Token     string        `env:"GALENABENCH_TOKEN" help:"Bearer token, for nodes that require one."`
@@ -52,7 +52,7 @@
 // Run sends the requests and prints the report as one JSON document.
 func (c *loadCmd) Run() error {
 	if c.Rate <= 0 || len(c.Target) == 0 {
-		return errors.Errorf("--rate is %v with %d targets, must be above 0 with at least one", c.Rate, len(c.Target))
+		return errors.Errorf("--rate is %v and must be above 0; --target has %d addresses and must have at least 1", c.Rate, len(c.Target))
 	}
 	l := &loader{cfg: c, client: &http.Client{
 		Timeout:   c.Timeout,
@@ -85,7 +85,7 @@
 	rng := rand.New(rand.NewPCG(l.cfg.Seed, 1))
 	var wg sync.WaitGroup
 	start := time.Now()
-	for offsetSeconds := 0.0; offsetSeconds < l.cfg.For.Seconds(); offsetSeconds += rng.ExpFloat64() / l.cfg.Rate {
+	for offsetSeconds := 0.0; offsetSeconds < l.cfg.Duration.Seconds(); offsetSeconds += rng.ExpFloat64() / l.cfg.Rate {
 		time.Sleep(time.Until(start.Add(time.Duration(offsetSeconds * float64(time.Second)))))
 		target := l.cfg.Target[rng.IntN(len(l.cfg.Target))]
 		caller := rng.IntN(max(1, l.cfg.Callers))
--- a/cmd/galenabench/main.go
+++ b/cmd/galenabench/main.go
@@ -62,14 +62,14 @@
 }
 
 type latencyCmd struct {
-	Rate float64       `default:"2000" help:"Calls a second, half of them direct."`
-	For  time.Duration `default:"5s" help:"How long to measure."`
-	Seed uint64        `default:"1" help:"Seed of the stand-ins."`
+	Rate     float64       `default:"2000" help:"Calls a second, half of them direct."`
+	Duration time.Duration `name:"for" default:"5s" help:"How long to measure."`
+	Seed     uint64        `default:"1" help:"Seed of the stand-ins."`
 }
 
 // Run prints one JSON line.
 func (c *latencyCmd) Run() error {
-	added, err := bench.MeasureAddedLatency(c.Rate, c.For, c.Seed)
+	added, err := bench.MeasureAddedLatency(c.Rate, c.Duration, c.Seed)
 	if err != nil {
 		return err
 	}
--- a/cmd/galenabench/run.go
+++ b/cmd/galenabench/run.go
@@ -63,7 +63,7 @@
 			for _, policy := range choosePolicies(c.Policy) {
 				r, err := c.runOne(s, d, policy)
 				if err != nil {
-					return errors.Wrapf(err, "%s on %s", s.Name, d.Name)
+					return errors.Wrapf(err, "scenario %s on deployment %s", s.Name, d.Name)
 				}
 				violations.add(&r)
 			}
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -192,7 +192,7 @@
 }
 
 // Guards against a queue that starts or evicts calls out of order after removals.
-func TestQueueNextAndEvictionFollowOrder(t *testing.T) {
+func TestQueueStartsAndEvictsInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue()
 		q.lifo = rapid.Bool().Draw(t, "newestFirst")
--- a/internal/admission/cuttrial.go
+++ b/internal/admission/cuttrial.go
@@ -27,8 +27,9 @@
 	// costs a quarter of the responses of two epochs.
 	minBackoff = 8 * time.Second
 	maxBackoff = 64 * time.Second
-	// referenceDrift is the relative increase of the reference per epoch. It lets an obsolete low
-	// reference expire.
+	// referenceDrift is the share by which the reference latency (cutTrial.reference) rises per
+	// epoch while the median latency is higher. Without it, a reference that has become too low
+	// would never be replaced.
 	referenceDrift = 1.0 / 256
 )
 
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -19,9 +19,13 @@
 	recentShedWindow = 500 * time.Millisecond
 )
 
-// limiter adapts the concurrency limit. Three conditions lower it: calls shed by the upstream,
-// immediately unless they are shed at random (shedClassifier); a rise of the median latency,
-// after a trial (cutTrial); and full slots, after a trial with a few slots less (reserve).
+// limiter adapts the concurrency limit. Three conditions lower it:
+//   - The upstream sheds calls. The limit falls at once, unless the upstream sheds at random; see
+//     shedClassifier.
+//   - The median latency rises, and a trial shows that a lower limit does not reduce throughput;
+//     see cutTrial.
+//   - The slots are full, and a trial shows that throughput is higher with a few of them empty;
+//     see reserve.
 type limiter struct {
 	cfg   Config
 	limit int
--- a/internal/admission/shedclassifier.go
+++ b/internal/admission/shedclassifier.go
@@ -10,7 +10,8 @@
 	// minShedMeasurement is the minimum length of a measurement, so that it covers more than one
 	// burst of arrivals.
 	minShedMeasurement = 100 * time.Millisecond
-	// randomOverlap lies between the overlap of an upstream that lacks capacity (0) and that of an
+	// randomOverlap is the result of shedClassifier.overlap from which shedding is classified as
+	// random. It lies between the overlap of an upstream that lacks capacity (0) and that of an
 	// upstream that sheds at random (0.5).
 	randomOverlap = 0.3
 	// capacityOverlap is the overlap below which shedding that was classified as random is now due
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -166,7 +166,7 @@
 func (w *controlWorld) start() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return errors.Wrap(err, "log")
+		return errors.Wrap(err, "listen for the log")
 	}
 	w.url = "http://" + l.Addr().String()
 	w.http = &http.Server{Handler: w.log.Handler(), ReadHeaderTimeout: controlTimeout}
--- a/internal/bench/operators.go
+++ b/internal/bench/operators.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// publishPeriod is the minimum time between two rounds, which gives at most two
-	// changes per second.
+	// publishPeriod is the minimum time between two rounds. All operators publish in a
+	// round, and one change is accepted, so there are at most two changes per second.
 	publishPeriod = 500 * time.Millisecond
 	// decisionTimeout bounds the wait of an operator for the decision on its
 	// publication.
 	decisionTimeout = 5 * time.Second
 	decisionPoll    = 5 * time.Millisecond
-	// appendRetryDelay is the delay before an append is retried that failed or has an
+	// appendRetryDelay is the delay before the retry of an append that failed or has an
 	// unknown outcome.
 	appendRetryDelay = 20 * time.Millisecond
 	// minKeepAnswersSeconds is the lower bound of the published values of
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -58,17 +58,17 @@
 
 	mu   sync.Mutex
 	node *server.Server
-	// callers, exit and inner are the node's listen addresses for callers, for its
+	// callersAddr, exitAddr and innerAddr are the node's listen addresses for callers, for its
 	// upstream and for other nodes.
-	callers, exit string
-	inner         string
+	callersAddr, exitAddr string
+	innerAddr             string
 }
 
 // addresses returns the current addresses of the node for callers and for the upstream.
-func (v *vm) addresses() (callers, exit string) {
+func (v *vm) addresses() (callersAddr, exitAddr string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.callers, v.exit
+	return v.callersAddr, v.exitAddr
 }
 
 // currentNode returns the current process of the node; nil under the baseline.
@@ -250,13 +250,13 @@
 	if err != nil {
 		return errors.Wrap(err, v.name)
 	}
-	callers, exit, inner, _ := n.Addresses()
+	callersAddr, exitAddr, innerAddr, _ := n.Addresses()
 	v.mu.Lock()
-	v.node, v.callers, v.exit, v.inner = n, callers, exit, inner
+	v.node, v.callersAddr, v.exitAddr, v.innerAddr = n, callersAddr, exitAddr, innerAddr
 	v.mu.Unlock()
-	w.network.SetLocation(callers, v.zone)
-	w.network.SetLocation(inner, v.zone)
-	for _, addr := range []string{callers, exit, inner} {
+	w.network.SetLocation(callersAddr, v.zone)
+	w.network.SetLocation(innerAddr, v.zone)
+	for _, addr := range []string{callersAddr, exitAddr, innerAddr} {
 		w.gatesByAddr.Store(addr, v.gate)
 	}
 	return nil
@@ -271,10 +271,10 @@
 			continue
 		}
 		v.mu.Lock()
-		inner := v.inner
+		innerAddr := v.innerAddr
 		v.mu.Unlock()
-		if inner != "" {
-			addrs = append(addrs, inner)
+		if innerAddr != "" {
+			addrs = append(addrs, innerAddr)
 		}
 	}
 	return addrs
--- a/internal/ceiling/ceiling_test.go
+++ b/internal/ceiling/ceiling_test.go
@@ -15,9 +15,9 @@
     {"name": "lookup", "rate": 100, "worth": 1, "calls": 4},
     {"name": "upload", "rate": 5, "worth": 2, "calls": 0}]}]`
 
-// Guards against an allotment that ignores worth per call. One upstream runs 300 calls
-// per second: 160 go to filings, which leaves 140 for 35 of 100 lookups; uploads make no
-// calls.
+// Guards against an allotment that ignores worth per call. The upstream runs 300 calls
+// per second. All 20 filings take 160 of them, at 8 calls each. The remaining 140 are
+// enough for 35 of the 100 lookups, at 4 calls each. Uploads make no calls.
 func TestBoundOfScarceService(t *testing.T) {
 	windows, err := Read(strings.NewReader(scarceServiceJSON))
 	must.NoError(t, err)
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -65,7 +65,7 @@
 // ReadFrom returns the offset from which to read the log, and whether this node should read it
 // now.
 func (p *Plane) ReadFrom(now time.Time) (from int64, read bool) {
-	from = min(p.replica.Next(), p.replica.Contiguous())
+	from = min(p.replica.Next(), p.replica.NextContiguous())
 	return from, p.shouldRead(now)
 }
 
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -32,7 +32,8 @@
 	lastService map[string]string
 }
 
-// NewOwnership returns the fold of an empty log. All nodes must use the same cfg.
+// NewOwnership returns an Ownership that has folded no entry of the log yet. All nodes must use
+// the same cfg.
 func NewOwnership(cfg lease.Config, id node.Identity) *Ownership {
 	return &Ownership{
 		cfg:         cfg,
--- a/internal/control/plane.go
+++ b/internal/control/plane.go
@@ -209,7 +209,7 @@
 
 // Complete reports whether this node has folded every record up to Next without a gap.
 // Until then no claim may be decided, because an earlier claim to the same key may be missing.
-func (p *Plane) Complete() bool { return p.caughtUp && p.replica.Contiguous() >= p.replica.Next() }
+func (p *Plane) Complete() bool { return p.caughtUp && p.replica.NextContiguous() >= p.replica.Next() }
 
 // IsLeader reports whether this node reads the log for its zone.
 func (p *Plane) IsLeader() bool {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -37,7 +37,7 @@
 	claims         *idempotency.Claims
 }
 
-// NewReplica returns the fold of an empty log.
+// NewReplica returns a replica that has folded no record of the log yet.
 func NewReplica() *Replica {
 	return &Replica{
 		dedup:   logstore.NewDedup(dedupWindow),
@@ -50,8 +50,9 @@
 // Next returns the offset of the next record for configuration and members.
 func (r *Replica) Next() int64 { return min(r.next, r.policy.Next()) }
 
-// Contiguous returns the offset below which every record was folded or has expired.
-func (r *Replica) Contiguous() int64 { return r.nextContiguous }
+// NextContiguous returns the offset of the next record for claims. Every record below it was
+// folded or has expired.
+func (r *Replica) NextContiguous() int64 { return r.nextContiguous }
 
 // Behind reports whether the configuration lacks records that have expired in the log.
 func (r *Replica) Behind() bool { return r.policy.Behind() }
@@ -68,7 +69,7 @@
 	return r.policy.SnapshotDue(rule, now, oldest)
 }
 
-// Take folds a page and returns its entries from Contiguous on, up to the first gap. A
+// Take folds a page and returns its entries from NextContiguous on, up to the first gap. A
 // record whose body cannot be decoded is skipped, by every replica in the same way.
 func (r *Replica) Take(now time.Time, page logstore.Page) []logstore.Entry {
 	r.policy.Take(page)
--- a/internal/history/jsonlines.go
+++ b/internal/history/jsonlines.go
@@ -33,28 +33,28 @@
 	enc := json.NewEncoder(buffered)
 	for i := range h.Sends {
 		if err := enc.Encode(record{Send: &h.Sends[i]}); err != nil {
-			return errors.Wrap(err, "send")
+			return errors.Wrap(err, "write send record")
 		}
 	}
 	for i := range h.Runs {
 		if err := enc.Encode(record{Run: &h.Runs[i]}); err != nil {
-			return errors.Wrap(err, "run")
+			return errors.Wrap(err, "write run record")
 		}
 	}
 	for i := range h.Retries {
 		if err := enc.Encode(record{Retries: &h.Retries[i]}); err != nil {
-			return errors.Wrap(err, "retries")
+			return errors.Wrap(err, "write retries record")
 		}
 	}
 	for i := range h.Versions {
 		if err := enc.Encode(record{Version: &h.Versions[i]}); err != nil {
-			return errors.Wrap(err, "version")
+			return errors.Wrap(err, "write version record")
 		}
 	}
 	if err := enc.Encode(record{End: &endRecord{Records: h.Len()}}); err != nil {
-		return errors.Wrap(err, "end")
+		return errors.Wrap(err, "write end record")
 	}
-	return errors.Wrap(buffered.Flush(), "history")
+	return errors.Wrap(buffered.Flush(), "write history")
 }
 
 // Len returns the number of records.
@@ -81,7 +81,7 @@
 		atEnd = isEnd
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, errors.Wrap(err, "history")
+		return nil, errors.Wrap(err, "read history")
 	}
 	if !atEnd {
 		return nil, errors.New("history: end record is missing, the file is truncated")
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -127,8 +127,8 @@
 	return out
 }
 
-// shouldTake reports whether self should take over the slot, apart from pending takeovers and
-// given promises.
+// shouldTake reports whether self should take over slot i. It ignores pending takeovers and given
+// promises; its caller checks them.
 func (l *Lessor) shouldTake(now time.Time, i int, alive map[Identity]bool, eligible bool) bool {
 	s := &l.slots[i]
 	if s.owner.IsZero() {
--- a/internal/lease/promise.go
+++ b/internal/lease/promise.go
@@ -5,11 +5,13 @@
 // OnPromiseRequest handles the request of a guard that cannot read the log. By returning true,
 // self promises to append no takeover of the slots until takeoverWait from now.
 //
-// It returns false if the promise may be too late: self has a pending takeover of a slot, has
-// imported the keys of a slot, or has read that the slot does not belong to the requester. A
-// process that has not joined yet always promises. Its join will come after the requester's last
-// head observation, so the requester does not know of it, and Eligible makes it wait before it
-// takes over slots.
+// It returns false if the promise may be too late: self has a pending takeover of one of the
+// slots, has imported the keys of one of them, or has read that one of them does not belong to the
+// requester.
+//
+// A process that has not joined yet always promises. Its join will follow the newest log head that
+// the requester has observed, so the requester does not know that this process exists. Eligible
+// therefore makes the process wait before it takes over slots.
 func (l *Lessor) OnPromiseRequest(now time.Time, from Identity, slots []int) bool {
 	for _, i := range slots {
 		if i < 0 || i >= len(l.slots) || !l.mayPromise(from, i) {
--- a/internal/mesh/follow.go
+++ b/internal/mesh/follow.go
@@ -44,7 +44,7 @@
 
 // errProbeNotDue is returned while the next probe of the lost store is left to other nodes of
 // the zone.
-var errProbeNotDue = errors.New("next probe of the lost store is not due yet")
+var errProbeNotDue = errors.New("reads of the store fail, and the next probe of it is not due yet")
 
 // errReadCanceled is returned for a read that was canceled to start a new one.
 var errReadCanceled = errors.New("read canceled to start a new one")
--- a/internal/mesh/local.go
+++ b/internal/mesh/local.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// adopt takes a running upstream into service that was found beside a node that has just
+// adopt lets the node accept calls for an upstream that was already running when the node
 // started. It reports false if the upstream has reported in the meantime.
 func (l *localUpstream) adopt(record *fleet.Member, address string) bool {
 	l.mu.Lock()
@@ -98,8 +98,8 @@
 		Str("version", r.Version).Dur("cold_ms", r.ColdFor).Bool("predecessor_died", served).Msg("upstream started; it takes calls")
 }
 
-// resumeServing returns an upstream to service that was considered dead: its process still
-// reports, so the refused connection did not mean that it has ended.
+// resumeServing lets the node accept calls again for an upstream that was considered dead: its
+// process still reports, so the refused connection did not mean that it has ended.
 func (l *localUpstream) resumeServing(r fleet.Report) {
 	m := l.mesh
 	if _, serving := l.known.Current(); !serving || m.node.Guard().Serving() {
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -181,9 +181,9 @@
 	runner := &fakeRunner{}
 	g := NewGuard(DefaultGuardConfig(), 1, runner, &fakeAuthority{}, epoch)
 	late := newCall("a", epoch.Add(time.Minute))
-	again := *late
-	again.Reattach = true
-	_, response := g.Arrive(epoch, &again, func(*Response) {})
+	reattachment := *late
+	reattachment.Reattach = true
+	_, response := g.Arrive(epoch, &reattachment, func(*Response) {})
 	must.EqOp(t, result.NoUpstream, response.Code)
 	g.UpstreamUp(epoch, limits(2))
 	_, response = g.Arrive(epoch.Add(time.Second), late, func(*Response) {})
--- a/internal/policy/decide.go
+++ b/internal/policy/decide.go
@@ -127,7 +127,7 @@
 // retainedRevisions returns the revisions of a template that the state keeps: those that an
 // instance uses and the newest 3.
 func (s *State) retainedRevisions(t *templateEntry) []Template {
-	const newest = 3
+	const newestRetained = 3
 	used := map[int]bool{}
 	name := t.revisions[0].Name
 	for _, i := range s.instances {
@@ -137,7 +137,7 @@
 	}
 	retained := make([]Template, 0, len(t.revisions)+1)
 	for i := range t.revisions {
-		if i >= len(t.revisions)-newest || used[t.revisions[i].Revision] {
+		if i >= len(t.revisions)-newestRetained || used[t.revisions[i].Revision] {
 			retained = append(retained, t.revisions[i])
 		}
 	}
--- a/internal/policy/replica.go
+++ b/internal/policy/replica.go
@@ -12,8 +12,9 @@
 // peers to Merge.
 type Replica struct {
 	state *State
-	// scanOffset is the next offset to read while entries after the state have expired and the
-	// replica scans for a snapshot; below 0 otherwise.
+	// scanOffset is the next offset to read during a scan for a snapshot; below 0 without a scan.
+	// The replica scans while it cannot fold the next entry, because the entry has expired or needs
+	// the rules of a newer release.
 	scanOffset int64
 	// resumeAt is the offset at which the scan jumped to the newest entries; below 0 if it did
 	// not. The entries from there on are scanned only if the newest ones contain no snapshot.
--- a/internal/server/catalogue.go
+++ b/internal/server/catalogue.go
@@ -40,7 +40,7 @@
 	}
 	doc, err := json.Marshal(t)
 	if err != nil {
-		return nil, errors.Wrapf(err, "template %s", name)
+		return nil, errors.Wrapf(err, "encode template %s", name)
 	}
 	return &adminpb.ShowTemplateResponse{Name: name, Version: inForce, DocumentJson: string(doc)}, nil
 }
--- a/internal/server/peerclient.go
+++ b/internal/server/peerclient.go
@@ -171,11 +171,11 @@
 func (p *peerClient) call(ctx context.Context, m membership.Member, method, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "encode request")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, p.url(m)+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "address")
+		return errors.Wrap(err, "create request")
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
@@ -186,7 +186,7 @@
 		return errors.Errorf("response has status %s", resp.Status)
 	}
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxMessageBytes)).Decode(out)
-	return errors.Wrap(err, "answer")
+	return errors.Wrap(err, "decode response")
 }
 
 func (p *peerClient) url(m membership.Member) string {
