--- a/internal/lease/advance.go
+++ b/internal/lease/advance.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Advance records that every record below next was folded or concerns neither members nor
-// ownership. Without it, an observation of the log's head would not count until the next record of
-// members or ownership is folded.
+// ownership. Without this call, ObserveHead would ignore a head above the last folded record of
+// members or ownership until the next such record is folded.
 func (l *Lessor) Advance(next int64) {
 	l.nextOffset = max(l.nextOffset, next)
 }
--- a/internal/lease/authority.go
+++ b/internal/lease/authority.go
@@ -22,9 +22,9 @@
 // received through a relay it is the local send time minus the age that the relay reported. An
 // observation counts only if every record below head was folded before.
 //
-// It relies on reads that are not stale. For a log with a known maximum read lag, the caller
-// subtracts that lag from readAt. A head below an earlier one comes from a stale read and is
-// ignored.
+// ObserveHead relies on reads that are not stale. If reads of the log may lag by a known maximum,
+// the caller subtracts that lag from readAt. A head below an earlier one comes from a stale read
+// and is ignored.
 func (l *Lessor) ObserveHead(readAt time.Time, head int64) {
 	if head > l.nextOffset {
 		// There may be takeovers below head that are not folded yet.
@@ -34,9 +34,9 @@
 		return
 	}
 	if head > l.maxHead || head == l.maxHead && readAt.After(l.maxHeadReadAt) {
-		// A read that was sent earlier and waited for a new record reflects that record. A read
-		// that was sent later but returned sooner may not, so the highest head is kept with its
-		// own time.
+		// Reads may overlap: one read waits for a new record and returns it, while another one,
+		// sent later, returns at once without it. The latest read may then have the lower head, so the
+		// highest head is kept separately, with the send time of its own read.
 		l.maxHead = head
 		l.maxHeadReadAt = readAt
 	}
@@ -60,13 +60,13 @@
 }
 
 // MayStart decides whether a call with this key may start now. issued is the time at which the key
-// was created, zero if unknown. The caller must look the key up in its own table first: no
-// authority is needed to respond from a known key.
+// was created, zero if unknown. The caller must look the key up in its own table first: the
+// response to a resend of a known key needs no authority.
 //
 // It prevents calls started by an owner that was paused while another guard took over its slots.
-// After it resumes, its state still shows it as the owner of the slots. Its last head observation
-// has aged on its own clock in the meantime, so the authority is found expired either here or, at
-// Deadline, immediately before the call is sent.
+// After it resumes, its state still shows it as the owner of the slots. Its clock has kept running,
+// so its authority has expired: either MayStart refuses the call, or the sender finds that Deadline
+// has passed immediately before it sends the call.
 func (l *Lessor) MayStart(now time.Time, keyHash uint64, issued time.Time) Authority {
 	i := l.SlotOf(keyHash)
 	s := &l.slots[i]
@@ -89,7 +89,7 @@
 		return refuse(result.NoAuthority, "last observation of the log's head is %v old", l.headAge(now).Round(time.Millisecond))
 	}
 	if l.mayHaveRun(now, s, issued) {
-		return refuse(result.OutcomeUnknown, "an earlier owner of slot %d may have run it", i)
+		return refuse(result.OutcomeUnknown, "an earlier owner of slot %d may have run the call", i)
 	}
 	return Authority{OK: true, Deadline: deadline}
 }
@@ -142,9 +142,9 @@
 // id, binds that guard.
 func promiseBinds(from, id Identity) bool { return from == id || from.Incarnation > id.Incarnation }
 
-// mayHaveRun reports whether an earlier owner may have started a call whose key was issued at this
-// time. An issue time that is ahead of the local clock by more than the skew bound violates the
-// assumption about clocks, so it does not prove that the key is new.
+// mayHaveRun reports whether an earlier owner may have started a call whose key was created at
+// issued, zero if unknown. An issue time that is ahead of the local clock by more than SkewBound
+// comes from a clock that violates the bound, so it does not prove that the key is new.
 func (l *Lessor) mayHaveRun(now time.Time, s *slot, issued time.Time) bool {
 	if s.unknownBefore.IsZero() || !now.Before(s.unknownUntil) {
 		return false
--- a/internal/lease/config.go
+++ b/internal/lease/config.go
@@ -26,8 +26,9 @@
 	// ResendHorizon is how long after its first use a key may be resent by callers.
 	ResendHorizon time.Duration
 	// PromiseLimit is how long an owner may continue on promises alone after its last head
-	// observation. It is also how long a guard that an owner may not know of must wait before it
-	// takes over slots.
+	// observation. That owner does not know of a guard that has joined since and requests no
+	// promise from it, so a new guard may have to wait for the same time before it takes over
+	// slots; see Lessor.Eligible.
 	PromiseLimit time.Duration
 	// Refresh is the age at which an owner appends its record again, well before the log drops it;
 	// 0 means never.
--- a/internal/lease/guards.go
+++ b/internal/lease/guards.go
@@ -24,7 +24,8 @@
 }
 
 // guards is the fold of the membership records that ownership depends on: the guards that may take
-// over slots, and the incarnations that have certainly stopped or whose records are void.
+// over slots, and the incarnations that have certainly stopped or whose records are void. The fold
+// ignores joins and takeovers of an incarnation whose records are void.
 type guards struct {
 	byID             map[Identity]*guard
 	voidIncarnations map[string]uint64 // by node: the highest incarnation whose records are void
--- a/internal/lease/handover.go
+++ b/internal/lease/handover.go
@@ -13,7 +13,8 @@
 }
 
 // HandedSlot is one slot of a HandOver. Durations count from Release on the sender's clock. The
-// transfer takes time, so they end later at the receiver, which is the safe direction.
+// receiver counts them from the later time of arrival, so at the receiver they end late, which
+// delays or refuses calls, and never early, which could run a call twice.
 type HandedSlot struct {
 	Slot int `json:"slot"`
 	// Offset is the offset of the record by which the sender owned the slot.
@@ -27,10 +28,10 @@
 	UnknownFor    time.Duration `json:"cleanIn,omitempty"`
 }
 
-// Release stops starting calls in the slots, until self has taken them over again, and returns the
-// hand-over for the receiver at addr. The caller then waits for the running calls, exports their
-// keys and sends both. If the receiver does not accept the hand-over, the caller must call
-// Reclaim.
+// Release returns the hand-over of the slots for the receiver at addr. From then on self starts no
+// calls in these slots, until it has taken them over again. The caller waits for the running calls,
+// exports the keys of the slots, and sends the hand-over with the keys. If the receiver does not
+// accept the hand-over, the caller must call Reclaim.
 func (l *Lessor) Release(now time.Time, addr string, slots []int) HandOver {
 	h := HandOver{From: l.self}
 	for _, i := range slots {
@@ -62,8 +63,10 @@
 	return handed
 }
 
-// Reclaim takes back released slots after the receiver refused the hand-over or did not respond. The log
-// decides between the two guards: if the receiver's takeover comes first, this record is void.
+// Reclaim returns the takeover record that takes back released slots after the receiver refused the
+// hand-over or did not respond. It returns false if there are none or self is no longer a member.
+// The log decides between the two guards: if the receiver's takeover comes first, the returned
+// record has no effect.
 func (l *Lessor) Reclaim(now time.Time) (AppendTakeover, bool) {
 	var slots []int
 	for i := range l.slots {
--- a/internal/lease/lessor.go
+++ b/internal/lease/lessor.go
@@ -218,17 +218,18 @@
 	l.slots[i] = s
 }
 
-// dropStaleImport removes imported keys of a slot if the record at offset is newer than the one
-// that the hand-over refers to. A hand-over may also arrive before its own record, and is then
-// kept.
+// dropStaleImport removes the import of a slot if the record at offset is newer than the record to
+// which the hand-over refers (HandedSlot.Offset). A hand-over may also arrive before that record is
+// folded; the import is then kept.
 func (l *Lessor) dropStaleImport(i int, offset int64) {
 	if r, ok := l.importedSlots[i]; ok && r.offset < offset {
 		delete(l.importedSlots, i)
 	}
 }
 
-// renew folds a repeated record of the present owner. It updates lastOffset, so that folds that
-// begin at a later record agree, and it ends a release.
+// renew folds a repeated record of the present owner and ends a release. It sets lastOffset to the
+// offset of the repeated record, because a fold that begins at that record knows no earlier one:
+// all folds must have the same lastOffset to decide alike on later takeovers.
 func (l *Lessor) renew(now time.Time, offset int64, i int, t Takeover) {
 	s := &l.slots[i]
 	s.lastOffset = offset
@@ -247,7 +248,7 @@
 // The wait prevents two owners at once. A paused or disconnected owner continues until its last
 // head observation is Validity old. That observation was made before this takeover was appended,
 // so it has expired takeoverWait after the takeover was read back. The unknown keys prevent a
-// second run: the calls that the earlier owner started until then are not in the table of self.
+// second run: calls that the earlier owner started before effectiveAt are not in the table of self.
 func (l *Lessor) startOwnership(now time.Time, s *slot, prev slot, i int) {
 	s.ownerState = &ownerState{effectiveAt: now}
 	if prev.owner.IsZero() && !prev.ownerMayBeTruncated {
--- a/internal/lease/property_test.go
+++ b/internal/lease/property_test.go
@@ -50,9 +50,9 @@
 	return coverage, nil
 }
 
-// Guards against the fault of TestNeverTwoOwners in long runs; runs of rapid are short so that
-// they shrink well. A
-// narrow skew bound makes late starts likely, a wide one makes wrong issue times likely.
+// Guards against two guards that may start calls with the same key at once, in runs longer than
+// those of TestNeverTwoOwners, which are short so that rapid shrinks them well. A narrow skew bound
+// makes late starts likely, a wide one makes wrong issue times likely.
 func TestNeverTwoOwnersLong(t *testing.T) {
 	for _, skew := range []time.Duration{300 * time.Millisecond, 2 * time.Second} {
 		cfg := simConfig()
--- a/internal/lease/sim_calls_test.go
+++ b/internal/lease/sim_calls_test.go
@@ -63,6 +63,6 @@
 	}
 	otherStarters := slices.DeleteFunc(w.startersOf(p.l.SlotOf(uint64(c.key))), func(id Identity) bool { return id == p.id })
 	if len(key.startedBy) > 1 || len(otherStarters) > 0 {
-		w.err = fmt.Errorf("at %v key %d ran at %v, and %v may start calls in its slot", w.now, c.key, key.startedBy, otherStarters)
+		w.err = fmt.Errorf("after %v: key %d was started by %v, and %v may also start calls in its slot", w.now, c.key, key.startedBy, otherStarters)
 	}
 }
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -59,8 +59,8 @@
 	startedBy   []string
 }
 
-// world simulates a service of a few guards and one log in real time. Messages under way are in
-// inFlight; they arrive late, out of order or never.
+// world simulates a service of a few guards and one log. now is the simulated real time. inFlight
+// holds the messages in transit; they arrive late, out of order or never.
 type world struct {
 	choose          chooser
 	cfg             Config
@@ -162,7 +162,7 @@
 	}
 	for slot := range w.cfg.Slots {
 		if s := w.startersOf(slot); len(s) > 1 && w.err == nil {
-			w.err = fmt.Errorf("at %v calls in slot %d may start at %v", w.now, slot, s)
+			w.err = fmt.Errorf("after %v: calls in slot %d may start at more than one guard: %v", w.now, slot, s)
 		}
 	}
 	return w.err
--- a/internal/lease/unit_test.go
+++ b/internal/lease/unit_test.go
@@ -46,8 +46,8 @@
 	b := w.otherProcesses(a)[0]
 	now := w.local(b)
 	must.True(t, b.l.OnPromiseRequest(now, a.id, []int{0}))
-	alone := map[Identity]bool{b.id: true}
-	must.True(t, b.l.shouldTake(now, 0, alone, true))
+	onlyBAlive := map[Identity]bool{b.id: true}
+	must.True(t, b.l.shouldTake(now, 0, onlyBAlive, true))
 	must.SliceNotContains(t, b.l.slotsToTake(now, []Identity{b.id}), 0)
 	must.SliceContains(t, b.l.slotsToTake(now.Add(simConfig().takeoverWait()), []Identity{b.id}), 0)
 }
@@ -180,7 +180,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if !a.l.MayStart(now, 0, now).OK {
-			b.Fatal("refused")
+			b.Fatal("MayStart refused a call in a slot that the guard owns")
 		}
 	}
 }
