--- a/internal/idempotency/claims.go
+++ b/internal/idempotency/claims.go
@@ -22,11 +22,11 @@
 	recordedAt time.Time
 }
 
-// Claims folds claim records in log order. The first claim of a key wins until the callers' resend
-// horizon has passed. Not safe for concurrent use.
+// Claims folds claim records in log order. The first claim of a key wins until the resend horizon,
+// the time during which callers may resend a key, has passed. Not safe for concurrent use.
 //
-// The fold must start at a record that is at least one horizon old before its results are used.
-// Otherwise an earlier claim outside the fold is missed, and a later claim wins as well.
+// Before its results are used, the fold must contain every claim of the last horizon. Otherwise it
+// lacks the first claim of a key, and a later claim of the same key wins as well.
 type Claims struct {
 	horizon    time.Duration
 	maxKeys    int
--- a/internal/idempotency/config.go
+++ b/internal/idempotency/config.go
@@ -22,7 +22,7 @@
 
 // DefaultConfig returns limits for a node with 64 MB of memory. A full table takes about 22 MB for
 // keys (BenchmarkKeyBytes) and 16 MB for responses. 40 non-idempotent calls per second with the
-// default KeepKeys need 36,000 keys.
+// default KeepKeys of 15 minutes need 40 x 900 s = 36,000 keys.
 func DefaultConfig() Config {
 	return Config{
 		MaxBytes:    16 << 20,
--- a/internal/idempotency/table_test.go
+++ b/internal/idempotency/table_test.go
@@ -81,7 +81,7 @@
 		must.False(t, k.running)
 		must.Eq(t, k.response == "", b.Code == 0)
 	default:
-		t.Fatalf("key %s may have run, and got %v", name, b.Kind)
+		t.Fatalf("key %s may have run, but Begin returned %v", name, b.Kind)
 	}
 }
 
