--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -114,8 +114,8 @@
 }
 
 // Detector detects dead peers of a zone. Each node sends one probe per Interval, regardless of the
-// size of the zone. The rounds are arranged so that some node probes each peer about once per
-// Interval.
+// size of the zone. In each Interval, called a round, the nodes probe different peers, so that each
+// peer is probed about once per round; see nextTarget.
 //
 // It detects a VM that stops without notice; calls sent to such a VM wait for their timeouts.
 // Indirect probes and a second observer keep a node with a faulty link from declaring a healthy VM
@@ -186,8 +186,9 @@
 	return d.peers[(i+1+stride(round, steps, n))%n], true
 }
 
-// stride distributes the targets of one node over the ring. Nodes with consecutive names often
-// share a rack. If the rack fails and all targets of a node are in it, the node would wrongly
+// stride returns the distance on the ring from a node's next peer to its target of the round. The
+// distances of the rounds cover the whole ring, because nodes with consecutive names often share a
+// rack. If all targets of a node were in one rack and that rack failed, the node would wrongly
 // regard itself as disconnected.
 func stride(round, steps, n int) int { return round * (n - 1) / steps }
 
--- a/internal/membership/elector.go
+++ b/internal/membership/elector.go
@@ -33,8 +33,8 @@
 
 const (
 	// Incumbent keeps the process that has been leader for the longest time; a restarted process
-	// never replaces a live leader. If the leader stops, the settled process that started last
-	// succeeds it.
+	// never replaces a live leader. If the leader stops, it is succeeded by the process that started
+	// last among those with an uptime of at least ElectorConfig.Settled.
 	Incumbent Strategy = iota
 	// Oldest prefers the process with the longest uptime, after Martín and Larrea, "A simple and
 	// communication-efficient Omega algorithm in the crash-recovery model", Information Processing
@@ -126,8 +126,9 @@
 	return &Election{cfg: cfg, self: self, timeout: cfg.Timeout, lastHeartbeat: now}
 }
 
-// SetPeers replaces the processes that may become leader; the list may include self. It only
-// decides which process becomes leader first, so a wrong list only delays the election.
+// SetPeers replaces the processes that may become leader; the list may include self. The list only
+// decides how long self waits for other candidates (claimDelay), so a wrong list only delays the
+// election.
 func (e *Election) SetPeers(peers []Peer) { e.peers = peers }
 
 // Leader implements Elector.
--- a/internal/membership/elector_test.go
+++ b/internal/membership/elector_test.go
@@ -179,15 +179,15 @@
 			}
 			c.run(time.Minute)
 		})
-		rolling := func() {
+		restartInTurn := func() {
 			for _, p := range c.processes {
 				c.stop(p, downtime)
 				c.run(15 * time.Second)
 			}
 			c.run(time.Minute)
 		}
-		measure("rolling", n, rolling)
-		measure("rolling again", n, rolling)
+		measure("rolling", n, restartInTurn)
+		measure("rolling again", n, restartInTurn)
 		measure("rack", 10*(n/8), func() {
 			for range 10 {
 				leader, _ := c.agreedLeader()
--- a/internal/membership/tree.go
+++ b/internal/membership/tree.go
@@ -3,7 +3,8 @@
 import "slices"
 
 // Fanout limits the children of a process in the tree that distributes the records read by the
-// zone's reader: 16 exchanges of about 100 B per second stay below 2 KB/s.
+// zone's reader: 16 exchanges per second of about 100 B each are 1.6 KB/s, within the budget of
+// 2 KB/s.
 const Fanout = 16
 
 // Parent returns the process that self exchanges with. The leader is the root of the tree, and the
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -59,10 +59,10 @@
 			}
 			checkView(t, before, v, gone)
 		}
-		once := (&View{}).ApplyAll(entries)
-		must.Eq(t, v.Members(), once.Members())
-		must.Eq(t, v.Members(), once.ApplyAll(entries).Members())
-		must.Eq(t, v.Digest(), once.Digest())
+		foldedAtOnce := (&View{}).ApplyAll(entries)
+		must.Eq(t, v.Members(), foldedAtOnce.Members())
+		must.Eq(t, v.Members(), foldedAtOnce.ApplyAll(entries).Members())
+		must.Eq(t, v.Digest(), foldedAtOnce.Digest())
 		cut := rapid.IntRange(0, len(entries)).Draw(t, "cut")
 		b, err := (&View{}).ApplyAll(entries[:cut]).Marshal()
 		must.NoError(t, err)
@@ -75,15 +75,15 @@
 func encodeAndDecode(t *rapid.T, rec Record) Record {
 	b, err := MarshalRecord(rec)
 	must.NoError(t, err)
-	back, err := UnmarshalRecord(b)
+	decoded, err := UnmarshalRecord(b)
 	must.NoError(t, err)
-	return back
+	return decoded
 }
 
 func checkView(t *rapid.T, before, v *View, gone map[Identity]bool) {
 	addrs := map[string]bool{}
 	for _, m := range v.Members() {
-		must.False(t, gone[m.Identity], must.Sprintf("%v came back", m.Identity))
+		must.False(t, gone[m.Identity], must.Sprintf("%v is a member again after it has left or was evicted", m.Identity))
 		must.False(t, addrs[m.InnerAddr], must.Sprintf("two members at %s", m.InnerAddr))
 		addrs[m.InnerAddr] = true
 		if old, ok := before.Member(m.Node); ok {
--- a/internal/membership/zone.go
+++ b/internal/membership/zone.go
@@ -127,8 +127,9 @@
 // Live returns the members of the zone that are not dead, including self.
 func (z *Zone) Live(now time.Time) []Identity { return z.detector.Live(now) }
 
-// NeedsJoin reports whether self must append a join record, either because it has none yet or
-// because its peers evicted it. An evicted process needs a new incarnation first.
+// NeedsJoin reports in due whether self must append a join record, either because it has none yet
+// or because its peers evicted it. newIncarnation reports that this incarnation has left or was
+// evicted, so that the process needs a new one first.
 func (z *Zone) NeedsJoin() (due, newIncarnation bool) {
 	if z.view.Live(z.self.Identity) {
 		return false, false
