--- a/internal/logstore/appender.go
+++ b/internal/logstore/appender.go
@@ -72,9 +72,10 @@
 	return nil
 }
 
-// pendingRecord is one record that is queued or in flight. It is settled exactly once: by
-// Observe when the reader has folded it, by the run loop when it stops retrying or is
-// canceled, or when the caller of Append is canceled.
+// pendingRecord is one record that is queued or in flight. It is settled exactly once, that is,
+// its offset or error becomes final and Append returns it: by Observe when the reader has folded
+// the record, by the run loop when it stops retrying or is canceled, or when the caller of Append
+// is canceled.
 type pendingRecord struct {
 	rec     Record
 	settled chan struct{} // closed once offset and err are final
@@ -107,8 +108,8 @@
 // AppenderStats holds counters since the start of the Appender. Appends and Records count the
 // append requests and the records in them, Failures the failed requests, and Uncertain the failed
 // requests that may have taken effect. Retries counts records sent again, GaveUp records whose
-// RepeatFor passed, and Refused records rejected because the queue was full. Queued is the
-// current number of records that are queued or in flight.
+// RepeatFor passed, and Rejected records that Append rejected because the queue was full. Queued is
+// the current number of records that are queued or in flight.
 type AppenderStats struct {
 	Appends, Records, Failures, Uncertain, Retries, GaveUp, Rejected int64
 	Queued                                                           int
--- a/internal/logstore/appender_run.go
+++ b/internal/logstore/appender_run.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Observe settles the records among entries, which the node's reader has folded. An
-// acknowledgement of the log does not settle a record: it can be lost, and it does not contain
-// the decision of the fold.
+// Observe settles the pending records among entries, which the node's reader has folded: their
+// calls of Append return. An acknowledgement of the log does not settle a record: it can be lost,
+// and it does not contain the decision of the fold.
 func (a *Appender) Observe(entries []Entry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/logstore/appender_test.go
+++ b/internal/logstore/appender_test.go
@@ -217,7 +217,7 @@
 }
 
 // Guards against a queue that grows during an outage. Callers enqueue records and are
-// canceled; the queue must reject records above its limit and keep none of canceled callers.
+// canceled; the queue must reject records above its limit and keep no record of a canceled caller.
 func TestQueueIsBoundedThroughOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, func(c *logstore.AppenderConfig) { c.MaxQueue = 8 })
@@ -258,20 +258,20 @@
 // read the same log from different offsets. Both must recognize a copy within the window, and
 // IDs beyond the window must be removed.
 func TestDedupWindow(t *testing.T) {
-	long, short := logstore.NewDedup(10), logstore.NewDedup(10)
+	fromStart, fromOffset50 := logstore.NewDedup(10), logstore.NewDedup(10)
 	entry := func(o int64, id string) logstore.Entry {
 		return logstore.Entry{Offset: o, Record: logstore.Record{ID: id}}
 	}
 	for o := range int64(100) {
 		e := entry(o, fmt.Sprint("id", o/3))
-		fresh := long.Fresh(e)
+		fresh := fromStart.Fresh(e)
 		must.Eq(t, o%3 == 0, fresh)
 		if o >= 50 {
-			got := short.Fresh(e)
+			got := fromOffset50.Fresh(e)
 			must.True(t, o < 60 || got == fresh)
 		}
-		must.LessEq(t, 11, long.Len())
+		must.LessEq(t, 11, fromStart.Len())
 	}
-	must.True(t, long.Fresh(entry(200, "id32")))
-	must.Eq(t, 1, long.Len())
+	must.True(t, fromStart.Fresh(entry(200, "id32")))
+	must.Eq(t, 1, fromStart.Len())
 }
--- a/internal/logstore/client.go
+++ b/internal/logstore/client.go
@@ -28,8 +28,8 @@
 	defaultTimeout = 5 * time.Second
 	// maxErrorBytes limits the response body of a failed request.
 	maxErrorBytes = 4 << 10
-	// maxSmallBytes limits the response bodies of append and head.
-	maxSmallBytes = 4 << 10
+	// maxSmallResponseBytes limits the response bodies of append and head.
+	maxSmallResponseBytes = 4 << 10
 )
 
 // Client accesses the log service over HTTP. It does not retry: the Appender and the readers
@@ -72,7 +72,7 @@
 		return 0, fmt.Errorf("%w: %v", ErrBadRequest, err)
 	}
 	var out AppendResponse
-	err = c.do(ctx, c.timeout, http.MethodPost, PathAppend, body, maxSmallBytes, &out)
+	err = c.do(ctx, c.timeout, http.MethodPost, PathAppend, body, maxSmallResponseBytes, &out)
 	if err != nil {
 		return 0, classifyAppendError(err)
 	}
@@ -98,7 +98,7 @@
 // Head implements Log.
 func (c *Client) Head(ctx context.Context) (int64, error) {
 	var out HeadResponse
-	err := c.do(ctx, c.timeout, http.MethodGet, PathHead, nil, maxSmallBytes, &out)
+	err := c.do(ctx, c.timeout, http.MethodGet, PathHead, nil, maxSmallResponseBytes, &out)
 	if err != nil {
 		return 0, classifyReadError(err, 0)
 	}
--- a/internal/logstore/dedup.go
+++ b/internal/logstore/dedup.go
@@ -6,13 +6,13 @@
 // The window must be large enough to hold the first copy of a record when its last retry
 // arrives. A writer retries a record for at most AppenderConfig.RepeatFor plus one Timeout
 // after its first attempt, so the window must cover the number of records that the log accepts
-// in that time. At several hundred appends per second and up to 32 records per append this is
-// at most 500 x 32 x 32 s = 512,000 offsets; a fold that passes only its own kind of records
-// can use a smaller window.
+// in that time. With the default RepeatFor of 30 s and Timeout of 2 s, at up to 500 appends per
+// second of up to 32 records, this is at most 500/s x 32 records x 32 s = 512,000 offsets. A fold
+// that passes only its own kind of records can use a smaller window.
 //
 // The result depends only on the entries of the window, so replicas that have read them agree.
-// A replica that starts at offset V must first pass the entries from V-window on to Fresh,
-// without folding them.
+// A replica that starts to fold at offset V must first call Fresh for the entries from offset
+// V-window up to V, without folding them.
 type Dedup struct {
 	window int64
 	seen   map[string]int64 // offset by record ID
--- a/internal/logstore/follow.go
+++ b/internal/logstore/follow.go
@@ -14,7 +14,8 @@
 	// Next returns the offset to read from.
 	Next() int64
 	// OnPage consumes a page that was read from Next. sent is the local time at which the read
-	// was sent: the page contains every append acknowledged before that, up to its Next.
+	// was sent. Up to page.Next, the page contains every record whose append was acknowledged
+	// before sent.
 	OnPage(page Page, sent time.Time)
 	// OnTruncated reports that the entries below oldest have expired.
 	OnTruncated(oldest int64)
