--- a/internal/policy/bench_test.go
+++ b/internal/policy/bench_test.go
@@ -33,7 +33,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := s.Lookup("workspace-7", "service-7"); !ok {
-			b.Fatal("absent")
+			b.Fatal("Lookup found no behaviour for workspace-7/service-7")
 		}
 	}
 }
--- a/internal/policy/decision.go
+++ b/internal/policy/decision.go
@@ -65,9 +65,9 @@
 }
 
 // maxDecisions bounds the decisions in a state. A retry of a publication whose decision was
-// dropped is decided again. It can't undo a later change, since the version that it is based on
-// never returns. 512 decisions cover 57 minutes of the planned 13,000 changes a day; a writer
-// retries for half a minute.
+// dropped is decided again. It can't undo a later change: versions only increase, so the object
+// never has the retry's BaseVersion again, and the retry conflicts. At the planned 13,000 changes a
+// day, 512 decisions cover 512 / 13,000 of a day = 57 minutes; a writer retries for half a minute.
 const maxDecisions = 512
 
 // maxDecisionErrors bounds the errors in the decision of a rejected publication.
--- a/internal/policy/fuzz_test.go
+++ b/internal/policy/fuzz_test.go
@@ -31,10 +31,10 @@
 		}
 		must.Eq(t, 2, s.Version())
 		must.GreaterEq(t, 1, s.TemplateVersion("strict"))
-		again, err := UnmarshalState([]byte(mustMarshal(t, s)))
+		decoded, err := UnmarshalState([]byte(mustMarshal(t, s)))
 		must.NoError(t, err)
-		must.Eq(t, mustMarshal(t, s), mustMarshal(t, again))
-		must.Eq(t, s.effective, again.effective)
+		must.Eq(t, mustMarshal(t, s), mustMarshal(t, decoded))
+		must.Eq(t, s.effective, decoded.effective)
 	})
 }
 
@@ -92,8 +92,8 @@
 		if err != nil {
 			return
 		}
-		again, err := UnmarshalState([]byte(mustMarshal(t, s)))
+		decoded, err := UnmarshalState([]byte(mustMarshal(t, s)))
 		must.NoError(t, err)
-		must.Eq(t, mustMarshal(t, s), mustMarshal(t, again))
+		must.Eq(t, mustMarshal(t, s), mustMarshal(t, decoded))
 	})
 }
--- a/internal/policy/library.go
+++ b/internal/policy/library.go
@@ -77,7 +77,8 @@
 }
 
 // recoveryFirst returns the template for a short recovery time. It sheds work early so that
-// queues drain soon after a surge, and gives the levels values that differ by a large factor.
+// queues drain soon after a surge. The worth of a response differs by a large factor between the
+// levels: by default 20 at level critical and 1 at level low.
 func recoveryFirst() Template {
 	b := commonBehaviour()
 	b.KeyRequired = "$key_required"
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -101,7 +101,7 @@
 func (p *Publication) Record(now time.Time) (logstore.Record, error) {
 	body, err := json.Marshal(p)
 	if err != nil {
-		return logstore.Record{}, fmt.Errorf("publication %s: %w", p.ID, err)
+		return logstore.Record{}, fmt.Errorf("encode publication %s: %w", p.ID, err)
 	}
 	return logstore.Record{ID: p.ID, Kind: p.kind(), At: now, Body: body}, nil
 }
--- a/internal/policy/replica.go
+++ b/internal/policy/replica.go
@@ -21,9 +21,9 @@
 	resumeAt int64
 	// window is the number of newest entries that the scan reads first.
 	window int64
-	// blocked is 1 more than the version of the state that could not fold the next entry; 0 for
-	// none.
-	blocked       Version
+	// blockedAt is the version of the entry that the state cannot fold, which is the version of the
+	// state plus 1; 0 for none.
+	blockedAt     Version
 	headRegressed bool
 	// snapshotVersion is the version of the newest snapshot at the last call of SnapshotDue.
 	// snapshotSeenAt is the time at which this process first saw it, by its own clock.
@@ -62,7 +62,7 @@
 
 // Blocked reports whether the next entry needs rules of a newer release. The state in force stays
 // until this process runs a newer release or merges the state of a peer that does.
-func (r *Replica) Blocked() bool { return r.blocked == r.state.version+1 }
+func (r *Replica) Blocked() bool { return r.blockedAt == r.state.version+1 }
 
 // HeadRegressed reports whether the log's head in the last page was below the version of the
 // state: the log lost acknowledged records or was replaced by another one. New records at these
@@ -78,7 +78,7 @@
 		previous := r.state
 		r.state = previous.Apply(page.Entries[i])
 		if r.state == previous && Version(page.Entries[i].Offset) == previous.version {
-			r.blocked = previous.version + 1
+			r.blockedAt = previous.version + 1
 			r.scanOffset = page.Next
 		}
 	}
@@ -95,14 +95,14 @@
 // still exist. A log may have millions of entries of other kinds, so the scan first jumps to the
 // newest window.
 func (r *Replica) advanceScan(page logstore.Page) {
-	contiguous := int64(r.state.version) >= page.Oldest && !r.Blocked()
+	canFoldNext := int64(r.state.version) >= page.Oldest && !r.Blocked()
 	switch {
 	case page.Next < page.Head:
 		if r.resumeAt < 0 && page.Head-r.scanOffset > r.window {
 			r.resumeAt = r.scanOffset
 			r.scanOffset = page.Head - r.window
 		}
-	case contiguous:
+	case canFoldNext:
 		r.scanOffset = -1
 		r.resumeAt = -1
 	case r.resumeAt >= 0 && r.resumeAt < page.Head && !r.Blocked():
--- a/internal/policy/scenarios_test.go
+++ b/internal/policy/scenarios_test.go
@@ -10,8 +10,9 @@
 	"github.com/galenagrade/galenagrade/internal/logstore"
 )
 
-// Guards against the later one of two changes of one version coming into force, wholly or in part,
-// and against a conflict that is not reported with the publication that caused it.
+// Guards against two changes that both come into force although two operators based them on the
+// same version. The later one must have no effect, not even in part, and its conflict must be
+// reported with the publication that caused it.
 func TestConflictingChangesOfTwoOperators(t *testing.T) {
 	h := newHistory()
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
@@ -100,8 +101,8 @@
 }
 
 // Guards against a retry that undoes a change after the decision on the first attempt was
-// dropped. It is decided again and must conflict, since the version that it is based on never
-// returns.
+// dropped. It is decided again and must conflict, since the object never has the retry's
+// BaseVersion again.
 func TestRetryAfterDroppedDecisionConflicts(t *testing.T) {
 	h := newHistory()
 	first := record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)})
@@ -121,7 +122,8 @@
 	must.Eq(t, mustMarshal(t, h.current()), mustMarshal(t, copied))
 }
 
-// Guards against an old release that folds past a publication with rules of a newer release.
+// Guards against an old release that folds past a publication with rules of a newer release. It
+// would decide the publication differently, and its configuration would differ from then on.
 func TestOldReleaseStopsBeforeNewRules(t *testing.T) {
 	h := startedHistory()
 	r := h.replicas[0]
@@ -170,8 +172,8 @@
 	h := startedHistory()
 	first := record(&Publication{ID: "i", Author: "ito", Instance: testInstance("letters", "strict", 1, "1")})
 	h.append(first)
-	gone := &Instance{Workspace: "chikugo", Service: "letters", Withdrawn: true}
-	h.append(record(&Publication{ID: "w", Author: "ito", BaseVersion: 3, Instance: gone}))
+	withdrawal := &Instance{Workspace: "chikugo", Service: "letters", Withdrawn: true}
+	h.append(record(&Publication{ID: "w", Author: "ito", BaseVersion: 3, Instance: withdrawal}))
 	for i := range maxDecisions {
 		h.append(logstore.Record{ID: fmt.Sprint("x", i), Kind: logstore.KindInstance, Body: []byte("{}")})
 	}
@@ -184,10 +186,10 @@
 		must.SliceEmpty(t, s.Instances())
 		must.Eq(t, 4, s.InstanceVersion("chikugo", "letters"))
 	}
-	again, _ := h.current().Check(&Publication{ID: "w2", Author: "ito", BaseVersion: 4, Instance: gone})
-	must.Eq(t, Rejected, again.Outcome)
-	back := testInstance("letters", "strict", 1, "2")
-	h.append(record(&Publication{ID: "b", Author: "ito", BaseVersion: 4, Instance: back}))
+	secondWithdrawal, _ := h.current().Check(&Publication{ID: "w2", Author: "ito", BaseVersion: 4, Instance: withdrawal})
+	must.Eq(t, Rejected, secondWithdrawal.Outcome)
+	newInstance := testInstance("letters", "strict", 1, "2")
+	h.append(record(&Publication{ID: "b", Author: "ito", BaseVersion: 4, Instance: newInstance}))
 	e, ok := h.current().Lookup("chikugo", "letters")
 	must.True(t, ok)
 	must.Eq(t, 2, e.RetryAllowance)
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -59,7 +59,7 @@
 	}
 	data, err := json.Marshal(doc)
 	if err != nil {
-		return nil, fmt.Errorf("snapshot at version %d: %w", s.version, err)
+		return nil, fmt.Errorf("encode snapshot at version %d: %w", s.version, err)
 	}
 	return data, nil
 }
@@ -214,8 +214,9 @@
 	return logstore.Record{ID: id, Kind: logstore.KindSnapshot, At: now, Body: body}, nil
 }
 
-// adoptSnapshot returns the state of the snapshot in e, across a gap. A snapshot whose version is
-// above its own offset can't be the fold of the entries before it, and is ignored.
+// adoptSnapshot returns the state of the snapshot in e, an entry after a gap (see Gap). It returns
+// s if e contains no newer valid snapshot. A snapshot whose version is above its own offset can't
+// be the fold of the entries before it, and is ignored.
 func (s *State) adoptSnapshot(e logstore.Entry) *State {
 	version, ok := snapshotVersion(e)
 	if !ok || version <= s.version {
--- a/internal/policy/validate_test.go
+++ b/internal/policy/validate_test.go
@@ -122,9 +122,9 @@
 	must.NoError(t, err)
 	var b Behaviour
 	must.Nil(t, decodeStrict(doc, &b))
-	again, err := json.Marshal(b)
+	encodedBehaviour, err := json.Marshal(b)
 	must.NoError(t, err)
-	must.EqJSON(t, string(doc), string(again))
+	must.EqJSON(t, string(doc), string(encodedBehaviour))
 	tpl := &Template{Name: "a", Revision: 1, Behaviour: b}
 	given, err := Resolve(tpl, &Instance{Workspace: "w", Service: "s"})
 	must.NoError(t, err)
@@ -172,21 +172,22 @@
 	must.Eq(t, 1, e.MaxDepth)
 }
 
-// Guards against a snapshot that expires because wrong clocks delay the next one.
+// Guards against a newest snapshot that expires because a wrong clock delays the next one: by its
+// writer's clock, which is a day ahead here, the snapshot is not old enough for another day.
 func TestSnapshotComesDueWithWrongClocks(t *testing.T) {
 	rule := DefaultSnapshotRule(time.Hour)
 	must.NoError(t, rule.Validate())
 	h := newHistory()
 	h.append(record(&Publication{ID: "t", Author: "ito", Template: testTemplate("strict", 1, 0)}))
-	old, err := h.current().SnapshotRecord("s0", epoch)
+	oldSnapshot, err := h.current().SnapshotRecord("s0", epoch)
 	must.NoError(t, err)
-	ahead, err := h.current().SnapshotRecord("s", epoch.Add(24*time.Hour))
+	futureSnapshot, err := h.current().SnapshotRecord("s", epoch.Add(24*time.Hour))
 	must.NoError(t, err)
 	r := NewReplica(h.current())
 	must.False(t, r.SnapshotDue(&rule, epoch, 0))
 	must.True(t, r.SnapshotDue(&rule, epoch.Add(rule.Every), 0))
-	h.append(ahead)
-	h.append(old)
+	h.append(futureSnapshot)
+	h.append(oldSnapshot)
 	h.catchUp(r)
 	must.Eq(t, 1, r.State().Snapshot().Version)
 	must.Eq(t, 1, r.State().Snapshot().Offset)
@@ -196,16 +197,16 @@
 		h.append(logstore.Record{ID: "c", Kind: logstore.KindClaim})
 	}
 	h.oldest = 1
-	fresh := NewReplica(h.current())
-	must.True(t, fresh.SnapshotDue(&rule, epoch, h.oldest))
-	behind := NewReplica(nil)
-	h.catchUp(behind)
-	must.False(t, behind.Behind())
+	startedReplica := NewReplica(h.current())
+	must.True(t, startedReplica.SnapshotDue(&rule, epoch, h.oldest))
+	laggingReplica := NewReplica(nil)
+	h.catchUp(laggingReplica)
+	must.False(t, laggingReplica.Behind())
 	h.oldest = 12
-	behind = NewReplica(nil)
-	h.catchUp(behind)
-	must.True(t, behind.Behind())
-	must.False(t, behind.SnapshotDue(&rule, epoch.Add(time.Hour), h.oldest))
+	laggingReplica = NewReplica(nil)
+	h.catchUp(laggingReplica)
+	must.True(t, laggingReplica.Behind())
+	must.False(t, laggingReplica.SnapshotDue(&rule, epoch.Add(time.Hour), h.oldest))
 	rule.Every = time.Hour
 	must.ErrorContains(t, rule.Validate(), `every is "1h0m0s", must be above 0 and at most a quarter of retention 1h0m0s`)
 }
