--- a/internal/control/call_sim_test.go
+++ b/internal/control/call_sim_test.go
@@ -147,7 +147,7 @@
 	crashesAtStart := n.upstreamCrashes
 	end := func(a *node.Response) {
 		if n.upstreamCrashes != crashesAtStart {
-			a = node.Refused(call.Ctx.CallID, result.Refuse(result.LostAnswer, "the upstream died"))
+			a = node.Refused(call.Ctx.CallID, result.Refuse(result.LostAnswer, "the upstream crashed during the call"))
 			a.Crashed = n.UpstreamCrashed(n.sim.Now())
 		}
 		n.Guard().Finish(n.sim.Now(), call.Ctx.CallID, a)
--- a/internal/control/exchange.go
+++ b/internal/control/exchange.go
@@ -26,8 +26,8 @@
 }
 
 // NextExchange returns the peer for the next exchange request; false if there is none. The
-// parent in the zone's tree has priority, followed by the zone's reader, its standby, other
-// nodes of the zone, other zones and the seeds.
+// parent in the zone's tree has priority, followed by the zone's reader, its standby (see
+// standbyReader), other nodes of the zone, other zones and the seeds.
 func (p *Plane) NextExchange(now time.Time) (Peer, bool) {
 	for _, peer := range p.candidates(now) {
 		if peer.Addr == "" || peer.Addr == p.addr || peer.ID.Node == p.self.Node {
@@ -266,9 +266,9 @@
 
 // updateHeadFromResponse applies the head observation of a response. Its readAt must not be later
 // than the time at which the log was read, on the local clock. The peer received the request
-// after sent, and held it for held_us until the observation's age was age_us. The read was
-// therefore sent held_us minus age_us after the request was received, and not before sent plus
-// that difference.
+// after sent. When it responded, it had held the request for held_us, and its observation was
+// age_us old. The log was therefore read held_us minus age_us after the peer received the request,
+// and so not before sent plus that difference.
 func (p *Plane) updateHeadFromResponse(sent time.Time, resp *innerpb.ExchangeResponse) {
 	h := resp.GetHead()
 	since := time.Duration(resp.GetHeldUs()-h.GetAgeUs()) * time.Microsecond
--- a/internal/control/log.go
+++ b/internal/control/log.go
@@ -9,7 +9,8 @@
 
 const (
 	// maxCachedRecords and maxCachedBytes limit the records that are kept for peers. They hold
-	// the records of about a quarter of an hour at 13,000 changes per day, and a burst.
+	// the records of about a quarter of an hour at 13,000 changes per day (135 changes), and a
+	// burst.
 	maxCachedRecords = 4096
 	maxCachedBytes   = 2 << 20
 )
@@ -116,8 +117,9 @@
 	p.updateHead(logHead{known: true, readAt: sent, next: page.Head, oldest: page.Oldest})
 }
 
-// OnReadFailed records that a read of the log failed. The records read last may not have
-// reached other zones, so their readers are sent the offset of this one.
+// OnReadFailed records that a read of the log failed. The records read last may not have reached
+// other zones. If this node is its zone's reader, the update counted here makes it send a request
+// to each other zone, and the offset in the request shows that this node has newer records.
 func (p *Plane) OnReadFailed() {
 	if !p.readFailing {
 		p.upwardUpdates++
@@ -138,13 +140,13 @@
 		return
 	}
 	before, members := p.replica.Next(), p.Members()
-	contiguous := p.replica.Take(now, page)
+	followerEntries := p.replica.Take(now, page)
 	if next := p.replica.Next(); next > before {
 		p.recordCache.add(page.Entries, before, next)
 		p.updates++
 	}
-	if len(contiguous) > 0 && p.follower != nil {
-		p.follower.Applied(now, contiguous)
+	if len(followerEntries) > 0 && p.follower != nil {
+		p.follower.Applied(now, followerEntries)
 	}
 	if p.Members() != members {
 		p.membersChanged(now)
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -27,8 +27,8 @@
 	local     string                   // service of the local upstream
 	next      int64                    // offset of the next entry to fold
 	truncated bool                     // entries expired before they were folded
-	// lastService maps the name and the address of a node to the service of the last member
-	// that had it.
+	// lastService maps each node name and each inner address to the service of the last member
+	// that joined with this name or address.
 	lastService map[string]string
 }
 
--- a/internal/control/plane.go
+++ b/internal/control/plane.go
@@ -21,7 +21,9 @@
 
 // PlaneConfig holds the intervals, timeouts and limits of a Plane.
 type PlaneConfig struct {
-	// Exchange is the time between two exchanges of a node without updates.
+	// Exchange is the time between two exchanges of a node without updates. An exchange is a
+	// request to a peer, usually the node's parent in the zone's tree, and the response; both
+	// contain the updates of their sender.
 	Exchange time.Duration
 	// FallBack is the time without any exchange response after which a node reads the log
 	// itself. A jitter per node of up to the same length is added, so that the nodes of a zone
@@ -152,7 +154,7 @@
 	updates            uint64               // counts updates that children must receive without delay
 	upwardUpdates      uint64               // counts updates that the parent does not have
 	sentUpward         uint64               // upwardUpdates at the last request
-	peerAhead          Peer                 // requested records from an offset beyond this replica
+	peerAhead          Peer                 // peer that has newer records, according to its request; zero: none
 	readFailing        bool                 // the last read of the log failed
 	lastResponses      map[string]sentState // by node
 	failedAt           map[string]time.Time // last failed request by address
@@ -162,7 +164,7 @@
 	ownZoneRequestedAt time.Time            // last request of a reader to a node of its own zone
 	dead               map[membership.Identity]bool
 	endpointsDirty     bool
-	detectorRound      int64 // same number at all nodes, apart from clock skew
+	detectorRound      int64 // number of the current Detector.Interval since 1970, by the local clock
 }
 
 // NewPlane returns the Plane of a node that knows no peers except seeds; cfg must be valid.
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -74,7 +74,7 @@
 func (r *Replica) Take(now time.Time, page logstore.Page) []logstore.Entry {
 	r.policy.Take(page)
 	r.applyMembers(page.Entries)
-	var contiguous []logstore.Entry
+	var contiguousEntries []logstore.Entry
 	for _, e := range page.Entries {
 		if e.Offset != r.nextContiguous {
 			continue
@@ -83,9 +83,9 @@
 		if e.Record.Kind == logstore.KindClaim {
 			r.applyClaim(now, e)
 		}
-		contiguous = append(contiguous, e)
+		contiguousEntries = append(contiguousEntries, e)
 	}
-	return contiguous
+	return contiguousEntries
 }
 
 // applyMembers folds the membership records among entries.
--- a/internal/control/tick.go
+++ b/internal/control/tick.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// rejoinDivisor is the fraction of the log's retention, 1/rejoinDivisor, after which a
-	// member writes its join record again, so that it does not expire. A jitter per node of up
-	// to half of that time is added, so that members do not write at the same time.
+	// rejoinDivisor sets when a member writes its join record again, so that the record does not
+	// expire: after 1/rejoinDivisor of the log's retention. A jitter per node of up to half of
+	// that time is added, so that members do not write at the same time.
 	rejoinDivisor = 4
 	// maxReceivedSeqs is the number of senders in receivedSeqs above which those that have left
 	// the members are removed.
@@ -66,8 +66,10 @@
 	return append(out, p.joinActions(now)...)
 }
 
-// tickElection lets this node claim the leadership of its zone. A node that has not announced
-// itself as a member does not, because its peers have no address to send requests to.
+// tickElection advances the election of the zone's reader and, if this node is the reader and a
+// heartbeat is due, stores the heartbeat for the next messages. A node that has not announced
+// itself as a member cannot become the reader, because its peers have no address to send requests
+// to. A draining node cannot either.
 func (p *Plane) tickElection(now time.Time) {
 	if p.ownMember == nil || p.draining {
 		return
--- a/internal/control/updates.go
+++ b/internal/control/updates.go
@@ -206,8 +206,8 @@
 }
 
 // KnownMembers returns the members in the log and those that are not in it yet: peers that have
-// announced themselves, and this node once it has. Calls are routed to all of them, so they are
-// also shown to operators.
+// announced themselves, and this node once SetMember has set its record. Calls are routed to all of
+// them, so they are also shown to operators.
 func (p *Plane) KnownMembers() []membership.Member {
 	var out []membership.Member
 	for _, m := range p.Members().Members() {
