--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -74,7 +74,7 @@
 	for i, path := range f.paths() {
 		info, err := os.Stat(path)
 		if err != nil {
-			return versions, errors.Wrap(err, "certificate file")
+			return versions, errors.Wrap(err, "check certificate files")
 		}
 		versions[i] = fileVersion{info.ModTime(), info.Size()}
 	}
@@ -84,7 +84,7 @@
 func (f *Files) readFiles() (credentials, error) {
 	cert, err := tls.LoadX509KeyPair(f.config.CertFile, f.config.KeyFile)
 	if err != nil {
-		return credentials{}, errors.Wrapf(err, "cert_file %s with key_file %s", f.config.CertFile, f.config.KeyFile)
+		return credentials{}, errors.Wrapf(err, "load cert_file %s with key_file %s", f.config.CertFile, f.config.KeyFile)
 	}
 	creds := credentials{cert: &cert}
 	if f.config.CAFile == "" {
@@ -100,7 +100,7 @@
 func LoadCAPool(path string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "ca_file")
+		return nil, errors.Wrap(err, "read ca_file")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
@@ -110,8 +110,8 @@
 }
 
 // current returns the current credentials. It first reloads the files if they have changed, at most
-// once per recheckInterval. A certificate and its key are replaced one after the other. Until both
-// files match, loading fails and the old pair stays in use.
+// once per recheckInterval. Operators replace a certificate and its key one after the other. Until
+// the two files match, loading fails and the old pair stays in use.
 func (f *Files) current() credentials {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,7 +166,7 @@
 // system's CAs if there is no CA file. The server's certificate must contain the dialled host or IP.
 //
 // A failed handshake is returned as a *net.OpError of a failed dial. No part of the request was sent
-// at that point, so the call was certainly not executed.
+// at that point, so callers may treat the call as not executed, as after any failed dial.
 func (f *Files) WrapDial(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		host, _, err := net.SplitHostPort(addr)
