--- a/internal/history/check.go
+++ b/internal/history/check.go
@@ -133,17 +133,17 @@
 // checkVersions compares each version with the newest earlier version at the same node, also across
 // restarts. It skips version 0, at which a node has no configuration in force.
 func checkVersions(h *History) []Violation {
-	newest := map[string]int64{}
+	newestVersion := map[string]int64{}
 	var found []Violation
 	for _, v := range h.Versions {
 		if v.Version == 0 {
 			continue
 		}
-		if v.Version < newest[v.Node] {
-			found = append(found, Violation{RisingVersions, v.Node, fmt.Sprintf("version %d in force after %d", v.Version, newest[v.Node])})
+		if v.Version < newestVersion[v.Node] {
+			found = append(found, Violation{RisingVersions, v.Node, fmt.Sprintf("version %d in force after %d", v.Version, newestVersion[v.Node])})
 			continue
 		}
-		newest[v.Node] = v.Version
+		newestVersion[v.Node] = v.Version
 	}
 	return found
 }
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -50,7 +50,7 @@
 const Unbounded = -1
 
 // Retries is a number of retries in the call tree of one root request. A history may contain several
-// records per root request; their sum counts.
+// records per root request; Check compares the sum of their counts with the allowance.
 type Retries struct {
 	// Root is the ID of the root request.
 	Root string `json:"root"`
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -11,8 +11,8 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// validHistory returns a history without violations. It includes a letter whose first response was
-// lost and a request that crashed two upstreams.
+// validHistory returns a history without violations. It includes request a, which issues a letter and
+// whose first response was lost, and request b, which crashed two upstreams.
 func validHistory() *history.History {
 	return &history.History{
 		Sends: []history.Send{
@@ -100,8 +100,8 @@
 	must.ErrorContains(t, err, "the end record counts")
 }
 
-// Guards against accepting a history with a malformed line or a record of a newer kind as free of
-// violations.
+// Guards against a reader that skips a malformed line or a record of an unknown kind: a violation in
+// that line would not be reported.
 func TestReadNamesTheBadLine(t *testing.T) {
 	for _, bad := range []string{`{"send":{"request":`, `{"other":{}}`, `{}`, `{"run":{"color":1}}`} {
 		_, err := history.Read(strings.NewReader("{\"version\":{\"node\":\"n\",\"version\":1}}\n" + bad + "\n"))
--- a/internal/history/jsonlines.go
+++ b/internal/history/jsonlines.go
@@ -76,7 +76,7 @@
 		}
 		isEnd, err := h.addRecord(scanner.Bytes())
 		if err != nil {
-			return nil, errors.Wrapf(err, "line %d", n)
+			return nil, errors.Wrapf(err, "decode record in line %d", n)
 		}
 		atEnd = isEnd
 	}
@@ -107,7 +107,7 @@
 	case rec.Version != nil:
 		h.Versions = append(h.Versions, *rec.Version)
 	case rec.End != nil && rec.End.Records != h.Len():
-		return false, errors.Errorf("%d records, the end record counts %d", h.Len(), rec.End.Records)
+		return false, errors.Errorf("the file has %d records, but the end record counts %d", h.Len(), rec.End.Records)
 	case rec.End != nil:
 		return true, nil
 	default:
