--- a/internal/timeline/jsonlines.go
+++ b/internal/timeline/jsonlines.go
@@ -38,7 +38,7 @@
 		}
 		var e Event
 		if err := json.Unmarshal(sc.Bytes(), &e); err != nil {
-			return nil, errors.Wrapf(err, "timeline: line %d", line)
+			return nil, errors.Wrapf(err, "timeline: decode event in line %d", line)
 		}
 		events = append(events, e)
 	}
--- a/internal/timeline/layout.go
+++ b/internal/timeline/layout.go
@@ -160,9 +160,9 @@
 }
 
 // placeLabels assigns a label row to each mark and returns the number of marks without a row. It
-// goes from right to left and prefers the row above all later labels that start within the
-// horizontal extent of this label, so that no line from a mark to its label crosses another label.
-// If that row does not exist, it uses the lowest free row.
+// goes from right to left. For each label, it prefers the row above all labels placed so far that
+// start within the label's horizontal extent, so that no line from a mark to its label crosses
+// another label. If there is no such row, it uses the lowest free row.
 func (l *lane) placeLabels() (unlabelled int) {
 	rowStarts := slices.Repeat([]float64{pictureWidth}, maxRows)
 	for i := len(l.marks) - 1; i >= 0; i-- {
@@ -186,8 +186,8 @@
 	return unlabelled
 }
 
-// rowAbove returns the row above the highest row whose leftmost label starts before end, or -1 if
-// that is the top row.
+// rowAbove returns the row above the highest row whose leftmost label starts before end. It returns
+// -1 if that highest row is the top row, and row 0 if no label starts before end.
 func rowAbove(rowStarts []float64, end float64) int {
 	for row := len(rowStarts) - 1; row >= 0; row-- {
 		if rowStarts[row] >= end {
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -10,8 +10,9 @@
 	node  string
 	clock *Clock
 
-	mu    sync.Mutex
-	buf   []Event
+	mu  sync.Mutex
+	buf []Event
+	// added is the number of events added so far, including evicted ones.
 	added uint64
 	// wake is closed and replaced when an event is added while waiting is set.
 	wake chan struct{}
@@ -79,7 +80,8 @@
 }
 
 // Since returns the events at position and later that match the filter, the position for the next
-// call, and the number of events from position on that were evicted before this call.
+// call, and the number of events from position on that were evicted before this call. The position
+// of an event is the number of events that were added before it.
 func (r *Ring) Since(position uint64, f Filter) (events []Event, next, missed uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// Compares the ring with a plain slice: the ring returns the latest events in order and the correct
-// number of events that a reader missed.
+// Guards against a full ring that returns other events than the latest, returns them out of order, or
+// reports a wrong number of events that a reader missed. A plain slice provides the expected events.
 func TestRingKeepsTheLatest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
--- a/internal/timeline/treesampler_test.go
+++ b/internal/timeline/treesampler_test.go
@@ -11,8 +11,8 @@
 
 var burstStart = time.Date(2026, 3, 6, 8, 0, 0, 0, time.UTC)
 
-// Guards against dropping single lines during a burst, so that a failure logged by a deep node has
-// no line at its entry node.
+// Guards against dropping single lines instead of whole trees during a burst. Many failures logged
+// by the nodes of a deeper service would then have no line at their entry nodes.
 func TestTreeSamplerKeepsWholeTreesInBurst(t *testing.T) {
 	const budget, entryNodes, deepNodes, seconds, perSecond = 100, 14, 3, 20, 2800
 	entrySamplers, deepSamplers := newTreeSamplers(entryNodes, budget), newTreeSamplers(deepNodes, budget)
@@ -50,7 +50,7 @@
 }
 
 // Guards against writing more lines per second than the budget, and against keeping a tree whose
-// hash does not match the reported share, which other nodes may drop.
+// hash is outside of the reported share: a node that keeps the same share drops that tree.
 func TestTreeSamplerStaysWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := rapid.IntRange(1, 200).Draw(t, "budget")
