--- a/internal/metrics/handler.go
+++ b/internal/metrics/handler.go
@@ -20,7 +20,7 @@
 		}
 		body, err := json.Marshal(s.values(r.URL.Query().Get("prefix")))
 		if err != nil {
-			http.Error(w, "metrics: "+err.Error(), http.StatusInternalServerError)
+			http.Error(w, "encode metrics: "+err.Error(), http.StatusInternalServerError)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -94,10 +94,10 @@
 	return s.undeclared.Count()
 }
 
-// Observe records a duration in a timer. Timers on the request path record a random sample, because
-// a reservoir takes a lock and a thousand values per second describe the distribution as well as all
-// values. The random source is local to the goroutine, so that skipping a value accesses no shared
-// memory.
+// Observe records a duration in a timer. Timers on the request path record a random sample: recording
+// a value locks the reservoir of the timer, and a thousand values per second describe the
+// distribution as well as all values. The random source needs no lock, so that skipping a value
+// accesses no shared memory.
 func (s *Set) Observe(t Timer, d time.Duration) {
 	if onRequestPath[t] && s.oneIn > 1 && rand.Uint32N(s.oneIn) != 0 {
 		return
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -99,8 +99,8 @@
 	must.Eq(t, 405, w.Code)
 }
 
-// Guards against warnings that suppress an error: with a peer down, a thousand calls log a warning
-// in one second. The warnings are sampled, and an error in the same second must still be written.
+// Guards against warnings that suppress an error: while a peer is down, a thousand calls log a
+// warning in one second. The warnings are sampled, but an error in the same second must be written.
 func TestLoggerSamplesLevelsIndependently(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var buf bytes.Buffer
--- a/internal/metrics/names.go
+++ b/internal/metrics/names.go
@@ -27,7 +27,8 @@
 	LogAppendFailures
 	LogReads
 	LogReadFailures
-	// LogAppendsSettled counts failed appends whose records may be in the log nevertheless.
+	// LogAppendsSettled counts appends that failed with an unknown outcome: their records may be in
+	// the log.
 	LogAppendsSettled
 	ControlExchanges
 	ControlExchangeFailures
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -37,7 +37,8 @@
 	return out.String()
 }
 
-// lineName inserts the field name before the label. The only field of a counter or gauge is omitted.
+// lineName returns the name of the line for one field of a metric: it inserts the field name before
+// the label. Counters and gauges have only one field, whose name is omitted.
 func lineName(name, field string) string {
 	if field == "value" || field == "count" {
 		return name
