--- a/internal/settings/mesh.go
+++ b/internal/settings/mesh.go
@@ -16,11 +16,12 @@
 	Zone string `json:"zone"`
 	// Service is the name of the service that the upstream on this VM provides.
 	Service string `json:"service"`
-	// UpstreamAddress is the IP:port of the upstream until the upstream announces another one.
+	// UpstreamAddress is the IP:port of the upstream. It applies until the upstream announces
+	// another address.
 	UpstreamAddress string `json:"upstream_address"`
 
-	// FirstStart marks the first start of the whole deployment, when the store has no record
-	// of any node. Default false.
+	// FirstStart marks the first start of the whole deployment, at which the store contains no
+	// record of any node. Default false.
 	FirstStart bool `json:"first_start"`
 
 	Listen    MeshListen `json:"listen"`
@@ -90,13 +91,14 @@
 }
 
 // Quotas bounds the requests that all nodes together may admit beyond the quota of a workspace
-// in any window. The bound is the sum of Overage and Slack.
+// in any window. The bound is Overage, multiplied by the quota of one window, plus Slack.
 type Quotas struct {
 	// Window is the period over which requests are counted. Default 5s.
 	Window Duration `json:"window"`
-	// Overage is a fraction of the quota of one window. Default 0.
+	// Overage is the part of the bound that grows with the quota, as a fraction of the quota of
+	// one window. Default 0.
 	Overage float64 `json:"overage"`
-	// Slack is a number of requests. Default 0.
+	// Slack is the fixed part of the bound, in requests. Default 0.
 	Slack float64 `json:"slack"`
 }
 
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -50,8 +50,8 @@
 type Inner struct {
 	// Address is IP:port.
 	Address string `json:"address"`
-	// Advertised is the IP:port that other nodes connect to. Default Address, which must then not
-	// be unspecified (0.0.0.0).
+	// Advertised is the IP:port that other nodes connect to. It must not be unspecified (0.0.0.0).
+	// The default is Address, to which this rule then applies too.
 	Advertised string `json:"advertised"`
 	// TLS with a CAFile requires a certificate from every peer. It is nil for cleartext.
 	TLS *TLS `json:"tls"`
@@ -117,14 +117,15 @@
 
 // Timing contains the node's periods and timeouts.
 type Timing struct {
-	// Exchange is the period of the control exchange with a relay. Default 1s: with a limit of
-	// 2 KB/s for control traffic, each exchange may use 2 KB.
+	// Exchange is the period of the control exchange with a relay, the node that reads the log for
+	// its zone. Default 1s: with a limit of 2 KB/s for control traffic, each exchange may use 2 KB.
 	Exchange Duration `json:"exchange"`
 	// UpstreamSilence is the time without an announcement after which an upstream counts as gone.
 	// Default 3s, three announcements.
 	UpstreamSilence Duration `json:"upstream_silence"`
-	// Authority is the validity period of a head observation for key ownership. It must be the same
-	// on all nodes of a service. Default 3s.
+	// Authority is how long a head observation lets the owner of a slot start calls with the keys of
+	// the slot. A head observation is a read that returned the head of the log; see package lease.
+	// Authority must be the same on all nodes of a service. Default 3s.
 	Authority Duration `json:"authority"`
 	// DrainNotice is the time for which a draining node announces its departure before it waits for
 	// calls in flight. Default 2s.
