--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -148,13 +148,14 @@
 	must.False(t, second.Accepted)
 	must.Eq(t, "chikugo-op", second.LostToOperator)
 	must.Eq(t, "c1", second.LostToChangeId)
-	again, err := setInstance(b.client("chi-op"), "chikugo", "c1", 0)
+	resent, err := setInstance(b.client("chi-op"), "chikugo", "c1", 0)
 	must.NoError(t, err)
-	must.Eq(t, first.Version, again.Version)
+	must.Eq(t, first.Version, resent.Version)
 }
 
 // Guards against lists, timelines and event streams that contain data of workspaces that the token
-// doesn't cover, or events that have no workspace.
+// doesn't cover, or events that have no workspace. Each token covers as many events as the square of
+// the number of members that it covers.
 func TestListsAreLimitedToCoveredWorkspaces(t *testing.T) {
 	b := newFixture(t)
 	b.fake.MemberList = []*adminpb.Member{{NodeId: "k", Workspace: "chikugo"}, {NodeId: "l", Workspace: "yardstick"}}
--- a/internal/admin/admintest/fake.go
+++ b/internal/admin/admintest/fake.go
@@ -70,7 +70,7 @@
 	defer f.mu.Unlock()
 	t, ok := f.templates[name]
 	if !ok {
-		return nil, admin.NotFound("template %s", name)
+		return nil, admin.NotFound("template %s does not exist", name)
 	}
 	return t, f.Fail
 }
@@ -123,7 +123,7 @@
 	defer f.mu.Unlock()
 	i, ok := f.instances[r.Workspace+"/"+r.Service]
 	if !ok {
-		return nil, admin.NotFound("instance %s/%s", r.Workspace, r.Service)
+		return nil, admin.NotFound("instance %s/%s does not exist", r.Workspace, r.Service)
 	}
 	return i, f.Fail
 }
@@ -179,7 +179,7 @@
 func (f *Fake) NodeWorkspaces(_ context.Context, node string) ([]string, error) {
 	w, ok := f.Nodes[node]
 	if !ok {
-		return nil, admin.NotFound("node %s", node)
+		return nil, admin.NotFound("node %s does not exist", node)
 	}
 	return w, f.Fail
 }
--- a/internal/admin/auth.go
+++ b/internal/admin/auth.go
@@ -103,7 +103,8 @@
 	return c
 }
 
-// authorizeRole refuses the call if the caller lacks the role.
+// authorizeRole refuses the call if the caller lacks the role. The workspace is only reported with a
+// refusal; authorize checks it.
 func (a *authenticator) authorizeRole(ctx context.Context, role settings.Role, workspace string) error {
 	c := callerFromContext(ctx)
 	if role == settings.RoleOperator && c.identity.Role != settings.RoleOperator {
--- a/internal/admin/events.go
+++ b/internal/admin/events.go
@@ -48,7 +48,7 @@
 		defer func() { <-s.streamSlots }()
 	default:
 		return connect.NewError(connect.CodeResourceExhausted,
-			errors.Errorf("%d event streams are open, the maximum of a node", MaxEventStreams))
+			errors.Errorf("event stream refused: %d event streams are open, the maximum of a node", MaxEventStreams))
 	}
 	return connectError(s.backend.Events(ctx, r.Msg, func(m *adminpb.EventsResponse) error {
 		if !id.Covers(eventWorkspace(m.EventJson)) {
