--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -28,8 +28,8 @@
 }
 
 // Guards against two concurrent changes that are both accepted, and against a resent change
-// that counts as a second one. Both operators base their change on the same version; the log
-// order decides, and the other operator is told which change it conflicts with.
+// that counts as a second one. Both operators base their change on the same version. The change
+// that is first in the log is accepted; the response to the other operator names it.
 func TestRacingPublicationsAcceptOneAndReportTheConflict(t *testing.T) {
 	w, a, b := startPair(t)
 	base := w.publishInstance(a, "letters")
@@ -58,17 +58,17 @@
 	if pubs[1].Accepted {
 		winner = 1
 	}
-	lost := pubs[1-winner]
-	must.Eq(t, contenders[winner].operator, lost.LostToOperator)
-	must.Eq(t, contenders[winner].change, lost.LostToChangeId)
-	must.Eq(t, pubs[winner].Version, lost.LostToVersion)
-	must.StrContains(t, lost.Detail, "retry_allowance")
+	conflicted := pubs[1-winner]
+	must.Eq(t, contenders[winner].operator, conflicted.LostToOperator)
+	must.Eq(t, contenders[winner].change, conflicted.LostToChangeId)
+	must.Eq(t, pubs[winner].Version, conflicted.LostToVersion)
+	must.StrContains(t, conflicted.Detail, "retry_allowance")
 
 	changes := w.countChanges()
-	again, err := w.setInstance(contenders[winner].at, contenders[winner].operator, "letters", contenders[winner].change, base.Version, contenders[winner].values)
+	resent, err := w.setInstance(contenders[winner].at, contenders[winner].operator, "letters", contenders[winner].change, base.Version, contenders[winner].values)
 	must.NoError(t, err)
-	must.True(t, again.Accepted)
-	must.Eq(t, pubs[winner].Version, again.Version)
+	must.True(t, resent.Accepted)
+	must.Eq(t, pubs[winner].Version, resent.Version)
 	must.Eq(t, changes, w.countChanges())
 	_, err = w.setInstance(a, "mori", "ledgers", contenders[winner].change, 0, `{}`)
 	must.Eq(t, connect.CodeInvalidArgument, connect.CodeOf(err))
@@ -80,13 +80,13 @@
 	w, a, _ := startPair(t)
 	base := w.publishInstance(a, "letters")
 	w.log.Update(func(k *logd.Knobs) { k.Outage = true })
-	short := connect.NewRequest(&adminpb.SetInstanceRequest{
+	change := connect.NewRequest(&adminpb.SetInstanceRequest{
 		Workspace: "chikugo", Service: "letters", ValuesJson: `{"retry_allowance": 3}`, Merge: true,
 		BasedOn: base.Version, ChangeId: "open",
 	})
 	ctx, cancel := shortDeadline(t)
 	defer cancel()
-	_, err := w.admin(a, "abe").SetInstance(ctx, short)
+	_, err := w.admin(a, "abe").SetInstance(ctx, change)
 	must.SliceContains(t, []connect.Code{connect.CodeUnavailable, connect.CodeAborted}, connect.CodeOf(err))
 	w.waitFor("status reports the log as unavailable", func() bool {
 		st, err := w.admin(a, "view").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
@@ -136,7 +136,8 @@
 	must.Eq(t, changes, w.countChanges())
 }
 
-// Guards against an unreachable node that counts as if it had responded.
+// Guards against an unreachable node that counts as a node with the change in force, and against a
+// timeline that does not name the nodes whose events are missing.
 func TestUnreachableNodeIsListedAsUnknown(t *testing.T) {
 	w, a, b := startPair(t)
 	w.publishInstance(a, "letters")
@@ -281,8 +282,8 @@
 func TestEventStreamEndsWhenTheNodeStops(t *testing.T) {
 	w := newTestCluster(t)
 	s := w.start("letters-1", nil)
-	// The first tick of the guard adds an event about its limit at any time; the filter leaves
-	// only the two expected events.
+	// The guard adds an event about its limit at its first tick, whose time varies. The filter
+	// excludes that event, so that only the two expected events remain.
 	kinds := []string{string(timeline.NodeStarted), string(timeline.Cleared)}
 	stream, err := w.admin(s, "mori").Events(t.Context(), connect.NewRequest(&adminpb.EventsRequest{Follow: true, Filter: &adminpb.EventFilter{Kinds: kinds}}))
 	must.NoError(t, err)
--- a/internal/server/adminport.go
+++ b/internal/server/adminport.go
@@ -35,9 +35,10 @@
 	s.logger.Warn().Str("workspace", workspace).Str("detail", detail).Msg("request refused: its token is missing, unknown or grants too few rights")
 }
 
-// requireToken refuses callers without a token that has role caller and covers their
-// workspace, when the settings require one. It removes the token from the request: the token
-// is valid at this node only and must not reach the upstream.
+// requireToken checks the bearer token of each request to next, if the settings require one. The
+// token must have role caller and cover the workspace of the request; other requests are refused.
+// requireToken removes the token from the request: the token is valid at this node only and must
+// not reach the upstream.
 func (s *Server) requireToken(next http.Handler) http.Handler {
 	if !s.cfg.Callers.RequireToken {
 		return next
--- a/internal/server/announce.go
+++ b/internal/server/announce.go
@@ -24,9 +24,9 @@
 )
 
 // announcementHandler serves the announcements of the local upstream. PUT /v1/upstream
-// announces the upstream and is repeated once a second. DELETE starts the drain before the
-// upstream stops. GET returns the state of the drain, which shows whether the upstream can
-// stop.
+// announces the upstream, which repeats it once a second. DELETE starts the drain before the
+// upstream stops. GET returns the state of the drain: the upstream can stop once no calls are in
+// flight.
 type announcementHandler struct {
 	server *Server
 
@@ -63,7 +63,7 @@
 func (a *announcementHandler) put(w http.ResponseWriter, r *http.Request) {
 	announced, err := decodeAnnouncement(http.MaxBytesReader(w, r.Body, maxAnnouncementBytes))
 	if err != nil {
-		http.Error(w, "announcement: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "invalid announcement: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	a.accept(announced)
@@ -105,9 +105,9 @@
 	return ""
 }
 
-// accept stores an announcement. When it is the first one, differs from the one before or
-// follows a failure of the upstream, accept also puts the upstream into service and joins the
-// node to the members.
+// accept stores an announcement. If the announcement is the first one, differs from the previous
+// one, or follows a crash or an expiry, accept also puts the upstream into service and announces
+// the node as a member.
 func (a *announcementHandler) accept(announced node.Announcement) {
 	now := a.server.node.Now()
 	a.mu.Lock()
--- a/internal/server/authority.go
+++ b/internal/server/authority.go
@@ -7,8 +7,8 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// authority implements node.Authority. Depending on the template in force, a key needs either
-// a claim in the log or the ownership of its slot.
+// authority implements node.Authority. Before a guard starts a call with an idempotency key, the
+// template in force requires either a claim of the key in the log or ownership of the key's slot.
 type authority struct {
 	server *Server
 }
@@ -16,9 +16,10 @@
 // NeedsClaim implements node.Authority.
 func (a authority) NeedsClaim(call *node.Call) bool { return a.server.node.NeedsClaim(call) }
 
-// MayStart implements node.Authority. With claims, the claim of the key was decided
-// immediately before, so nothing is left to check. With ownership, a claim of another guard still
-// counts: the service may have changed from claims to ownership while callers resend.
+// MayStart implements node.Authority. If the key needs a claim, the claim was decided
+// immediately before, so nothing is left to check. If the key needs ownership, an earlier claim of
+// another guard still refuses the call: the service may have changed from claims to ownership, and
+// the call may be a resend of one that ran at that guard.
 func (a authority) MayStart(now time.Time, call *node.Call) (time.Time, *result.Refusal) {
 	if a.NeedsClaim(call) {
 		return time.Time{}, nil
--- a/internal/server/authority_watch.go
+++ b/internal/server/authority_watch.go
@@ -9,8 +9,8 @@
 	"github.com/galenagrade/galenagrade/internal/timeline"
 )
 
-// checkAuthority records the loss and the return of authority on the timeline. While authority
-// is lost, calls with keys of the affected slots are refused.
+// checkAuthority records the loss and the return of authority on the timeline. Authority is the
+// permission to start calls with keys of an owned slot. While it is lost, such calls are refused.
 func (o *ownership) checkAuthority(now time.Time) {
 	st := o.state.Status(now)
 	lapsed := lapsedSlots(&st)
@@ -27,8 +27,8 @@
 	}
 }
 
-// lapsedSlots counts the slots that this guard owns according to the log, whose takeover is in
-// effect, and for which it may not start calls.
+// lapsedSlots returns the number of slots without authority: this guard owns them according to the
+// log, has not released them, and their takeover is in effect, but it may not start calls for them.
 func lapsedSlots(st *lease.Status) int {
 	return max(0, st.Owned-st.Released-st.Waiting-st.Ready)
 }
--- a/internal/server/backend.go
+++ b/internal/server/backend.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func nodeStatus(m membership.Member, result *reportResult, newest uint64) *adminpb.NodeStatus {
+func nodeStatus(m membership.Member, result *reportResult, newestVersion uint64) *adminpb.NodeStatus {
 	n := &adminpb.NodeStatus{
 		NodeId:      m.Node,
 		Incarnation: formatIncarnation(m.Incarnation),
@@ -129,7 +129,7 @@
 		return n
 	}
 	n.ConfigVersion = result.report.Change
-	n.Lagging = result.report.Folded < newest
+	n.Lagging = result.report.Folded < newestVersion
 	if n.Lagging {
 		n.Detail = "has applied the log up to offset " + formatCount(result.report.Folded)
 	}
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -32,14 +32,14 @@
 	b.Cleanup(up.Close)
 	w.announceAddress(guard, "archive", up.Listener.Addr().String())
 	w.awaitTargets("archive", 1, entry)
-	callers, _, _, _ := entry.Addresses()
+	callersAddr, _, _, _ := entry.Addresses()
 	var direct, viaNodes, directCPU, viaNodesCPU time.Duration
 	b.ReportAllocs()
 	for b.Loop() {
 		start, startCPU := time.Now(), processorTime(b)
 		must.Eq(b, http.StatusOK, w.get(up.Listener.Addr().String()))
 		middle, middleCPU := time.Now(), processorTime(b)
-		must.Eq(b, http.StatusOK, w.get(callers))
+		must.Eq(b, http.StatusOK, w.get(callersAddr))
 		direct += middle.Sub(start)
 		viaNodes += time.Since(middle)
 		directCPU += middleCPU - startCPU
--- a/internal/server/catalogue.go
+++ b/internal/server/catalogue.go
@@ -78,7 +78,7 @@
 	}
 	doc, err := json.Marshal(inst)
 	if err != nil {
-		return nil, errors.Wrap(err, "instance")
+		return nil, errors.Wrap(err, "encode instance")
 	}
 	effective, err := effectiveJSON(state, inst)
 	if err != nil {
@@ -102,5 +102,5 @@
 		fields[c.Field] = c.New
 	}
 	doc, err := json.Marshal(fields)
-	return string(doc), errors.Wrap(err, "behaviour")
+	return string(doc), errors.Wrap(err, "encode behaviour of the instance")
 }
--- a/internal/server/claim.go
+++ b/internal/server/claim.go
@@ -30,7 +30,7 @@
 	c.mu.Unlock()
 	raw, err := json.Marshal(claim)
 	if err != nil {
-		return result.Refuse(result.NoAuthority, "claim: %v", err)
+		return result.Refuse(result.NoAuthority, "the claim of the key could not be encoded: %v", err)
 	}
 	_, err = c.server.appender.Append(ctx, logstore.Record{ID: uuid.NewString(), Kind: logstore.KindClaim, At: time.Now(), Body: raw})
 	if err != nil {
--- a/internal/server/clients.go
+++ b/internal/server/clients.go
@@ -17,15 +17,16 @@
 )
 
 // controlClients keeps one client for each peer address. Control messages use cleartext
-// HTTP/2, or HTTP/1.1 where nodes use TLS. HTTP/2 compresses repeated headers and lets a held
-// request and a probe share one connection.
+// HTTP/2, or HTTP/1.1 where nodes use TLS. HTTP/2 compresses repeated headers, and a probe can
+// share the connection of a held request, that is, an exchange request that the peer has not
+// answered yet because it waits for updates.
 type controlClients struct {
 	peers *proxy.Peers
 
 	mu     sync.Mutex
 	byAddr map[string]*controlClient
-	// retired are the dropped clients, which may still have messages in flight. sweepLocked closes
-	// their connections after these have ended; nothing else does.
+	// retired contains the dropped clients, which may still have messages in flight. Until the node
+	// stops, only sweepLocked closes their connections, once these messages have ended.
 	retired []*controlClient
 }
 
@@ -67,8 +68,9 @@
 	return created
 }
 
-// sweepLocked closes connections that were unused for longer than idleClientTimeout. A held
-// request ends long before that.
+// sweepLocked closes the idle connections of clients that were unused for longer than
+// idleClientTimeout, and of retired clients. A client is not in use by a held request at that
+// time: its peer responds after at most maxHold, which is far shorter than idleClientTimeout.
 func (c *controlClients) sweepLocked(now time.Time) {
 	for addr, got := range c.byAddr {
 		if now.Sub(got.lastUsed) > idleClientTimeout {
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -99,8 +99,8 @@
 func (w *testCluster) announceAddress(s *Server, service, addr string) {
 	body, err := json.Marshal(node.Announcement{Service: service, Address: addr, Slots: 8})
 	must.NoError(w.t, err)
-	_, exit, _, _ := s.Addresses()
-	req, err := http.NewRequest(http.MethodPut, "http://"+exit+"/v1/upstream", bytes.NewReader(body))
+	_, exitAddr, _, _ := s.Addresses()
+	req, err := http.NewRequest(http.MethodPut, "http://"+exitAddr+"/v1/upstream", bytes.NewReader(body))
 	must.NoError(w.t, err)
 	status, _, _ := w.do(req)
 	must.Eq(w.t, http.StatusOK, status)
@@ -117,8 +117,8 @@
 
 // call sends a caller's GET request to the service.
 func (w *testCluster) call(s *Server, service, token string) (int, http.Header, []byte) {
-	callers, _, _, _ := s.Addresses()
-	req, err := http.NewRequest(http.MethodGet, "http://"+callers+"/x", nil)
+	callersAddr, _, _, _ := s.Addresses()
+	req, err := http.NewRequest(http.MethodGet, "http://"+callersAddr+"/x", nil)
 	must.NoError(w.t, err)
 	req.Header.Set("Galena-Workspace", "chikugo")
 	req.Header.Set("Galena-Service", service)
@@ -144,7 +144,7 @@
 // awaitTargets waits until each node has n targets for the service in its routing table.
 func (w *testCluster) awaitTargets(service string, n int, nodes ...*Server) {
 	w.t.Helper()
-	w.waitFor("members of "+service, func() bool {
+	w.waitFor("each node has the expected number of targets for "+service, func() bool {
 		for _, s := range nodes {
 			if len(s.node.Table().Targets(service)) != n {
 				return false
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -23,11 +23,11 @@
 	maxReadEntries = 1000
 	// readRetryDelay is the delay after a failed read.
 	readRetryDelay = 200 * time.Millisecond
-	// maxLeaderWait bounds how long the reader of a zone waits at the head of the log. The age of
-	// a head observation counts from when its read was sent, so it includes this wait when it is
-	// sent to the other nodes. With this bound, the age at the other nodes stays below half of the
-	// validity of ownership, above which guards request promises. Other nodes that read the log
-	// wait for as long as the settings allow.
+	// maxLeaderWait bounds how long a read of the zone's leader waits at the head of the log. A read
+	// that returns the head is a head observation. Its age counts from when the read was sent, so the
+	// age that the other nodes receive includes this wait. Guards request promises once the age
+	// exceeds half of the validity of ownership; with this bound, it stays below that. The reads of
+	// nodes that are not the leader wait for as long as the settings allow.
 	maxLeaderWait = 250 * time.Millisecond
 	// idleInterval is how often a loop without work checks for work.
 	idleInterval = 250 * time.Millisecond
--- a/internal/server/events_rpc.go
+++ b/internal/server/events_rpc.go
@@ -43,7 +43,7 @@
 	if r.GetMaxEvents() > 0 {
 		limit = min(limit, int(r.GetMaxEvents()))
 	}
-	events, lines, err := encodeFitting(newest(events, limit))
+	events, lines, err := encodeFitting(lastEvents(events, limit))
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInternal, err)
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// newest returns the last limit events, or all of them without a limit.
-func newest(events []timeline.Event, limit int) []timeline.Event {
+// lastEvents returns the last limit events, or all of them without a limit.
+func lastEvents(events []timeline.Event, limit int) []timeline.Event {
 	if limit > 0 && len(events) > limit {
 		return events[len(events)-limit:]
 	}
@@ -125,7 +125,7 @@
 	if limit == 0 {
 		limit = admin.MaxEvents
 	}
-	for _, e := range newest(timeline.Merge(streams...), limit) {
+	for _, e := range lastEvents(timeline.Merge(streams...), limit) {
 		doc, err := eventJSON(e)
 		if err != nil {
 			return nil, err
@@ -184,7 +184,7 @@
 	ring := b.server.node.Ring()
 	filter := timelineFilter(r.GetFilter())
 	events, position, _ := ring.Since(0, filter)
-	if err := sendEvents(newest(events, int(r.GetMaxEvents())), 0, send); err != nil {
+	if err := sendEvents(lastEvents(events, int(r.GetMaxEvents())), 0, send); err != nil {
 		return err
 	}
 	for r.GetFollow() {
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -41,8 +41,9 @@
 	o.awaitTakeovers(ctx)
 }
 
-// moveInSteps moves all slots without running calls at once, and then the others a few at a
-// time: calls for a moving slot wait until the slowest running call of the same step ends.
+// moveInSteps moves all slots without running calls in one step, and then the others in steps of
+// slotsPerStep. The steps are small because calls for a moving slot wait until the slowest running
+// call of the same step ends. It reports whether the other guard accepted all slots.
 func (o *ownership) moveInSteps(ctx context.Context, m lease.MoveSlots) bool {
 	var idle, busy []int
 	for _, slot := range m.Slots {
--- a/internal/server/handover_test.go
+++ b/internal/server/handover_test.go
@@ -11,8 +11,8 @@
 	"github.com/galenagrade/galenagrade/internal/lease"
 )
 
-// Guards against a hand-over that the receiver rejects. Its message check takes
-// unknown_before_unix_micros, a point in time, for a duration out of bounds.
+// Guards against a hand-over that the receiver rejects because its message check treats
+// unknown_before_unix_micros, a point in time, as a duration and finds it out of bounds.
 func TestHandOverOfSlotsWithUnknownKeysPassesTheCheck(t *testing.T) {
 	slots := []lease.HandedSlot{{Slot: 3, Offset: 12, EffectiveIn: time.Second, UnknownBefore: time.Now().Round(time.Microsecond), UnknownFor: time.Hour}}
 	req := &innerpb.HandOverRequest{Slots: encodeSlots(slots)}
--- a/internal/server/members.go
+++ b/internal/server/members.go
@@ -4,8 +4,8 @@
 	"github.com/galenagrade/galenagrade/internal/membership"
 )
 
-// LiveMembers returns the members that are neither dead nor leaving, in order. Members of
-// other zones count as live while they are members according to the log.
+// LiveMembers returns the members that are neither dead nor leaving, in order of identity.
+// Members of other zones count as live while they are members according to the log.
 func (s *Server) LiveMembers() []membership.Identity {
 	s.control.mu.Lock()
 	defer s.control.mu.Unlock()
--- a/internal/server/observe_test.go
+++ b/internal/server/observe_test.go
@@ -30,10 +30,10 @@
 func startChain(t *testing.T, archive http.Handler) (*testCluster, *Server, *Server) {
 	w := newTestCluster(t)
 	a, b := w.start("letters-1", nil), w.start("archive-1", nil)
-	_, exit, _, _ := a.Addresses()
+	_, exitAddr, _, _ := a.Addresses()
 	w.announceUpstream(b, "archive", archive)
 	w.announceUpstream(a, "letters", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+exit+"/hull", nil)
+		req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, "http://"+exitAddr+"/hull", nil)
 		if err != nil {
 			return
 		}
@@ -152,7 +152,7 @@
 	must.Positive(t, lettersMetrics["admission.limit"]["value"])
 	must.Positive(t, lettersMetrics["log.appends"]["count"])
 	must.Positive(t, lettersMetrics["control.exchanges"]["count"]+archiveMetrics["control.exchanges"]["count"])
-	w.waitFor("a relay for the zone", func() bool {
+	w.waitFor("one node is the relay of the zone", func() bool {
 		return w.metrics(a)["members.is_relay"]["value"]+w.metrics(b)["members.is_relay"]["value"] == 1
 	})
 	must.Positive(t, lettersMetrics["timeline.events.size"]["value"])
@@ -175,7 +175,7 @@
 			codes <- h.Get(result.HeaderResult)
 		})
 	}
-	w.waitFor("two refusals", func() bool { return a.proxy.Usage().Rejected == 2 })
+	w.waitFor("two calls are refused", func() bool { return a.proxy.Usage().Rejected == 2 })
 	release()
 	wg.Wait()
 	var got []string
@@ -202,8 +202,8 @@
 	must.Positive(t, w.metrics(s)["lease.authority_lapses"]["count"])
 }
 
-// Guards against a re-attachment that a node at its call limit refuses as not run although the
-// call is running there.
+// Guards against a node at its call limit that refuses a re-attachment, that is, a request sent
+// again for a call that already runs there. The refusal would say that the call did not run.
 func TestFullNodeAcceptsReattachments(t *testing.T) {
 	hold := make(chan struct{})
 	w, _, b := startChain(t, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
@@ -230,10 +230,10 @@
 	}
 	codes := make(chan result.Code, 2)
 	go func() { codes <- send("c1", false) }()
-	w.waitFor("the call", func() bool { return b.node.Guard().Busy() == 1 })
+	w.waitFor("the guard runs the call", func() bool { return b.node.Guard().Busy() == 1 })
 	must.Eq(t, result.Shed, send("c2", false))
 	go func() { codes <- send("c1", true) }()
-	w.waitFor("the re-attachment", func() bool { return b.proxy.Usage().Calls == 2 })
+	w.waitFor("the node holds the call and the re-attachment", func() bool { return b.proxy.Usage().Calls == 2 })
 	release()
 	must.Eq(t, result.OK, <-codes)
 	must.Eq(t, result.OK, <-codes)
@@ -245,12 +245,12 @@
 	var ran atomic.Int32
 	w, a, _ := startChain(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran.Add(1) }))
 	small := w.start("saga-letters-1", func(c *settings.Node) { c.Limits.BodyBytes = 1024 })
-	w.waitFor("the configuration", func() bool {
+	w.waitFor("the node has the newest configuration and a target", func() bool {
 		return small.node.Policy().NewestChange() == a.node.Policy().NewestChange() && len(small.node.Table().Targets("archive")) > 0
 	})
 	post := func(s *Server, bytes int) string {
-		callers, _, _, _ := s.Addresses()
-		req, err := http.NewRequest(http.MethodPost, "http://"+callers+"/x", strings.NewReader(strings.Repeat("x", bytes)))
+		callersAddr, _, _, _ := s.Addresses()
+		req, err := http.NewRequest(http.MethodPost, "http://"+callersAddr+"/x", strings.NewReader(strings.Repeat("x", bytes)))
 		must.NoError(t, err)
 		req.Header.Set("Galena-Workspace", "chikugo")
 		req.Header.Set("Galena-Service", "archive")
--- a/internal/server/ownership.go
+++ b/internal/server/ownership.go
@@ -27,7 +27,8 @@
 	// headExchangePeriod is how often a guard that may not take slots yet exchanges heads of the
 	// log with the other guards.
 	headExchangePeriod = time.Second
-	// promiseTimeout bounds a promise request: a promise that arrives later is valid only briefly.
+	// promiseTimeout bounds a promise request. The validity of a promise counts from its request, so
+	// a promise that arrives later is valid only briefly.
 	promiseTimeout = time.Second
 	// moveTimeout bounds one move of slots, including the wait for running calls.
 	moveTimeout = 15 * time.Second
@@ -40,8 +41,8 @@
 	takeoverTimeout = 3 * time.Second
 )
 
-// ownership carries out the actions of control.Ownership: it appends takeovers, requests
-// promises and moves slots.
+// ownership carries out the actions of control.Ownership: it appends takeovers, moves slots and
+// requests promises of other guards not to take over slots of this guard; see package lease.
 type ownership struct {
 	server  *Server
 	state   *control.Ownership
--- a/internal/server/peerclient.go
+++ b/internal/server/peerclient.go
@@ -221,7 +221,7 @@
 	mux.HandleFunc("POST "+drainPath, func(w http.ResponseWriter, r *http.Request) {
 		var request drainRequest
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxMessageBytes)).Decode(&request); err != nil {
-			http.Error(w, "drain: "+err.Error(), http.StatusBadRequest)
+			http.Error(w, "decode drain request: "+err.Error(), http.StatusBadRequest)
 			return
 		}
 		request.WaitMillis = min(request.WaitMillis, admin.MaxWait.Milliseconds())
--- a/internal/server/plane_test.go
+++ b/internal/server/plane_test.go
@@ -80,9 +80,9 @@
 	must.NoError(p.t, err)
 	p.t.Cleanup(s.Kill)
 	p.logs, p.nodes = append(p.logs, gated), append(p.nodes, s)
-	_, exit, _, _ := s.Addresses()
+	_, exitAddr, _, _ := s.Addresses()
 	body := strings.NewReader(`{"service":"letters","address":"127.0.0.1:9","slots":4}`)
-	req, err := http.NewRequest(http.MethodPut, "http://"+exit+"/v1/upstream", body)
+	req, err := http.NewRequest(http.MethodPut, "http://"+exitAddr+"/v1/upstream", body)
 	must.NoError(p.t, err)
 	resp, err := http.DefaultClient.Do(req)
 	must.NoError(p.t, err)
@@ -128,23 +128,26 @@
 	p.await("configuration", func(s *server.Server) bool { return s.Node().Policy().Version() >= version })
 }
 
-// Guards against a replacement VM that cannot join its peers while the log is unavailable.
+// Guards against a replacement VM that cannot join its peers while the log is unavailable. Its node
+// receives the members from a seed peer, and the peers must route calls to it before its join
+// record is in the log.
 func TestServerStartsFromSeedPeerDuringLogOutage(t *testing.T) {
 	checkLeaks(t)
 	p := newPlaneCluster(t, "a", "a", "b")
 	p.log.Update(func(k *logd.Knobs) { k.Outage = true })
 	before := p.log.Appends()
-	_, _, seed, _ := p.nodes[0].Addresses()
-	late := p.start("b", p.log, seed)
-	p.await("soft member", func(s *server.Server) bool { return len(s.LiveMembers()) == 4 })
-	p.await("routed to", func(s *server.Server) bool { return len(s.Node().Table().Targets("letters")) == 4 })
-	must.Positive(t, late.Node().Policy().Version())
+	_, _, seedAddr, _ := p.nodes[0].Addresses()
+	replacement := p.start("b", p.log, seedAddr)
+	p.await("all nodes list the member without a join record", func(s *server.Server) bool { return len(s.LiveMembers()) == 4 })
+	p.await("all nodes route calls to the new member", func(s *server.Server) bool { return len(s.Node().Table().Targets("letters")) == 4 })
+	must.Positive(t, replacement.Node().Policy().Version())
 	must.Eq(t, before, p.log.Appends())
 	p.log.Update(func(k *logd.Knobs) { k.Outage = false })
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return p.log.Appends() > before }), wait.Timeout(time.Minute)))
 }
 
-// Guards against calls routed to a stopping node during an outage of the log.
+// Guards against calls routed to a stopping node during an outage of the log. The node cannot
+// append a leave record, so its peers must receive the drain through the control exchange.
 func TestDrainReachesPeersDuringLogOutage(t *testing.T) {
 	checkLeaks(t)
 	p := newPlaneCluster(t, "a", "a", "a")
--- a/internal/server/probe.go
+++ b/internal/server/probe.go
@@ -15,8 +15,9 @@
 )
 
 const (
-	// probeTimeout bounds a direct probe, and an indirect probe including the response of its
-	// helper. helperTimeout bounds the probe that the helper sends to the target.
+	// probeTimeout bounds a direct probe. It also bounds an indirect probe, which requests that
+	// another node, the helper, probes the target. helperTimeout bounds the probe that the helper
+	// sends to the target; it is shorter, so that the helper's response arrives in time.
 	probeTimeout  = 400 * time.Millisecond
 	helperTimeout = 300 * time.Millisecond
 )
--- a/internal/server/publish.go
+++ b/internal/server/publish.go
@@ -100,7 +100,8 @@
 }
 
 // buildInstance returns the instance that a request describes. A request that names a template
-// gets its current revision; one that names none keeps template and revision.
+// gets the current revision of that template; one that names none keeps the template and revision
+// of the existing instance.
 func buildInstance(state *policy.State, workspace, service, template, valuesJSON string, merge bool) (*policy.Instance, error) {
 	inst := &policy.Instance{Workspace: workspace, Service: service, Values: map[string]string{}}
 	old, exists := findInstance(state, workspace, service)
@@ -194,9 +195,9 @@
 	return d, nil
 }
 
-// versionOf returns the version that this node has of the object that p changes. A change
-// based on a newer version is not published here: the values that it keeps would be taken from
-// the older version and would revert the changes between the two.
+// versionOf returns the version that this node has of the object that p changes. If the base
+// version of p is newer, publish refuses p: this node would take the values that p does not change
+// from its older version, and would so revert the changes made between the two versions.
 func versionOf(state *policy.State, p *policy.Publication) policy.Version {
 	if p.Template != nil {
 		return state.TemplateVersion(p.Template.Name)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -114,7 +114,7 @@
 	s.log = &meteredLog{Log: s.log, metrics: s.metrics}
 	appender, err := logstore.NewAppender(s.log, s.appenderConfig())
 	if err != nil {
-		return nil, errors.Wrap(err, "appender")
+		return nil, errors.Wrap(err, "create log appender")
 	}
 	s.appender = appender
 	if s.tokens, err = admin.NewTokens(cfg.Tokens); err != nil {
@@ -164,7 +164,7 @@
 		opened, err := net.Listen("tcp", l.addr)
 		if err != nil {
 			s.closeListeners()
-			return errors.Wrapf(err, "%s %s", l.name, l.addr)
+			return errors.Wrapf(err, "open listener %s %s", l.name, l.addr)
 		}
 		*l.into = opened
 	}
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -52,9 +52,9 @@
 	return state
 }
 
-// Shutdown stops the node without interrupting calls: it refuses new calls, waits for those in
+// Shutdown stops the node once its calls have ended: it refuses new calls, waits for those in
 // flight until ctx ends, and closes the listeners. It returns the number of calls that it
-// interrupted.
+// interrupted because they were still in flight when ctx ended.
 func (s *Server) Shutdown(ctx context.Context) int {
 	s.BeginDrain()
 	s.awaitDrainNotice(ctx)
@@ -76,8 +76,9 @@
 	return interrupted
 }
 
-// awaitDrainNotice keeps the listeners open until the other nodes know that the node is
-// leaving. A connection refused before that costs its caller a retry.
+// awaitDrainNotice waits for timing.drain_notice while the listeners stay open. In this time the
+// other nodes learn that the node is leaving and stop sending calls to it. If the listeners closed
+// earlier, connections would be refused and their calls would need a retry.
 func (s *Server) awaitDrainNotice(ctx context.Context) {
 	wait.For(ctx, s.cfg.Timing.DrainNotice.Std())
 }
--- a/internal/server/tls.go
+++ b/internal/server/tls.go
@@ -47,8 +47,9 @@
 	s.peers.UseTLS(func(d proxy.DialFunc) proxy.DialFunc { return proxy.DialFunc(s.certs.inner.WrapDial(certs.Dial(d))) })
 }
 
-// serveOn serves cleartext or TLS. Between nodes, TLS connections use HTTP/1.1 because the
-// client offers no protocol, so that an unresponsive connection affects one call at most.
+// serveOn serves cleartext or TLS. Nodes connect to each other without ALPN, so their TLS
+// connections use HTTP/1.1. Such a connection carries one call at a time, so an unresponsive
+// connection affects one call at most.
 func serveOn(srv *http.Server, l net.Listener, files *certs.Files) error {
 	if files == nil {
 		return srv.Serve(l)
--- a/internal/server/tls_test.go
+++ b/internal/server/tls_test.go
@@ -35,14 +35,14 @@
 	tr := &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}, ForceAttemptHTTP2: true}
 	t.Cleanup(tr.CloseIdleConnections)
 	w.http = &http.Client{Transport: tr}
-	callers, _, innerAddr, adminAddr := a.Addresses()
+	callersAddr, _, innerAddr, adminAddr := a.Addresses()
 	w.scheme = "https"
 	w.publishInstance(a, "archive")
 	st, err := admin.NewClient(w.http, "https://"+adminAddr, "view").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
 	must.NoError(t, err)
 	must.Eq(t, 1, int(st.Msg.NodesInForce))
 
-	req, err := http.NewRequest(http.MethodGet, "https://"+callers+"/x", nil)
+	req, err := http.NewRequest(http.MethodGet, "https://"+callersAddr+"/x", nil)
 	must.NoError(t, err)
 	req.Header.Set("Galena-Workspace", "chikugo")
 	req.Header.Set("Galena-Service", "archive")
