--- a/internal/bench/callers.go
+++ b/internal/bench/callers.go
@@ -38,7 +38,8 @@
 	ID string
 	// Code is the numbered result of the response; 0 without one.
 	Code int
-	// Ran is what the caller knows about the execution; empty under the baseline.
+	// Ran tells whether an upstream ran the attempt, as far as the caller knows;
+	// empty under the baseline.
 	Ran result.Ran
 	// Success reports a response with status 200 and a body of the length that the
 	// response announced.
@@ -75,7 +76,8 @@
 	// Good reports that the complete response to this request arrived within
 	// CallerTimeout.
 	Good bool
-	// Poison requests crash every upstream that runs them, so they never succeed.
+	// Poison reports that the request crashes every upstream that runs it, so that it
+	// never succeeds.
 	Poison bool
 	// keyIssuedAt is the issue time of the request's idempotency key.
 	keyIssuedAt time.Time
@@ -89,10 +91,11 @@
 	start   time.Time
 	rng     *rand.Rand
 	opCount atomic.Int64
-	// poisonShare is the current probability that a request is poison.
+	// poisonShare is the current probability that a request is marked Poison.
 	poisonShare float64
 
-	// maxLateness is the longest delay of an arrival behind its due time.
+	// maxLateness is the longest time from the moment at which a request was due
+	// until it was sent.
 	maxLateness time.Duration
 	meter       meter
 
@@ -259,8 +262,8 @@
 	return a.recordBody(body, o)
 }
 
-// ranAfterError returns what a caller knows about the execution of an attempt
-// without a response: without a connection, nothing ran; else it is unknown.
+// ranAfterError returns the Ran of an attempt without a response. If the dial failed,
+// the attempt did not run; after any other error it may have run.
 func ranAfterError(err error) result.Ran {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/internal/bench/child.go
+++ b/internal/bench/child.go
@@ -39,8 +39,8 @@
 		MaxIdleConnsPerHost: 512,
 	}}
 	return func(ctx context.Context, step upstream.Step, parent http.Header) (int, []byte, error) {
-		_, exit := v.addresses()
-		req, err := childRequest(ctx, "http://"+exit, step, parent)
+		_, exitAddr := v.addresses()
+		req, err := childRequest(ctx, "http://"+exitAddr, step, parent)
 		if err != nil {
 			return 0, nil, err
 		}
--- a/internal/bench/configwatch.go
+++ b/internal/bench/configwatch.go
@@ -38,8 +38,9 @@
 	instances map[string]policy.Version
 	// nextChange is the index of the first change that the node has not applied.
 	nextChange int
-	// reachableSince is the time of the first check, or of the last one at which the
-	// node was unreachable.
+	// reachableSince is the time of the last check at which the node was unreachable,
+	// or of its first check if it never was. The delay of a change counts from then,
+	// not from an earlier acceptance.
 	reachableSince time.Time
 }
 
@@ -68,8 +69,9 @@
 	c.changes = append(c.changes, change)
 }
 
-// checkAll compares every node with the last check. The final check also counts the
-// changes that a node has not applied yet, with their age.
+// checkAll compares the versions at every node with those of the previous check. When
+// final is set, maxDelay also covers the first change that a node has not applied
+// yet, with its delay so far.
 func (c *configWatch) checkAll(now time.Time, final bool) {
 	for _, v := range c.world.allVMs() {
 		n := v.currentNode()
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -45,8 +45,8 @@
 	// ChangeEvery is the time between two publications during that measurement; 0
 	// for none.
 	ChangeEvery time.Duration
-	// Changes is the number of publications that are timed afterwards, each with the
-	// log up and with the log out.
+	// Changes is the number of publications that are timed afterwards with the log
+	// up. As many again are timed during an outage of the log.
 	Changes int
 }
 
@@ -55,8 +55,8 @@
 type ControlResult struct {
 	Members int `json:"members"`
 	Zones   int `json:"zones"`
-	// Settled is the time from the moment at which all nodes know each other to the
-	// last append that the start caused, in seconds.
+	// Settled is the time, in seconds, from the moment at which every node knows all
+	// members until the last append before the quiet period.
 	Settled float64 `json:"settled_seconds"`
 	// SentBytes is the number of bytes that a node sends to other nodes per second; on
 	// average it receives as many.
@@ -135,15 +135,15 @@
 
 // controlWorld is a log and many nodes that get no calls.
 type controlWorld struct {
-	opts    ControlOptions
-	log     *logd.Server
-	http    *http.Server
-	url     string
-	network *link.Network
-	nodes   []*server.Server
-	peers   traffic
-	logs    traffic
-	changes int
+	opts        ControlOptions
+	log         *logd.Server
+	http        *http.Server
+	url         string
+	network     *link.Network
+	nodes       []*server.Server
+	peerTraffic traffic
+	logTraffic  traffic
+	changes     int
 }
 
 // MeasureControl runs nodes without calls and measures the cost of the control plane.
@@ -190,7 +190,7 @@
 }
 
 // settle waits until no record has been appended for controlQuietPeriod, at most for
-// settleTimeout. It returns the time until the last append.
+// settleTimeout. It returns the time from the call to the last append.
 func (w *controlWorld) settle() time.Duration {
 	began := time.Now()
 	last, lastChange := w.log.Appends(), began
@@ -213,20 +213,20 @@
 	cfg.Admin.Address = "127.0.0.1:0"
 	// The upstream announces itself only once; a long timeout keeps it registered.
 	cfg.Timing.UpstreamSilence = settings.Duration(time.Hour)
-	transport := &http.Transport{DialContext: w.logs.dial((&net.Dialer{}).DialContext)}
+	transport := &http.Transport{DialContext: w.logTraffic.dial((&net.Dialer{}).DialContext)}
 	n, err := server.Start(cfg, server.Options{
 		Log:    logstore.NewClient(w.url, logstore.ClientOptions{HTTP: &http.Client{Transport: transport}}),
-		Dial:   w.peers.dial(w.network.Dialer(cfg.Zone)),
+		Dial:   w.peerTraffic.dial(w.network.Dialer(cfg.Zone)),
 		Logger: zerolog.Nop(),
 	})
 	if err != nil {
 		return err
 	}
 	w.nodes = append(w.nodes, n)
-	_, exit, inner, _ := n.Addresses()
-	w.network.SetLocation(inner, cfg.Zone)
+	_, exitAddr, innerAddr, _ := n.Addresses()
+	w.network.SetLocation(innerAddr, cfg.Zone)
 	body := fmt.Sprintf(`{"service":"s%d","address":"127.0.0.1:9","slots":10}`, i%max(1, w.opts.Members/8))
-	req, err := http.NewRequest(http.MethodPut, "http://"+exit+"/v1/upstream", strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, "http://"+exitAddr+"/v1/upstream", strings.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -243,7 +243,7 @@
 			return nil
 		}
 	}
-	return errors.Errorf("timeout waiting for %s: not reached within %s", what, controlTimeout)
+	return errors.Errorf("timeout waiting for %s after %s", what, controlTimeout)
 }
 
 // publish appends a configuration change of about 1 KB and returns its version.
--- a/internal/bench/control_measure.go
+++ b/internal/bench/control_measure.go
@@ -28,8 +28,8 @@
 func (w *controlWorld) counts() controlCounts {
 	c := controlCounts{
 		at: time.Now(), cpu: processTime(),
-		peerBytes: w.peers.bytes.Load(), packets: w.peers.packets.Load(), dials: w.peers.dials.Load(),
-		logBytes: w.logs.bytes.Load(),
+		peerBytes: w.peerTraffic.bytes.Load(), packets: w.peerTraffic.packets.Load(), dials: w.peerTraffic.dials.Load(),
+		logBytes: w.logTraffic.bytes.Load(),
 	}
 	for _, n := range w.nodes {
 		s := n.ControlStats()
@@ -79,8 +79,9 @@
 	return r
 }
 
-// headAgeSamplePeriod is the interval between two samples of the head age of all nodes.
-// It is no multiple of the exchange period, so that the samples fall on all phases of it.
+// headAgeSamplePeriod is the interval between two samples of the head age of all
+// nodes. It is no multiple of the exchange period: otherwise every sample would be
+// taken at the same time after an exchange.
 const headAgeSamplePeriod = 330 * time.Millisecond
 
 func (w *controlWorld) result(before, after controlCounts) ControlResult {
@@ -114,14 +115,14 @@
 	for range w.opts.Changes {
 		took, err := w.timeChange(false)
 		if err != nil {
-			return errors.Wrap(err, "log up")
+			return errors.Wrap(err, "time a change with the log up")
 		}
 		r.ApplyMillisLogUp = append(r.ApplyMillisLogUp, took)
 	}
 	for range w.opts.Changes {
 		took, err := w.timeChange(true)
 		if err != nil {
-			return errors.Wrap(err, "log out")
+			return errors.Wrap(err, "time a change during a log outage")
 		}
 		r.ApplyMillisLogOut = append(r.ApplyMillisLogOut, took)
 		w.log.Update(func(k *logd.Knobs) { k.Outage = false })
--- a/internal/bench/deployment.go
+++ b/internal/bench/deployment.go
@@ -153,10 +153,11 @@
 	return 1
 }
 
-// Capacity returns the number of requests per second that the upstreams can serve of
-// the offered rates, which are by kind. Kinds that need the least of their scarcest
-// service are served first. lost is the share of each service's upstreams that are
-// down; slowdown is the factor on its service times.
+// Capacity returns the number of requests per second that the upstreams can serve.
+// offered is the rate of arrivals by kind of request. For each kind, the scarcest
+// service is the one of which a request uses the highest share of the slots; kinds
+// are served in ascending order of that share. lost is the share of each service's
+// upstreams that are down; slowdown is the factor on its service times.
 func (d *Deployment) Capacity(offered map[string]float64, slowdown, lost map[string]float64) float64 {
 	available := map[string]float64{}
 	for _, s := range d.Services {
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// poisonShare is the share of poison requests. It is small, so that they come
-	// one at a time.
+	// poisonShare is the share of poison requests, which crash every upstream that
+	// runs them. It is so small that two of them rarely overlap.
 	poisonShare = 0.001
 	// crashDowntime is the interval at which crashed upstreams are restarted.
 	crashDowntime = time.Second
-	// stopTimeout bounds a planned stop. It covers the longest deadline of a call plus
-	// the drain notice.
+	// stopTimeout bounds a planned stop. It covers the longest deadline of a call
+	// plus the drain notice.
 	stopTimeout = 10 * time.Second
-	// restartPeriod is the interval between planned restarts of two upstreams, long
-	// enough for each to stop and start.
+	// restartPeriod is the interval between the planned restarts of two upstreams of
+	// one service. It is long enough for the first to stop and start again.
 	restartPeriod = 2500 * time.Millisecond
 	// coldStart is the warmup time of a restarted upstream.
 	coldStart = 3 * time.Second
@@ -75,8 +75,9 @@
 	}
 }
 
-// rollingRestart restarts the upstreams of the deepest and of the first service one
-// after another, the two services half a period apart.
+// rollingRestart restarts the upstreams of the deepest and of the first service. In
+// each service one upstream restarts every restartPeriod; the restarts of the first
+// service are offset by half a period.
 func rollingRestart(d *Deployment) []Event {
 	var events []Event
 	for offset, service := range []string{d.Deepest(), d.Services[0].Name} {
--- a/internal/bench/latency.go
+++ b/internal/bench/latency.go
@@ -69,7 +69,7 @@
 	run := &latencyRun{world: w, client: warmup.client}
 	run.offer(rate, d)
 	if len(run.direct) == 0 || len(run.routed) == 0 {
-		return AddedLatency{}, errors.New("no direct call or no routed call succeeded")
+		return AddedLatency{}, errors.New("added latency is unknown: no direct call or no routed call succeeded")
 	}
 	slices.Sort(run.direct)
 	slices.Sort(run.routed)
@@ -120,12 +120,12 @@
 func (l *latencyRun) call(i int) {
 	fronts, echoes := l.world.upstreamsOf(entryService), l.world.upstreamsOf(echoService)
 	pick := i / 2
-	base := echoes[pick%len(echoes)].server.Addr()
+	addr := echoes[pick%len(echoes)].server.Addr()
 	direct := i%2 == 0
 	if !direct {
-		base, _ = fronts[pick%len(fronts)].addresses()
+		addr, _ = fronts[pick%len(fronts)].addresses()
 	}
-	req, err := http.NewRequestWithContext(context.Background(), get, "http://"+base+"/echo", nil)
+	req, err := http.NewRequestWithContext(context.Background(), get, "http://"+addr+"/echo", nil)
 	if err != nil {
 		return
 	}
--- a/internal/bench/measure.go
+++ b/internal/bench/measure.go
@@ -93,8 +93,9 @@
 	r.P99Millis = millis(quantile(latencies, 0.99))
 }
 
-// maxWorth returns the highest worth that served requests can have: that of the
-// requests with the highest priority among those that arrived during pressure.
+// maxWorth returns the highest total worth of served requests, where served is their
+// number: they are taken from those that arrived during pressure, in descending order
+// of priority.
 func (w *World) maxWorth(outcomes []*Outcome, ph phases, served float64) float64 {
 	var count [callctx.Levels]float64
 	for _, o := range outcomes {
--- a/internal/bench/operators.go
+++ b/internal/bench/operators.go
@@ -13,8 +13,10 @@
 )
 
 const (
-	// publishPeriod is the minimum time between two rounds. All operators publish in a
-	// round, and one change is accepted, so there are at most two changes per second.
+	// publishPeriod is the time between the starts of two rounds, unless a round
+	// takes longer. In a round, all operators publish a change of the same instance,
+	// based on the same version, and one of them is accepted. So there are at most
+	// two changes per second.
 	publishPeriod = 500 * time.Millisecond
 	// decisionTimeout bounds the wait of an operator for the decision on its
 	// publication.
@@ -24,12 +26,13 @@
 	// unknown outcome.
 	appendRetryDelay = 20 * time.Millisecond
 	// minKeepAnswersSeconds is the lower bound of the published values of
-	// keep_answers. Values of minutes affect no call in a run of seconds.
+	// keep_answers. They are minutes long: no stored response expires in a run of
+	// seconds, so the changes affect no call.
 	minKeepAnswersSeconds = 300
 )
 
-// operators publishes changes of the instances on behalf of count operators, which
-// compete in each round.
+// operators publishes changes of the instances on behalf of count operators. In each
+// round their changes conflict.
 type operators struct {
 	world     *World
 	watch     *configWatch
@@ -38,8 +41,9 @@
 
 	mu sync.Mutex
 	// rounds counts the rounds in which every operator got a decision. violations
-	// counts those of them in which not exactly one publication was accepted, or a
-	// rejected one does not name the accepted one's author.
+	// counts the rounds among them with a wrong decision: no publication or more than
+	// one was accepted, or the decision on a rejected publication does not name the
+	// author of the accepted one.
 	rounds, violations int
 }
 
--- a/internal/bench/outages.go
+++ b/internal/bench/outages.go
@@ -10,11 +10,13 @@
 const (
 	// ackLoss is the probability that the acknowledgement of an append is lost.
 	ackLoss = 0.3
-	// pauseDuration exceeds the validity of an owner's authority, which is 3 s.
+	// pauseDuration exceeds the validity of an owner's authority, which is 3 s, so
+	// that the authority expires during the pause.
 	pauseDuration = 4500 * time.Millisecond
 	// racingOperators is the number of operators that publish conflicting changes.
 	racingOperators = 3
-	// replacePeriod is the interval between replacements of two nodes.
+	// replacePeriod is the interval between the starts of two planned replacements of
+	// nodes.
 	replacePeriod = 1200 * time.Millisecond
 )
 
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -12,9 +12,9 @@
 	Seed       uint64  `json:"seed"`
 	Capacity   float64 `json:"capacity_rps"`
 	Offered    float64 `json:"offered_rps"`
-	// LateArrivals is the longest delay of an arrival behind its due time, in ms. A
-	// high value means that the machine was too busy, which makes the figures
-	// invalid.
+	// LateArrivals is the longest time, in ms, from the moment at which a request was
+	// due until it was sent. A high value means that the machine was too busy, which
+	// makes the figures invalid.
 	LateArrivals int64 `json:"late_arrivals_ms"`
 	// Goodput is the number of good responses during pressure, divided by the number
 	// that the upstreams could have served of the offered load. Requests in flight at
@@ -65,8 +65,9 @@
 	ConfigReverts int   `json:"config_reverts"`
 	ConfigInForce int64 `json:"config_in_force_ms"`
 	// RaceRounds counts the rounds in which every operator got a decision on its
-	// publication. RaceViolations counts those without exactly one accepted
-	// publication, or with a rejected one that doesn't name the accepted one's author.
+	// publication. RaceViolations counts the rounds among them with a wrong decision:
+	// no publication or more than one was accepted, or the decision on a rejected
+	// publication doesn't name the author of the accepted one.
 	RaceRounds      int `json:"race_rounds"`
 	RaceViolations  int `json:"race_violations"`
 	UpstreamCrashes int `json:"upstream_crashes"`
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -12,8 +12,11 @@
 
 // Phases of a run.
 const (
-	PhaseSteady   = "steady"
+	// PhaseSteady has the steady load before the faults.
+	PhaseSteady = "steady"
+	// PhasePressure has the scenario's surge and faults.
 	PhasePressure = "pressure"
+	// PhaseRecovery has the steady load again, after the pressure.
 	PhaseRecovery = "recovery"
 	// PhaseFinish has no arrivals; requests in flight complete.
 	PhaseFinish = "finish"
@@ -49,7 +52,7 @@
 	if opts.Probe > 0 && opts.Policy != PolicyBaseline {
 		var err error
 		if latency, err = MeasureAddedLatency(probeRate, opts.Probe, opts.Seed); err != nil {
-			return Result{}, nil, errors.Wrap(err, "latency probe")
+			return Result{}, nil, errors.Wrap(err, "measure the added latency before the run")
 		}
 	}
 	w, err := NewWorld(d, opts.Policy, opts.Seed)
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -25,7 +25,7 @@
 	LostCapacity func(d *Deployment) map[string]float64
 	Events       func(d *Deployment) []Event
 	// Operators is the number of operators that publish changes during the whole run.
-	// More than one publish conflicting changes.
+	// If there are several, their changes conflict.
 	Operators int
 	// Rate is the steady load, in requests per second; 0 means that of the
 	// deployment.
--- a/internal/bench/state.go
+++ b/internal/bench/state.go
@@ -35,8 +35,9 @@
 	TableMillis     int64 `json:"routing_table_ms"`
 }
 
-// MeasureState generates the log of a system of that size and folds it as one node
-// does: all instances, all members, and takeovers of every service's key slots.
+// MeasureState generates the log of a system of the size in opts and folds it, that
+// is, applies its records in order, as one node does. The log contains all instances,
+// all members, and takeovers of every service's key slots.
 func MeasureState(opts StateOptions) (StateResult, error) {
 	out := StateResult{StateOptions: opts}
 	entries, err := stateLog(opts)
@@ -87,8 +88,8 @@
 
 func memberAddr(i int) string { return fmt.Sprintf("10.%d.%d.%d:7100", i>>16, i>>8&255, i&255) }
 
-// stateLog returns the log that a system of that size has after all nodes have joined
-// and own their slots.
+// stateLog returns the log of a system of the size in opts, after all nodes have
+// joined and own their slots.
 func stateLog(opts StateOptions) ([]logstore.Entry, error) {
 	var entries []logstore.Entry
 	var firstErr error
--- a/internal/bench/vmlog.go
+++ b/internal/bench/vmlog.go
@@ -26,8 +26,9 @@
 
 var _ logstore.Log = (*vmLog)(nil)
 
-// awaitPath emulates one way between VM and log, for a request or for a response. It
-// blocks while the VM is paused and fails with ErrUnavailable over a partition.
+// awaitPath emulates the transfer of one request or response between the VM and the
+// log. It blocks while the VM is paused, and fails with ErrUnavailable if a partition
+// separates the two.
 func (l *vmLog) awaitPath(ctx context.Context) error {
 	if err := l.gate.wait(ctx); err != nil {
 		return &logstore.UnavailableError{Cause: err}
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -191,7 +191,7 @@
 		}
 	}
 	_, err := w.log.Append(w.ctx, records)
-	return errors.Wrap(err, "publish")
+	return errors.Wrap(err, "publish templates and instances")
 }
 
 func (w *World) instances() []policy.Instance {
@@ -320,12 +320,12 @@
 }
 
 func (w *World) announceOnce(v *vm) {
-	_, exit := v.addresses()
+	_, exitAddr := v.addresses()
 	body, err := json.Marshal(node.Announcement{Service: v.service, Address: v.server.Addr(), Slots: v.slots})
 	if err != nil {
 		return
 	}
-	req, err := http.NewRequestWithContext(w.ctx, http.MethodPut, "http://"+exit+"/v1/upstream", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(w.ctx, http.MethodPut, "http://"+exitAddr+"/v1/upstream", bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -346,8 +346,8 @@
 	return errors.Errorf("nodes were not ready within %s", readyTimeout)
 }
 
-// ready reports whether every node routes to every upstream, has its configuration, and
-// the owners of the keys of its service are settled.
+// ready reports whether every node routes to every upstream, has a configuration, and
+// has settled owners for the keys of its service.
 func (w *World) ready() bool {
 	for _, v := range w.allVMs() {
 		n := v.currentNode()
