--- a/internal/ceiling/ceiling.go
+++ b/internal/ceiling/ceiling.go
@@ -1,6 +1,7 @@
-// Package ceiling computes an upper bound on the worth that admission can achieve:
-// the share of the offered worth that the capacity of the scarcest service of a call
-// graph allows, regardless of the admission policy. The results of runs are compared
+// Package ceiling computes an upper bound on the worth that admission can achieve.
+// Worth is the value of the requests that get their response in time. The bound is
+// the share of the offered worth that the scarcest service of a call graph has the
+// capacity for, regardless of the admission policy. The results of runs are compared
 // with it. The computation does no I/O and reads no clock.
 package ceiling
 
@@ -20,7 +21,7 @@
 type Upstream struct {
 	// Slots is the number of calls that the upstream runs at a time.
 	Slots float64 `json:"slots"`
-	// CallMS is the mean duration of a call there, in milliseconds.
+	// CallMS is the mean duration of a call at this upstream, in milliseconds.
 	CallMS float64 `json:"call_ms"`
 }
 
@@ -80,7 +81,7 @@
 	dec := json.NewDecoder(r)
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&windows); err != nil {
-		return nil, errors.Wrap(err, "windows")
+		return nil, errors.Wrap(err, "decode windows")
 	}
 	for i := range windows {
 		if err := windows[i].setDefaultsAndValidate(); err != nil {
--- a/internal/ceiling/ceiling_test.go
+++ b/internal/ceiling/ceiling_test.go
@@ -28,8 +28,9 @@
 	must.InDelta(t, (60.0+35+10)/170, r.AchievableShare, 1e-9)
 }
 
-// Guards against a bound that ignores random refusals: a request of 8 calls, each with a
-// success probability of 45 %, succeeds once in 600.
+// Guards against a bound that ignores random refusals: each call succeeds with a
+// probability of 45 %, so a request of 8 calls in sequence succeeds only once in
+// about 600.
 func TestBoundOfRandomRefusals(t *testing.T) {
 	w := Window{Seconds: 1, Refused: 0.55, Upstreams: []Upstream{{1000, 1}}, Kinds: []Kind{
 		{Name: "filing", Rate: 10, Worth: 3, Calls: 8}, {Name: "notice", Rate: 10, Worth: 1, Calls: 1, Tries: 2},
