--- a/internal/standin/logd/logd.go
+++ b/internal/standin/logd/logd.go
@@ -31,8 +31,8 @@
 	// AckLoss is the probability that an append takes effect and fails with
 	// ErrUncertain, as when its acknowledgement is lost.
 	AckLoss float64 `json:"ack_loss"`
-	// AcksToLose is the number of appends still to fail in that way, regardless of
-	// AckLoss.
+	// AcksToLose is the number of further appends that take effect and fail with
+	// ErrUncertain, regardless of AckLoss.
 	AcksToLose int `json:"lose_acks"`
 }
 
@@ -200,9 +200,10 @@
 	}
 }
 
-// readPage returns the entries that are present from offset from on, and the
-// channel that the next append closes. A page holds the first entry whatever its
-// size, and further ones while the bodies together are at most MaxPageBytes/2.
+// readPage returns at most max entries, starting at offset from, without waiting for
+// more, and the channel that the next append closes. A page holds the first entry
+// whatever its size, and further ones while the bodies together are at most
+// MaxPageBytes/2.
 func (s *Server) readPage(from int64, max int) (logstore.Page, chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/upstream/upstream.go
+++ b/internal/standin/upstream/upstream.go
@@ -30,8 +30,9 @@
 	// HeaderPoison is the name of the service whose upstream crashes when it runs
 	// the request.
 	HeaderPoison = "X-Bench-Poison"
-	// HeaderIssued is the start time of the logical operation, in RFC 3339. The
-	// idempotency keys of its calls are no older.
+	// HeaderIssued is the start time of the logical operation, in RFC 3339. Calls to
+	// deeper services send it as the issue time of their idempotency keys, so no key
+	// is older.
 	HeaderIssued = "X-Bench-Issued"
 )
 
@@ -158,7 +159,7 @@
 	}
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("upstream %s: %w", s.cfg.Name, err)
+		return fmt.Errorf("start upstream %s: %w", s.cfg.Name, err)
 	}
 	s.addr = l.Addr().String()
 	s.listener = &limitListener{Listener: l, permits: make(chan struct{}, s.cfg.Connections)}
@@ -223,8 +224,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// Half is constant and half exponential, which gives a minimum, as real work has,
-	// and a long tail. The tail is cut at 6 times its mean.
+	// Half of the mean is a constant part, which gives a minimum, as real work has.
+	// The other half is the mean of an exponential part, which gives a long tail and
+	// is cut at 6 times its mean.
 	d := float64(op.Mean) * (0.5 + 0.5*min(s.rng.ExpFloat64(), 6))
 	if remaining := s.warmup - time.Since(s.started); remaining > 0 {
 		d *= 1 + (warmupSlowdown-1)*float64(remaining)/float64(s.warmup)
