--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -22,6 +22,6 @@
 		return
 	}
 	if err := seed.Value.Set(defaultSeed); err != nil {
-		panic(fmt.Sprintf("testseed: rapid.seed: %v", err))
+		panic(fmt.Sprintf("testseed: set rapid.seed: %v", err))
 	}
 }
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a wait that goes on after its context ended, and against a result that does not
-// tell the two ends apart.
+// Guards against a wait that goes on after its context ended, and against a result
+// that is the same whether the time passed or the context ended.
 func TestForReturnsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
