--- a/internal/sourcecheck/layers_test.go
+++ b/internal/sourcecheck/layers_test.go
@@ -11,8 +11,9 @@
 
 const module = "github.com/galenagrade/galenagrade/"
 
-// ownInterfacePackages are the packages of the product's own interface and its control plane. The
-// mesh, which runs on the operators' platform, must not import them.
+// ownInterfacePackages are packages of galenad run: the product's own interface, in which callers
+// name the workspace and service of each request, and its control plane. The mesh, which runs on
+// the operators' platform, must not import them.
 var ownInterfacePackages = []string{"internal/control", "internal/lease", "internal/membership", "internal/server", "internal/admin"}
 
 // importsOf returns the packages of this module that each package imports, by folder. Test files
--- a/internal/sourcecheck/pure_test.go
+++ b/internal/sourcecheck/pure_test.go
@@ -19,8 +19,9 @@
 	"internal/membership", "internal/lease", "internal/policy", "internal/node", "internal/control", "internal/fleet", "internal/routes", "internal/quota",
 }
 
-// forbiddenImports are packages that pure packages must not import, including packages below them.
-// math/rand/v2 is allowed: its functions that draw from the global source are in forbiddenSelectors.
+// forbiddenImports are packages that pure packages must not import. The same holds for the packages
+// below them, such as net/http below net. math/rand/v2 is allowed: its functions that draw from the
+// global source are in forbiddenSelectors.
 var forbiddenImports = []string{"net", "os", "syscall", "math/rand"}
 
 // forbiddenSelectors are functions, by import path, that read the clock, wait, or draw from the
