--- a/cmd/galenabench/ceiling.go
+++ b/cmd/galenabench/ceiling.go
@@ -17,7 +17,7 @@
 func (c *ceilingCmd) Run() error {
 	f, err := os.Open(c.File)
 	if err != nil {
-		return errors.Wrap(err, "ceiling")
+		return errors.Wrap(err, "open the file of windows")
 	}
 	defer func() { _ = f.Close() }()
 	windows, err := ceiling.Read(f)
--- a/cmd/galenabench/check.go
+++ b/cmd/galenabench/check.go
@@ -17,7 +17,7 @@
 func (c *checkCmd) Run() error {
 	f, err := os.Open(c.File)
 	if err != nil {
-		return errors.Wrap(err, "check")
+		return errors.Wrap(err, "open the history")
 	}
 	defer func() { _ = f.Close() }()
 	h, err := history.Read(f)
@@ -34,7 +34,7 @@
 		fmt.Printf("%-16s %d violations\n", property, history.Count(violations, property))
 	}
 	if len(violations) > 0 {
-		return errors.Errorf("%d violations", len(violations))
+		return errors.Errorf("history contains %d violations", len(violations))
 	}
 	return nil
 }
@@ -46,11 +46,11 @@
 	}
 	f, err := os.Create(name)
 	if err != nil {
-		return errors.Wrap(err, "--history")
+		return errors.Wrap(err, "create the --history file")
 	}
 	if err := history.Write(f, h); err != nil {
 		_ = f.Close()
 		return err
 	}
-	return errors.Wrap(f.Close(), "--history")
+	return errors.Wrap(f.Close(), "close the --history file")
 }
--- a/cmd/galenabench/log.go
+++ b/cmd/galenabench/log.go
@@ -36,7 +36,7 @@
 	})
 	l, err := net.Listen("tcp", c.Address)
 	if err != nil {
-		return errors.Wrap(err, "--address")
+		return errors.Wrap(err, "listen on --address")
 	}
 	srv := &http.Server{Handler: log.Handler(), ReadHeaderTimeout: stopGrace}
 	ctx, cancel := onSignal()
@@ -50,7 +50,7 @@
 	})
 	printListener("log", l.Addr().String())
 	if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return errors.Wrap(err, "serve")
+		return errors.Wrap(err, "serve the log stand-in")
 	}
 	return nil
 }
--- a/cmd/galenabench/meshdemo.go
+++ b/cmd/galenabench/meshdemo.go
@@ -19,11 +19,11 @@
 	if c.SVG != "" {
 		f, createErr := os.Create(c.SVG)
 		if createErr != nil {
-			return errors.Wrap(createErr, "mesh-demo")
+			return errors.Wrap(createErr, "create the --svg file")
 		}
 		defer func() {
 			if closeErr := f.Close(); err == nil {
-				err = errors.Wrap(closeErr, "mesh-demo")
+				err = errors.Wrap(closeErr, "close the --svg file")
 			}
 		}()
 		picture = f
--- a/cmd/galenabench/processes_test.go
+++ b/cmd/galenabench/processes_test.go
@@ -25,9 +25,10 @@
 type deployment struct {
 	t   *testing.T
 	dir string
-	// log is the address of the log stand-in, admin the admin address of the last node started.
-	log   string
-	admin string
+	// logAddr is the address of the log stand-in, adminAddr the admin address of the last node
+	// started.
+	logAddr   string
+	adminAddr string
 }
 
 // process is a running binary and its output.
@@ -58,7 +59,7 @@
 	out, err := build.CombinedOutput()
 	must.NoError(t, err, must.Sprint(string(out)))
 	l := d.start("galenabench", "log", "--address", "127.0.0.1:0")
-	d.log = d.waitForField(l, "listening")
+	d.logAddr = d.waitForField(l, "listening")
 	return d
 }
 
@@ -118,8 +119,8 @@
 // vm is a node and its upstream, as on one VM.
 type vm struct {
 	node, upstream *process
-	// callers and exit are the node's addresses for callers and for its upstream, metrics is a URL.
-	callers, exit, metrics string
+	// callersAddr and upstreamAddr are the node's addresses for callers and for its upstream.
+	callersAddr, upstreamAddr, metricsURL string
 }
 
 // vm starts a node and an upstream for service.
@@ -131,7 +132,7 @@
 		"upstream": map[string]any{"address": "127.0.0.1:0"},
 		"inner":    map[string]any{"address": "127.0.0.1:0"},
 		"admin":    map[string]any{"address": "127.0.0.1:0"},
-		"log":      map[string]any{"url": "http://" + d.log},
+		"log":      map[string]any{"url": "http://" + d.logAddr},
 		"timing":   map[string]any{"drain_notice": "200ms"},
 		"limits":   map[string]any{"timeline_sample": 1},
 		"tokens": []any{map[string]any{
@@ -143,10 +144,10 @@
 	path := filepath.Join(d.dir, id+".json")
 	must.NoError(d.t, os.WriteFile(path, raw, 0o600))
 	v := &vm{node: d.start("galenad", "--config", path)}
-	v.callers, v.exit = d.waitForField(v.node, "callers"), d.waitForField(v.node, "upstream")
-	d.admin = d.waitForField(v.node, "admin")
-	v.metrics = "http://" + d.admin + "/metrics"
-	args := append([]string{"upstream", "--node", v.exit, "--service", service, "--fixed"}, upstreamArgs...)
+	v.callersAddr, v.upstreamAddr = d.waitForField(v.node, "callers"), d.waitForField(v.node, "upstream")
+	d.adminAddr = d.waitForField(v.node, "admin")
+	v.metricsURL = "http://" + d.adminAddr + "/metrics"
+	args := append([]string{"upstream", "--node", v.upstreamAddr, "--service", service, "--fixed"}, upstreamArgs...)
 	v.upstream = d.start("galenabench", args...)
 	return v
 }
@@ -154,7 +155,7 @@
 // ctl runs galenactl against the last node started and returns its output.
 func (d *deployment) ctl(args ...string) string {
 	d.t.Helper()
-	cmd := exec.Command(filepath.Join(d.dir, "galenactl"), append([]string{"--address", d.admin, "--token", "secret"}, args...)...)
+	cmd := exec.Command(filepath.Join(d.dir, "galenactl"), append([]string{"--address", d.adminAddr, "--token", "secret"}, args...)...)
 	out, err := cmd.CombinedOutput()
 	must.NoError(d.t, err, must.Sprint(string(out)))
 	return string(out)
@@ -168,10 +169,10 @@
 }
 
 // call sends a request to a node in the background.
-func (d *deployment) call(callers, service, path string) <-chan callResult {
+func (d *deployment) call(callersAddr, service, path string) <-chan callResult {
 	ch := make(chan callResult, 1)
 	go func() {
-		req, err := http.NewRequest(http.MethodGet, "http://"+callers+path, nil)
+		req, err := http.NewRequest(http.MethodGet, "http://"+callersAddr+path, nil)
 		if err != nil {
 			ch <- callResult{err: err}
 			return
@@ -194,7 +195,7 @@
 func (d *deployment) waitForCallInFlight(v *vm) {
 	d.t.Helper()
 	d.waitUntil("call in flight", func() bool {
-		resp, err := http.Get(v.metrics + "?prefix=retry.accounts.size")
+		resp, err := http.Get(v.metricsURL + "?prefix=retry.accounts.size")
 		if err != nil {
 			return false
 		}
@@ -217,7 +218,7 @@
 	}
 	must.StrContains(t, d.ctl("status"), "in force on 2 of 2 nodes")
 
-	call := d.call(deep.callers, "letters", "/issue")
+	call := d.call(deep.callersAddr, "letters", "/issue")
 	d.waitForCallInFlight(top)
 	must.NoError(t, top.node.cmd.Process.Signal(syscall.SIGTERM))
 	got := <-call
@@ -227,12 +228,12 @@
 	must.StrContains(t, top.node.output(), `"message":"stopped"`)
 	must.StrNotContains(t, top.node.output(), "secret")
 
-	d.admin = strings.TrimSuffix(strings.TrimPrefix(deep.metrics, "http://"), "/metrics")
+	d.adminAddr = strings.TrimSuffix(strings.TrimPrefix(deep.metricsURL, "http://"), "/metrics")
 	lines := d.ctl("-o", "json", "timeline", "--call", got.header.Get("Galena-Request-Id"))
 	must.StrContains(t, lines, `"kind":"call_received"`)
 	must.StrContains(t, lines, `"kind":"call_started"`)
 
-	call = d.call(deep.callers, "archive", "/search")
+	call = d.call(deep.callersAddr, "archive", "/search")
 	d.waitForCallInFlight(deep)
 	must.NoError(t, deep.node.cmd.Process.Signal(syscall.SIGTERM))
 	d.waitUntil("the first signal's line", func() bool { return strings.Contains(deep.node.output(), `"message":"stopping"`) }, deep.node)
@@ -251,7 +252,7 @@
 	d.waitUntil("member", func() bool { return strings.Contains(d.ctl("-o", "json", "members"), `"alive"`) }, v.node)
 	d.ctl("template", "publish", "../../examples/templates/balanced.json")
 	d.ctl("instance", "set", "chikugo", "archive", "--template", "balanced")
-	call := d.call(v.callers, "archive", "/search")
+	call := d.call(v.callersAddr, "archive", "/search")
 	d.waitForCallInFlight(v)
 	must.NoError(t, v.upstream.cmd.Process.Signal(syscall.SIGTERM))
 	got := <-call
--- a/cmd/galenabench/report.go
+++ b/cmd/galenabench/report.go
@@ -24,12 +24,12 @@
 		return err
 	}
 	if len(scenarios) != 1 {
-		return errors.New("--scenario must name one scenario")
+		return errors.New("--scenario must name one scenario: a report compares two runs of the same scenario")
 	}
 	// The file is created before the runs, so that an unwritable path is reported before two runs.
 	f, err := os.Create(c.Out)
 	if err != nil {
-		return errors.Wrap(err, "--out")
+		return errors.Wrap(err, "create the --out file")
 	}
 	defer func() { _ = f.Close() }()
 	d := chooseDeployments(c.Deployment)[0]
@@ -47,7 +47,7 @@
 		return err
 	}
 	if err := f.Close(); err != nil {
-		return errors.Wrap(err, "--out")
+		return errors.Wrap(err, "close the --out file")
 	}
 	return violations.err()
 }
--- a/cmd/galenabench/upstream.go
+++ b/cmd/galenabench/upstream.go
@@ -21,8 +21,8 @@
 const (
 	// announcePeriod is the time between two announcements of an upstream to its node.
 	announcePeriod = time.Second
-	// drainPollInterval is the time between two queries of a leaving upstream to its node for its
-	// calls in flight.
+	// drainPollInterval is the interval at which a leaving upstream requests the number of its
+	// calls in flight from its node.
 	drainPollInterval = 100 * time.Millisecond
 )
 
@@ -46,13 +46,13 @@
 	if err != nil {
 		return err
 	}
-	a := &announcer{exit: "http://" + c.Node, client: &http.Client{Timeout: announcePeriod}}
+	a := &announcer{nodeURL: "http://" + c.Node, client: &http.Client{Timeout: announcePeriod}}
 	calls := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: c.Slots}}
 	srv := upstream.New(upstream.Config{
 		Name: c.Service, Service: c.Service, Slots: c.Slots, Connections: c.Connections, Seed: c.Seed,
 		Operations: map[string]upstream.Operation{c.Path: {Mean: c.Mean, Fixed: c.Fixed, Steps: steps}},
 	}, func(ctx context.Context, step upstream.Step, parent http.Header) (int, []byte, error) {
-		return callDeeper(ctx, calls, a.exit, step, parent)
+		return callDeeper(ctx, calls, a.nodeURL, step, parent)
 	}, &upstream.Ledger{})
 	if err := srv.Start(); err != nil {
 		return err
@@ -79,10 +79,11 @@
 	return steps, nil
 }
 
-// callDeeper calls another service through the upstream's own node. An upstream's only duty towards the
-// overload control layer is to copy the context header of the request that it serves.
-func callDeeper(ctx context.Context, client *http.Client, exit string, step upstream.Step, parent http.Header) (int, []byte, error) {
-	req, err := http.NewRequestWithContext(ctx, step.Method, exit+step.Path, nil)
+// callDeeper calls another service through the upstream's own node. Galenagrade requires only one
+// thing of an upstream: that it copies the context header of the request that it serves to the
+// calls that it makes.
+func callDeeper(ctx context.Context, client *http.Client, nodeURL string, step upstream.Step, parent http.Header) (int, []byte, error) {
+	req, err := http.NewRequestWithContext(ctx, step.Method, nodeURL+step.Path, nil)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -103,7 +104,7 @@
 // announcer sends the upstream's announcements to its node and queries the node for the upstream's
 // state.
 type announcer struct {
-	exit         string
+	nodeURL      string
 	announcement node.Announcement
 	client       *http.Client
 	lastFailed   bool
@@ -145,7 +146,7 @@
 // request sends a request about the upstream to its node.
 func (a *announcer) request(method string, body []byte) (upstreamState, error) {
 	var state upstreamState
-	req, err := http.NewRequest(method, a.exit+"/v1/upstream", bytes.NewReader(body))
+	req, err := http.NewRequest(method, a.nodeURL+"/v1/upstream", bytes.NewReader(body))
 	if err != nil {
 		return state, err
 	}
@@ -156,7 +157,7 @@
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		message, _ := io.ReadAll(io.LimitReader(resp.Body, 512))
-		return state, errors.Errorf("%s: %s", resp.Status, bytes.TrimSpace(message))
+		return state, errors.Errorf("node responded with %s: %s", resp.Status, bytes.TrimSpace(message))
 	}
 	return state, json.NewDecoder(resp.Body).Decode(&state)
 }
