--- a/cmd/galenactl/exit.go
+++ b/cmd/galenactl/exit.go
@@ -64,8 +64,8 @@
 	return connectExitCode(ce)
 }
 
-// connectExitCode returns the exit code for the error of a call. CodeUnavailable means that the platform
-// is unavailable when the node sent it, and that the node is unreachable when the client made it.
+// connectExitCode returns the exit code for the error of a call. If the node sent CodeUnavailable,
+// the platform is unavailable; if the client created it, the node is unreachable.
 func connectExitCode(ce *connect.Error) int {
 	switch ce.Code() {
 	case connect.CodeUnauthenticated, connect.CodePermissionDenied:
--- a/cmd/galenactl/explain.go
+++ b/cmd/galenactl/explain.go
@@ -90,9 +90,10 @@
 	return out
 }
 
-// isAbout reports whether a line that belongs to no request was written by one of nodes, and is about
-// that node itself, such as its store or its overload, or about another of nodes. In a large deployment
-// each node also logs changes of many other nodes at the same time.
+// isAbout reports whether l, which belongs to no request, was written by a node in nodes and
+// concerns only nodes in nodes: its own state, such as its store or its overload, or another of
+// them. Lines about other nodes are excluded, since in a large deployment each node logs changes of
+// many nodes.
 func (l *logLine) isAbout(nodes map[string]bool) bool {
 	if !nodes[l.Node] {
 		return false
--- a/cmd/galenactl/instance.go
+++ b/cmd/galenactl/instance.go
@@ -90,7 +90,7 @@
 		return "", usageError{errors.New("nothing to set: give NAME=VALUE, --file, --template or --replace")}
 	}
 	b, err := json.Marshal(values)
-	return string(b), errors.Wrap(err, "write values")
+	return string(b), errors.Wrap(err, "encode values")
 }
 
 type instanceSetCmd struct {
--- a/cmd/galenactl/publish.go
+++ b/cmd/galenactl/publish.go
@@ -140,7 +140,7 @@
 		if !json.Valid(raw) {
 			quoted, err := json.Marshal(value)
 			if err != nil {
-				return usageError{errors.Wrapf(err, "%q", p)}
+				return usageError{errors.Wrapf(err, "encode the value of %q", p)}
 			}
 			raw = quoted
 		}
--- a/cmd/galenactl/store.go
+++ b/cmd/galenactl/store.go
@@ -56,7 +56,7 @@
 		}
 		var call storeCall
 		if err := json.Unmarshal([]byte(lines[i].raw), &call); err != nil {
-			return nil, errors.Wrapf(err, "line %.200q", lines[i].raw)
+			return nil, errors.Wrapf(err, "decode the store call in line %.200q", lines[i].raw)
 		}
 		calls[call]++
 	}
