--- a/cmd/galenad/main.go
+++ b/cmd/galenad/main.go
@@ -69,7 +69,7 @@
 
 // load reads and validates the settings file at path. It returns nil and the exit code when the
 // process must end: the settings are invalid, or check is set and they are valid.
-func load[T any](path string, check bool, read func(string) (*T, error)) (cfg *T, exit int) {
+func load[T any](path string, check bool, read func(string) (*T, error)) (cfg *T, exitCode int) {
 	cfg, err := read(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "galenad:", err)
@@ -83,9 +83,9 @@
 }
 
 func run(args runCommand) int {
-	cfg, exit := load(args.Config, args.Check, settings.Load)
+	cfg, exitCode := load(args.Config, args.Check, settings.Load)
 	if cfg == nil {
-		return exit
+		return exitCode
 	}
 	logger, err := metrics.NewLogger(os.Stderr, cfg.NodeID, cfg.Logging)
 	if err != nil {
--- a/cmd/galenad/mesh.go
+++ b/cmd/galenad/mesh.go
@@ -26,8 +26,9 @@
 // rest.
 const memoryLimitShare = 0.6
 
-// gcPercent is above the default of Go, which saves processor time and costs memory: a VM has a few
-// hundred MB for the node, and live data take a few MB.
+// gcPercent is above the default of Go: collections are rarer, which saves processor time and costs
+// memory. The memory suffices, since a VM has a few hundred MB for the node and live data take a
+// few MB.
 const gcPercent = 200
 
 // logFlushTimeout bounds how long the process, at its end, waits until buffered log lines are written:
@@ -39,9 +40,9 @@
 	// Must come first: a SIGHUP that arrives before Notify ends the process.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	cfg, exit := load(args.Config, args.Check, settings.LoadMesh)
+	cfg, exitCode := load(args.Config, args.Check, settings.LoadMesh)
 	if cfg == nil {
-		return exit
+		return exitCode
 	}
 	out := metrics.NewAsyncWriter(os.Stdout)
 	defer out.Close(logFlushTimeout)
