--- a/internal/result/cause.go
+++ b/internal/result/cause.go
@@ -26,8 +26,8 @@
 	return strconv.Itoa(int(c.Code)) + " " + c.Service + " " + c.Node
 }
 
-// maxCauseBytes bounds the length of a cause received from another node, because it goes into
-// log lines. It fits a code and two names of 64 bytes, with room for longer names of other
+// maxCauseBytes bounds the length of a cause received from another node, because it goes into log
+// lines. The bound fits a code and two names of 64 bytes, with room for longer names in other
 // versions.
 const maxCauseBytes = 256
 
