--- a/internal/callctx/callctx.go
+++ b/internal/callctx/callctx.go
@@ -88,9 +88,9 @@
 	return max(0, c.Deadline.Sub(now))
 }
 
-// HashCaller returns the hash of a caller by which calls are shed. Callers are often numbered
-// in sequence: if similar names got similar hashes, consecutive callers would be shed in
-// bursts.
+// HashCaller returns the hash of a caller, which shedding compares with a threshold. Callers are
+// often numbered in sequence. If similar names got similar hashes, consecutive callers would be
+// shed in bursts.
 func HashCaller(workspace, caller string) uint32 {
 	var h xxhash.Digest
 	h.Reset()
--- a/internal/callctx/headers.go
+++ b/internal/callctx/headers.go
@@ -35,9 +35,9 @@
 const (
 	// MaxNameLen bounds the length of a workspace, service or parent call name.
 	MaxNameLen = 64
-	// MaxRequestIDLen bounds the length of a request ID. Upstreams derive the IDs of the calls
-	// that they make for a request by appending 17 bytes per level, and chains are 10 calls
-	// deep.
+	// MaxRequestIDLen bounds the length of a request ID. Upstreams derive the IDs of the calls that
+	// they make for a request by appending 17 bytes at each step of the call chain, and chains are
+	// 10 calls deep.
 	MaxRequestIDLen = 256
 	// MaxKeyLen bounds the length of an idempotency key or caller name.
 	MaxKeyLen = 200
@@ -57,11 +57,12 @@
 	// HasLevel reports whether the caller sent a level.
 	HasLevel bool
 	// Timeout is 0 when the caller sent none.
-	Timeout     time.Duration
-	Caller      string
-	Key         string
-	KeyIssued   time.Time
-	Idempotent  bool
+	Timeout    time.Duration
+	Caller     string
+	Key        string
+	KeyIssued  time.Time
+	Idempotent bool
+	// Parent is the value of HeaderContext; empty for a root request.
 	Parent      string
 	TraceParent string
 }
@@ -199,8 +200,8 @@
 		}
 		out[name] = values
 	}
-	for _, named := range h["Connection"] {
-		for _, name := range strings.Split(named, ",") {
+	for _, options := range h["Connection"] {
+		for _, name := range strings.Split(options, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
