--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -10,12 +10,12 @@
 	defaultQuarantineFor = 10 * time.Minute
 	// defaultMaxCrashes limits the upstreams that one request may crash to 2.
 	defaultMaxCrashes = 2
-	// defaultMaxEntries has space for the calls of a dozen crashes of a large upstream (180 slots)
-	// in under 1 MB.
+	// defaultMaxEntries is about the number of calls that a dozen crashes of a large upstream (180
+	// slots) interrupt. The entries take less than 1 MB.
 	defaultMaxEntries = 2048
-	// defaultSettleFor is twice the time in which a record reaches the peers (1 s) plus a run of
-	// 0.5 s. Until then another copy of the request may still crash its upstream, because its guard
-	// started it before it received the record.
+	// defaultSettleFor is twice the time that a record takes to reach the peers (1 s) plus the time
+	// of a run (0.5 s). Until it has passed, another copy of the request may still crash an
+	// upstream, because the guard of that upstream started the copy before it received the record.
 	defaultSettleFor = 2500 * time.Millisecond
 )
 
@@ -25,8 +25,8 @@
 	// ended.
 	SuspectFor time.Duration
 	// QuarantineFor is how long a confirmed crasher is refused after its latest crash. A probable
-	// crasher is refused for a tenth of it. The time doubles with each crash above MaxCrashes, up
-	// to 8 times.
+	// crasher is refused for a tenth of it. The time doubles with each crash above MaxCrashes, to
+	// at most 8 times QuarantineFor.
 	QuarantineFor time.Duration
 	// MaxCrashes is the number of crashes at which a request is quarantined.
 	MaxCrashes int
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -30,8 +30,8 @@
 	// Cleared is set when the request succeeded after the crash. A cleared record is kept until its
 	// retention ends, so that a late copy of it raises no new suspicion.
 	Cleared bool
-	// Alone is set if nothing else was running, apart from requests that recently succeeded, or if
-	// the request started as a suspect and no other suspect was running.
+	// Alone is set in two cases: only the request itself and requests that recently succeeded were
+	// running at the crash, or the request started as a suspect and no other suspect was running.
 	Alone bool
 }
 
@@ -112,10 +112,10 @@
 	confirmedCrasher
 )
 
-// assess returns the assessment of f. A crash that another request explains does not count
-// against f. The exception is a request that was alone at a crash: then all of its crashes
-// count. Without this exception, a request that crashes upstreams by itself could be excused by
-// another one.
+// assess returns the assessment of f. A crash that another request explains (see explainedByOther)
+// does not count against f. The exception is a request that was alone at an unexplained crash: then
+// all of its crashes count. Without this exception, a request that crashes upstreams by itself
+// could be excused by another one.
 func (t *Tracker) assess(f Fingerprint, e *entry) assessment {
 	crashes := e.crashes()
 	if crashes == 0 {
--- a/internal/quarantine/successes.go
+++ b/internal/quarantine/successes.go
@@ -5,11 +5,11 @@
 // recentSuccesses is a set of fingerprints that recently succeeded, in two generations: when the
 // current generation is full, it replaces the previous one.
 //
-// It prevents false suspicion. When an upstream with a hundred calls in flight crashes by
-// itself, all of these calls become suspected. Requests that many callers send alike would then
-// be delayed at every guard, and refused after a few more crashes, for example when a rack
-// fails, although they crash nothing. A request that recently succeeded does not crash the
-// upstream that runs it.
+// It prevents false suspicion. When an upstream with a hundred calls in flight crashes for a reason
+// that has nothing to do with them, all of these calls become suspected. An identical request that
+// many callers send would then be delayed at every guard. After a few more crashes, for example
+// when a rack fails, it would be refused, although it crashes nothing. A request that recently
+// succeeded does not crash the upstream that runs it.
 type recentSuccesses struct {
 	current, previous map[Fingerprint]struct{}
 }
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// Guards against a request that crashes further upstreams after its second crash. The second
-// crash, as the only suspect, confirms the crasher at all nodes.
+// Guards against a request that crashes further upstreams after its second crash. The request runs
+// as the only suspect at its second crash, and this crash must confirm it as a crasher at all
+// nodes.
 func TestSecondCrashAsOnlySuspectConfirms(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	a, b := New(DefaultConfig()), New(DefaultConfig())
@@ -106,8 +107,9 @@
 	must.Eq(t, 2500*time.Millisecond, a.Admit(now, 3).RetryAfter)
 }
 
-// Guards against a run beside an unsuspected crasher that is recorded as a run alone. The
-// request became suspected only after its run had started.
+// Guards against a crash record that marks a bystander as alone and so blames it. The bystander
+// became suspected only after its run had started, and an unsuspected crasher was running beside
+// it.
 func TestRunSuspectedWhileRunningIsNotAlone(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	tr := New(DefaultConfig())
@@ -192,8 +194,8 @@
 	})
 }
 
-// cluster simulates a service with several guards in steps of 100 ms. The crasher crashes the
-// upstream that runs it within 400 ms, and its caller resends it to any entry node. A record
+// cluster simulates a service with several guards in steps of 100 ms. A run of the crasher crashes
+// its upstream after at most 400 ms, and the caller resends the crasher to any entry node. A record
 // reaches the other guards after 1 s.
 type cluster struct {
 	now          time.Time
@@ -265,7 +267,8 @@
 	}
 }
 
-// Guards against more than two upstreams crashed by one request.
+// Guards against more than two upstreams crashed by one request. The caller resends the request to
+// any guard while the crash records are still on their way to the guards.
 func TestTwoCrashesAtMost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &cluster{now: time.Unix(1_000_000, 0)}
@@ -303,6 +306,8 @@
 	})
 }
 
+// resendCrasher sends the crasher to a guard. Once two copies have started unsuspected, each
+// further one carries the crash records that the entry nodes have received.
 func (c *cluster) resendCrasher(guard int, duration time.Duration) {
 	if c.startedUnsuspected >= 2 {
 		mergeAll(c.now, c.observed, c.guards[guard])
