--- a/internal/retry/account_test.go
+++ b/internal/retry/account_test.go
@@ -14,10 +14,12 @@
 
 // treeCall is one running or ended call of a simulated call tree.
 type treeCall struct {
-	account       *Account
-	share         *Share // the part lent by the parent; nil at the root
-	depth         int
-	allowanceUsed bool // spent or lent some allowance; Return could not detect an overstatement of it
+	account *Account
+	share   *Share // the part lent by the parent; nil at the root
+	depth   int
+	// allowanceUsed is set when the call has spent or lent some allowance. Return cannot detect a
+	// response that overstates the rest.
+	allowanceUsed bool
 }
 
 // tree is a state machine that interleaves the calls of one root request at random.
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -7,7 +7,8 @@
 
 // BudgetConfig bounds the retries that one guard admits.
 type BudgetConfig struct {
-	// Ratio is the maximum of retries per first attempt.
+	// Ratio is the maximum number of retries per first attempt, over all guards of the service.
+	// Each guard applies guardRatioFactor times this ratio.
 	Ratio float64
 	// Floor is the number of retries allowed in each window in addition to Ratio.
 	Floor float64
@@ -15,25 +16,27 @@
 	Window time.Duration
 }
 
-// windowBuckets is the number of buckets of a window. Retries in a bucket that has just left the
-// window stay counted for up to one bucket, a tenth of the window.
+// windowBuckets is the number of buckets of a window. A retry stays counted for up to one bucket
+// length, a tenth of the window, after it has left the window.
 const windowBuckets = 10
 
-// guardRatioFactor is the part of the configured ratio that each guard applies. The guards admit
-// their last retries at different times, each against the first attempts of the window that ends
-// then. All these windows lie within two consecutive windows, so together the guards count at most
-// twice the first attempts of the busier one. With half of the ratio the bound of the service holds
-// for any distribution of first attempts and retries over guards and time.
+// guardRatioFactor is the part of the configured ratio that each guard applies. A guard compares
+// its retries with its own first attempts in the window that ends at its latest retry. These
+// windows end at different times at different guards, but all of them lie within two consecutive
+// windows. If these two have a and b first attempts, the guards admit at most
+// guardRatioFactor*Ratio*(a+b) retries in addition to the floor. Because a+b is at most twice
+// max(a, b) and the factor is one half, that is at most Ratio*max(a, b). So the bound of the
+// service holds for any distribution of first attempts and retries over guards and time.
 const guardRatioFactor = 0.5
 
 // Budget bounds the retries that one guard admits. Each guard of a service receives a part of the
-// first attempts and of the retries. While each guard keeps to its share of the ratio for its own
-// first attempts and to its part of the floor, the sum over all guards stays within the bound of
-// the service in every window. This needs no messages between guards. A Budget is not safe for
+// first attempts and of the retries. It admits retries up to guardRatioFactor*Ratio of its own
+// first attempts plus its part of the floor, so that the sum over all guards stays within the bound
+// of the service in every window. This needs no messages between guards. A Budget is not safe for
 // concurrent use.
 //
 // It prevents retry amplification: an upstream fails a part of its calls, every sender retries, and
-// each retried call makes its own calls again to the services behind it. Without the bound the
+// each retried call makes its own calls again to the services behind it. Without the bound, the
 // deepest service receives a multiple of its load when it has the least spare capacity.
 type Budget struct {
 	cfg     BudgetConfig
@@ -105,8 +108,9 @@
 	return p
 }
 
-// windowCounts returns the retries in the window and in the bucket that is leaving it, and the
-// first attempts in the window alone. Both inaccuracies make the budget stricter.
+// windowCounts returns the first attempts in the window, and the retries in the window and in the
+// bucket that is leaving it. So first attempts are counted for slightly less than a window and
+// retries for slightly more. Both inaccuracies make the budget stricter.
 func (b *Budget) windowCounts(now time.Time) (firstAttempts, retries float64) {
 	n := b.bucketIndex(now)
 	for i := range b.buckets {
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -17,7 +17,9 @@
 	}
 }
 
-// Guards against a budget that counts first attempts which have left the window.
+// Guards against a budget that counts first attempts which have left the window. With 50 first
+// attempts it allows guardRatioFactor*Ratio*50 + Floor = 7 retries, and only Floor = 2 once they
+// have left the window.
 func TestBudgetFloorAndRatio(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBudget(BudgetConfig{Ratio: 0.2, Floor: 2, Window: 10 * time.Second})
@@ -72,8 +74,9 @@
 }
 
 // checkWindows checks the window that ends at each retry, where the sum of retries is greatest. A
-// retry follows its first attempt by up to one window, so first attempts are counted over that
-// window, the one before it and the one half a window before it. The largest count applies.
+// retry follows its first attempt by up to one window. First attempts are therefore counted in
+// three windows: the one that ends at the retry, and those that end half a window and one window
+// before it. The largest count applies.
 func checkWindows(t *rapid.T, attempts []attempt, window time.Duration, ratio, floor float64) {
 	for i, end := range attempts {
 		if !end.isRetry {
--- a/internal/retry/decide.go
+++ b/internal/retry/decide.go
@@ -54,7 +54,7 @@
 	MayHaveRun bool
 	// Owner is the inner address that came with OwnedElsewhere. It may be empty.
 	Owner string
-	// SameIncarnation means that the guard that received the call is known to be alive with the
+	// SameIncarnation means that the guard that received the call is known to be still alive as the
 	// same incarnation.
 	SameIncarnation bool
 	// Number is the count of retries before this attempt that cost allowance; 0 for the first
@@ -67,8 +67,8 @@
 }
 
 // mayHaveRunEarlier reports whether an earlier send of the call may have run or may still run.
-// After a re-attachment this is the first send: it can be buffered in an unresponsive connection
-// and be delivered after the guard refused the second.
+// After a re-attachment, the first send may still be buffered in an unresponsive connection, and
+// may reach the guard after the guard has refused the second send.
 func (a Attempt) mayHaveRunEarlier() bool { return a.Reattached || a.MayHaveRun }
 
 // Decide returns the action after an attempt and the time to wait before it. For RetryOtherNode the
--- a/internal/retry/split_model_test.go
+++ b/internal/retry/split_model_test.go
@@ -109,7 +109,8 @@
 }
 
 // Guards against a split rule under which an early call of a request uses up the whole allowance.
-func TestSplitRule_Model(t *testing.T) {
+// The test compares the rule of Account.Split, "half up", with the other rules.
+func TestSplitRule_HalfRoundedUp(t *testing.T) {
 	settings := []splitModel{
 		{fanout: 1, depth: 10, refused: 0.05, lost: 0.01},
 		{fanout: 1, depth: 10, refused: 0.01, lost: 0.05},
@@ -125,6 +126,8 @@
 		{fanout: 3, depth: 3, refused: 0.05, lost: 0.001, nonIdempotent: true},
 		{fanout: 3, depth: 3, refused: 0.05, lost: 0.001},
 	}
+	// maxShortfall is the largest difference, in percentage points, between the success of the best
+	// rule and that of each rule.
 	maxShortfall := map[string]float64{}
 	// minPercentWithLoss is the lowest success percentage where 5% of responses are lost.
 	minPercentWithLoss := map[string]float64{}
@@ -157,8 +160,8 @@
 			must.True(t, maxShortfall["half up"] <= maxShortfall[r.name])
 		}
 	}
-	// The largest shortfall of two thirds is only slightly smaller, with calls that are not
-	// idempotent. Where responses are lost, two thirds succeeds 9 points less often.
+	// "two thirds" has a slightly smaller largest shortfall than "half up"; it occurs with calls
+	// that are not idempotent. Where responses are lost, "two thirds" succeeds 9 points less often.
 	must.Greater(t, minPercentWithLoss["two thirds"]+5, minPercentWithLoss["half up"])
 	must.Less(t, maxShortfall["two thirds"]+2, maxShortfall["half up"])
 }
