--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -31,8 +31,8 @@
 	// DrainHold is the time for which a report of draining is used if neither membership nor
 	// another report confirms it.
 	DrainHold time.Duration
-	// LatencyDecay is the time after which half of the excess latency of an endpoint that receives
-	// no calls is disregarded.
+	// LatencyDecay is the time in which the excess latency of an endpoint that receives no calls
+	// counts only half. The excess is the part above the mean latency of the service.
 	LatencyDecay time.Duration
 	// ProbeShare is the share of calls that are sent although they would be refused early.
 	ProbeShare float64
--- a/internal/routing/eject.go
+++ b/internal/routing/eject.go
@@ -6,21 +6,22 @@
 	// maxEjectDoublings limits the duration of an ejection to 16 x EjectFor.
 	maxEjectDoublings = 4
 	// minRatioSamples is the number of outcomes after which a target's share of failures is
-	// compared with that of its peers. It is two time constants of shareGain.
+	// compared with that of its peers. It is two time constants (1/shareGain outcomes each) of the
+	// average.
 	minRatioSamples = 32
 )
 
-// ejection removes an endpoint from use if it fails while its peers do not. When the time has
-// passed, a single call probes the endpoint. Only a response ends the ejection.
+// ejection removes an endpoint from use if it fails while its peers do not. When the time of the
+// ejection has passed, a single call probes the endpoint. Only a response ends the ejection.
 type ejection struct {
 	// until is the time from which the endpoint may be probed; 0 while the endpoint is in use.
 	until atomic.Int64
 	// probeLeaseEnd is the end of the lease of the probe in flight. The lease expires, so that a
 	// probe whose end is never reported does not block the next one.
 	probeLeaseEnd atomic.Int64
-	// consecutive is the number of successive ejections. It is reset when the target answers a call
-	// after slow start.
-	consecutive atomic.Int64
+	// consecutiveEjections is the number of successive ejections. It is reset when the target
+	// answers a call after slow start.
+	consecutiveEjections atomic.Int64
 }
 
 func (e *ejection) active() bool { return e.until.Load() != 0 }
@@ -28,11 +29,11 @@
 func (e *ejection) clear() {
 	e.until.Store(0)
 	e.probeLeaseEnd.Store(0)
-	e.consecutive.Store(0)
+	e.consecutiveEjections.Store(0)
 }
 
 func (e *ejection) start(at int64, cfg *Config) {
-	doublings := min(e.consecutive.Add(1)-1, maxEjectDoublings)
+	doublings := min(e.consecutiveEjections.Add(1)-1, maxEjectDoublings)
 	e.until.Store(at + int64(cfg.EjectFor)<<doublings)
 	e.probeLeaseEnd.Store(0)
 }
@@ -59,8 +60,8 @@
 		if o.countsAsFailure() && g.failsTooOften(cfg) {
 			g.svc.eject(g, at, cfg)
 		}
-		if o == Answered && g.slowStart.warm.Load() && g.ejection.consecutive.Load() != 0 {
-			g.ejection.consecutive.Store(0)
+		if o == Answered && g.slowStart.warm.Load() && g.ejection.consecutiveEjections.Load() != 0 {
+			g.ejection.consecutiveEjections.Store(0)
 		}
 		return
 	}
@@ -90,8 +91,8 @@
 	g.svc.clearShedMemo()
 }
 
-// failsTooOften reports whether the target's failures justify an ejection, apart from the cap on
-// ejections.
+// failsTooOften reports whether the target's failures justify an ejection. It does not check the
+// cap on ejections; eject does.
 func (g *Target) failsTooOften(cfg *Config) bool {
 	if g.consecutiveFailures.Load() >= int64(cfg.EjectFailures) {
 		return true
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -47,8 +47,8 @@
 	Queued int
 	// Limit is the guard's current limit of concurrent calls.
 	Limit int
-	// Threshold is the rank from which calls are shed: every call with Rank >= Threshold, unless it
-	// is NoThreshold. 0 sheds all calls.
+	// Threshold is the lowest rank that the guard sheds; it sheds all higher ranks too. NoThreshold
+	// means that it sheds none, and 0 that it sheds all.
 	Threshold uint32
 	// Overloaded means that the upstream itself sheds calls or slows down.
 	Overloaded bool
--- a/internal/routing/fallback_test.go
+++ b/internal/routing/fallback_test.go
@@ -8,7 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against refusing calls when the only usable upstream is one whose node is stopping.
+// Guards against refusing calls when the only usable upstream is one whose node is stopping, and
+// against sending calls to that upstream while another one takes them.
 func TestPick_Fallback(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	stopping := Endpoint{Node: "stopping", Incarnation: 1, Service: "s", Addr: "a:1", Slots: 4, Fallback: true}
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -9,14 +9,14 @@
 	"github.com/galenagrade/galenagrade/internal/result"
 )
 
-// scanLimit is the number of targets of a tier after which the scan for one with capacity stops, if
-// it has found a target that would at least queue the call.
+// scanLimit bounds the scan of a tier for a target with capacity. After this number of targets the
+// scan stops if it has found one that would at least queue the call.
 const scanLimit = 64
 
 // unknownServiceRefusal is the refusal for a service without endpoints.
 var unknownServiceRefusal = result.Refuse(result.NoUpstream, "no upstream of the service is known")
 
-// verdict is the evaluation of a target for one call, best first.
+// verdict is the evaluation of a target for one call. The values are in order from best to worst.
 type verdict int
 
 const (
@@ -49,12 +49,12 @@
 
 	// Targets found so far, by verdict: the best busy one, and the first one of each other verdict
 	// except hasCapacity.
-	bestBusy      *Target
-	bestBusyScore float64
-	fallback      *Target
-	shedding      *Target
-	unavailable   *Target
-	foundDraining bool
+	bestBusy          *Target
+	bestBusyScore     float64
+	fallbackTarget    *Target
+	sheddingTarget    *Target
+	unavailableTarget *Target
+	foundDraining     bool
 	// shedValidUntil is the time at which the oldest report behind a wouldShed verdict expires.
 	shedValidUntil int64
 }
@@ -283,17 +283,17 @@
 			c.bestBusy, c.bestBusyScore = g, score
 		}
 	case isFallback:
-		if c.fallback == nil {
-			c.fallback = g
+		if c.fallbackTarget == nil {
+			c.fallbackTarget = g
 		}
 	case wouldShed:
-		if c.shedding == nil {
-			c.shedding = g
+		if c.sheddingTarget == nil {
+			c.sheddingTarget = g
 		}
 		c.shedValidUntil = min(c.shedValidUntil, g.report.receivedAt.Load()+int64(c.cfg.LoadAge))
 	case isUnavailable, isProbeDue:
-		if c.unavailable == nil {
-			c.unavailable = g
+		if c.unavailableTarget == nil {
+			c.unavailableTarget = g
 		}
 	}
 }
@@ -303,20 +303,20 @@
 	if c.bestBusy != nil {
 		return c.bestBusy, nil
 	}
-	if c.fallback != nil {
-		return c.fallback, nil
+	if c.fallbackTarget != nil {
+		return c.fallbackTarget, nil
 	}
-	if c.shedding != nil {
+	if c.sheddingTarget != nil {
 		if probe || c.sampleProbe() {
-			return c.shedding, nil
+			return c.sheddingTarget, nil
 		}
 		if len(c.avoid) == 0 && !c.isChild {
 			v.svc.setShedMemo(c.at, c.rank, c.shedValidUntil)
 		}
 		return nil, v.shedEarly
 	}
-	if c.unavailable != nil {
-		return c.unavailable, nil
+	if c.unavailableTarget != nil {
+		return c.unavailableTarget, nil
 	}
 	if c.foundDraining {
 		return nil, v.draining
--- a/internal/routing/scenario_test.go
+++ b/internal/routing/scenario_test.go
@@ -9,7 +9,7 @@
 )
 
 // One of three upstreams reports zero load and a huge limit, and responds slowly. If routing relied
-// on the reports, one in three lookups would be late while the other two upstreams are idle.
+// on the reports, one in three calls would be late while the other two upstreams are idle.
 func TestPick_SlowUpstreamThatReportsNoLoad(t *testing.T) {
 	ups := upstreams("saga", 3, 20)
 	ups[0].serviceTime = 200 * time.Millisecond
@@ -83,7 +83,7 @@
 	}
 }
 
-// One upstream of three fails every call at once. Without ejection a third of the lookups fail. If
+// One upstream of three fails every call at once. Without ejection a third of the calls fail. If
 // many calls probed it at once, each attempt to readmit it would fail many more.
 func TestPick_FailingUpstreamIsEjectedAndProbedOnce(t *testing.T) {
 	ups := upstreams("saga", 3, 20)
@@ -240,8 +240,9 @@
 	must.Less(t, burst["saga-2"]/2, burst["saga-1"])
 }
 
-// A VM restarts before membership shows it, so a response with another incarnation is the first
-// sign. The new process is cold, and not draining as the old one was.
+// A VM restarts, and a response with another incarnation arrives before membership shows the
+// restart. If the target kept the state of the old process, the new one would be excluded as
+// draining, and would receive its full share while it is cold.
 func TestPick_ReportOfNewIncarnationResetsTarget(t *testing.T) {
 	ups := upstreams("saga", 2, 40)
 	n := newFakeNode(t, DefaultConfig(), ups...)
@@ -273,8 +274,8 @@
 	must.Less(t, 20, n.run(20*time.Second, time.Millisecond)["saga-0"])
 }
 
-// As above, but callers cancel long before any timeout. No call counts as failed, so the
-// unresponsive upstream would look idle after each cancellation.
+// The connections to a VM stop delivering packets, and callers cancel long before any timeout. No
+// call counts as failed, so the unresponsive upstream would look idle after each cancellation.
 func TestPick_UnresponsiveUpstreamIsAvoidedWhenCallersCancel(t *testing.T) {
 	ups := upstreams("saga", 3, 20)
 	n := newFakeNode(t, DefaultConfig(), ups...)
--- a/internal/routing/score.go
+++ b/internal/routing/score.go
@@ -5,7 +5,7 @@
 	// fast endpoint is not flooded.
 	minLatencyFactor = 1
 	maxLatencyFactor = 16
-	// minSuccessShare limits the factor for refusals and failures to 400.
+	// minSuccessShare limits failureFactor to 1/(minSuccessShare*minSuccessShare) = 400.
 	minSuccessShare = 0.05
 )
 
--- a/internal/routing/service.go
+++ b/internal/routing/service.go
@@ -61,7 +61,8 @@
 // clearShedMemo invalidates the memo. It is called as soon as an observation contradicts the memo.
 func (s *service) clearShedMemo() { s.shedMemoUntil.Store(0) }
 
-// addReport adds a report to the means of the service.
+// addReport adds a report to the mean load of the service. It clears the shed memo if the report
+// shows that its sender accepts the rank of the memo.
 func (s *service) addReport(r *LoadReport, ownInFlight int64) {
 	if r.Limit > 0 {
 		otherWork := max(0, r.InFlight+r.Queued-int(ownInFlight))
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -10,7 +10,8 @@
 	// must receive calls to give the responses that raise its share.
 	minSlowStartShare = 0.05
 	// slowStartTimeoutFactor times SlowStart is the time after which an endpoint counts as warm
-	// regardless of its responses. Services with few calls need it.
+	// regardless of its responses. Otherwise an endpoint of a service with few calls would stay in
+	// slow start until it has given SlowStartAnswers responses.
 	slowStartTimeoutFactor = 4
 )
 
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -51,26 +51,27 @@
 	return d.Sum64()
 }
 
-// ranked is a target with its sort keys.
-type ranked struct {
+// hashedTarget is a target with its sort keys.
+type hashedTarget struct {
 	target *Target
 	hash   uint64
 	node   string
 }
 
-// buildTiers groups targets by distance, orders them and sets the prefixes. The own zone takes as
-// many targets as it can of size, and the more distant tiers take the rest.
+// buildTiers groups targets by distance, orders them and sets the prefixes. The prefix of the own
+// zone has up to size targets. The more distant tiers get what remains of size, but at least
+// minTierPrefix targets each if they have so many.
 func buildTiers(self Self, targets []*Target, size int) [distanceCount]tier {
-	var groups [distanceCount][]ranked
+	var groups [distanceCount][]hashedTarget
 	for _, g := range targets {
 		ep := g.endpoint.Load()
 		d := self.distanceTo(ep)
-		groups[d] = append(groups[d], ranked{g, subsetHash(self.Node, ep.Node), ep.Node})
+		groups[d] = append(groups[d], hashedTarget{g, subsetHash(self.Node, ep.Node), ep.Node})
 	}
 	var tiers [distanceCount]tier
 	remaining := size
 	for d, group := range groups {
-		slices.SortFunc(group, compareRanked)
+		slices.SortFunc(group, compareHashedTargets)
 		t := &tiers[d]
 		for _, r := range group {
 			t.targets = append(t.targets, r.target)
@@ -81,7 +82,7 @@
 	return tiers
 }
 
-func compareRanked(a, b ranked) int {
+func compareHashedTargets(a, b hashedTarget) int {
 	switch {
 	case a.hash > b.hash:
 		return -1
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -43,9 +43,10 @@
 }
 
 // NewTable creates a table. It takes over the targets from prev, which may be nil, for endpoints
-// with the same node, service and incarnation. The last incarnation seen in a report also matches.
-// If two endpoints have the same node and service, the one that joined later is kept. NewTable must
-// not be called concurrently, but prev may stay in use meanwhile.
+// with the same node, service and incarnation. An endpoint also matches the target of its node and
+// service if its incarnation is the last one that the target has seen in a report. If two endpoints
+// have the same node and service, the one that joined later is kept. NewTable must not be called
+// concurrently, but prev may stay in use meanwhile.
 func NewTable(prev *Table, cfg Config, self Self, endpoints []Endpoint, now time.Time) *Table {
 	t := &Table{
 		cfg:              cfg,
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -124,7 +124,8 @@
 	must.False(t, g.ejection.claimProbe(at, cfg))
 }
 
-// Guards against a crash that takes more calls with it than necessary.
+// Guards against a suspected crasher that is sent to an upstream with many calls in flight. All of
+// them would be lost if it crashed the upstream.
 func TestPick_SuspectedCrasherUsesFewestCallsInFlight(t *testing.T) {
 	ups := upstreams("saga", 3, 20)
 	n := newFakeNode(t, DefaultConfig(), ups...)
@@ -161,11 +162,11 @@
 			load[g]++
 		}
 	}
-	most := 0
+	maxLoad := 0
 	for _, n := range load {
-		most = max(most, n)
+		maxLoad = max(maxLoad, n)
 	}
-	return float64(most) * float64(endpoints) / float64(senders*min(size, endpoints))
+	return float64(maxLoad) * float64(endpoints) / float64(senders*min(size, endpoints))
 }
 
 func newServiceWith(cfg Config) *service {
@@ -174,8 +175,8 @@
 	return s
 }
 
-// Guards against subsets that overlap unevenly. In a large service some upstreams would hold twice
-// the calls of others, and their callers would wait for no reason.
+// Guards against subsets that cover the upstreams unevenly. In a large service some upstreams would
+// hold twice the calls of others, and their callers would wait for no reason.
 func TestSubset_LoadIsEven(t *testing.T) {
 	tests := []struct {
 		senders, endpoints, size int
@@ -194,29 +195,30 @@
 	}
 }
 
-// Guards against opening thousands of connections anew elsewhere because one VM is replaced.
+// Guards against subsets that are reshuffled when one VM is replaced. The nodes would then open
+// thousands of connections to other upstreams.
 func TestSubset_ChangeMovesOneConnection(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 60).Draw(t, "count")
-		gone := rapid.IntRange(0, count-1).Draw(t, "gone")
+		removedIndex := rapid.IntRange(0, count-1).Draw(t, "gone")
 		self := Self{Node: rapid.String().Draw(t, "self")}
 		s := newServiceWith(DefaultConfig())
 		var before, after []*Target
 		for i := range count {
 			g := newTarget(s, &Endpoint{Node: fmt.Sprint(i)}, origin)
 			before = append(before, g)
-			if i != gone {
+			if i != removedIndex {
 				after = append(after, g)
 			}
 		}
-		old := buildTiers(self, before, 10)[ownZone]
+		tierBefore := buildTiers(self, before, 10)[ownZone]
 		kept := map[*Target]bool{}
-		for _, g := range old.targets[:old.prefix] {
+		for _, g := range tierBefore.targets[:tierBefore.prefix] {
 			kept[g] = true
 		}
-		fresh := buildTiers(self, after, 10)[ownZone]
+		tierAfter := buildTiers(self, after, 10)[ownZone]
 		added := 0
-		for _, g := range fresh.targets[:fresh.prefix] {
+		for _, g := range tierAfter.targets[:tierAfter.prefix] {
 			if !kept[g] {
 				added++
 			}
--- a/internal/routing/target.go
+++ b/internal/routing/target.go
@@ -103,10 +103,11 @@
 	g.updateEjection(at, o, cfg)
 }
 
-// updateUnansweredSince restarts the unanswered time with any response. A cancelled call does not
-// clear it, even if no other call is in flight: otherwise a target that never responds would look
-// idle whenever its callers cancel early, and would receive the next call. The exception is a call
-// that was cancelled before the target's usual latency had passed.
+// updateUnansweredSince updates unansweredSince after a call has ended. Any response restarts the
+// unanswered time. A cancelled call does not clear it, even if no other call is in flight:
+// otherwise a target that never responds would look idle whenever its callers cancel early, and
+// would receive the next call. The exception is a call that was cancelled before the target's usual
+// latency had passed.
 func (g *Target) updateUnansweredSince(at int64, o Outcome, latency time.Duration, ownInFlight int64) {
 	switch {
 	case o == Answered || o == Refused || o == Failed:
@@ -147,8 +148,9 @@
 	g.slowStart.restart(at)
 }
 
-// recordLatency updates the latency estimate. Only a response may lower it. If quick refusals or
-// failures did, a broken upstream would look like the fastest one and receive all calls.
+// recordLatency updates the latency estimate. Only a complete response may lower it. If quick
+// refusals or failures lowered it too, a broken upstream would look like the fastest one and
+// receive all calls.
 func (g *Target) recordLatency(o Outcome, sample float64) {
 	known := g.latency.load()
 	switch {
@@ -189,7 +191,8 @@
 }
 
 // isDraining reports whether the target must get no new calls. A report of draining is used for
-// DrainHold only: a guard whose drain was cancelled gets no calls, so it could never report that.
+// DrainHold only: a guard whose drain was cancelled gets no calls, so it has no response in which
+// it could report the cancellation.
 func (g *Target) isDraining(at int64, cfg *Config) bool {
 	if g.draining.Load() {
 		return true
