--- a/internal/admission/advance.go
+++ b/internal/admission/advance.go
@@ -44,13 +44,13 @@
 	c.overloaded = c.standingDelay(elapsed) > max(c.cfg.SojournTarget, c.estimate.median/minDelayDivisor)
 	c.queue.lifo = c.overloaded
 	capacity := float64(elapsed) * float64(c.limiter.limit)
-	use := min(1, c.busy/capacity)
+	use := min(1, c.busySlotTime/capacity)
 	// Slots used by calls above the threshold are available to calls below it. If they counted as
 	// used, the threshold would not rise, and calls of low importance would keep the slots of more
 	// important calls that are shed.
-	useBelow := min(1, (c.busy-c.busyAbove)/capacity)
-	c.busy = 0
-	c.busyAbove = 0
+	useBelow := min(1, (c.busySlotTime-c.busySlotTimeAbove)/capacity)
+	c.busySlotTime = 0
+	c.busySlotTimeAbove = 0
 	c.limiter.adjust(now, use)
 	for range min(elapsed/c.cfg.SojournInterval, maxIdleIntervals) {
 		c.shedder.raiseWhenIdle(useBelow, use)
@@ -61,7 +61,8 @@
 }
 
 const (
-	// maxThresholdPeriod is the maximum time between two steps down.
+	// maxThresholdPeriod is the maximum length of a threshold period, unless SojournInterval is
+	// longer. The threshold is lowered at most once per period.
 	maxThresholdPeriod = 300 * time.Millisecond
 	// maxIdleIntervals limits the intervals that one adjust accounts for. Without calls, advance is
 	// not called, so the intervals do not end one by one. 8 of them suffice to open the threshold
@@ -85,11 +86,11 @@
 // integrate adds the slots in use since the last call to the integral over time. It must be
 // called before every change of inFlight.
 func (c *Controller) integrate(now time.Time) {
-	if now.After(c.integrated) {
-		span := float64(now.Sub(c.integrated))
-		c.busy += float64(c.inFlight) * span
-		c.busyAbove += float64(c.aboveInFlight) * span
-		c.integrated = now
+	if now.After(c.integratedUntil) {
+		span := float64(now.Sub(c.integratedUntil))
+		c.busySlotTime += float64(c.inFlight) * span
+		c.busySlotTimeAbove += float64(c.aboveInFlight) * span
+		c.integratedUntil = now
 	}
 }
 
@@ -142,12 +143,12 @@
 	if r.Deadline.IsZero() {
 		return false
 	}
-	need := c.serviceTime(r.Level)
+	requiredTime := c.serviceTime(r.Level)
 	if !slotFree {
-		need += c.expectedWait(r.Level, r.Depth)
+		requiredTime += c.expectedWait(r.Level, r.Depth)
 	}
 	remaining := r.Deadline.Sub(now)
-	return remaining <= 0 || remaining < need
+	return remaining <= 0 || remaining < requiredTime
 }
 
 // probeAllowed reports whether a call may run although it would probably miss its deadline.
@@ -165,7 +166,7 @@
 // serviceTime returns the low quantile of the service times of a level, times its estimate
 // factor; 0 if it is unknown.
 func (c *Controller) serviceTime(level callctx.Level) time.Duration {
-	return time.Duration(c.estimateFactor[level] * float64(c.estimate.low[level]))
+	return time.Duration(c.estimateFactor[level] * float64(c.estimate.lowQuantiles[level]))
 }
 
 // expectedWait returns the expected waiting time of a new call.
@@ -178,9 +179,9 @@
 // there is one.
 func (c *Controller) newCall(r Request, probe bool) *call {
 	var w *call
-	if n := len(c.free); n > 0 {
-		w = c.free[n-1]
-		c.free = c.free[:n-1]
+	if n := len(c.freeCalls); n > 0 {
+		w = c.freeCalls[n-1]
+		c.freeCalls = c.freeCalls[:n-1]
 	} else {
 		w = new(call)
 	}
@@ -195,7 +196,7 @@
 func (c *Controller) release(w *call) {
 	delete(c.calls, w.request.ID)
 	*w = call{}
-	c.free = append(c.free, w)
+	c.freeCalls = append(c.freeCalls, w)
 }
 
 // run assigns a slot to a call that is not in the queue.
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -35,7 +35,8 @@
 	MinLimit int
 	// QueueLimit is the maximum number of waiting calls, over all levels.
 	QueueLimit int
-	// SojournTarget is the standing queue delay that does not count as overload.
+	// SojournTarget is the maximum standing delay that does not count as overload. The standing
+	// delay is the delay that the queue had throughout an interval; see standingDelay.
 	SojournTarget time.Duration
 	// SojournInterval is how long the standing delay must exceed SojournTarget to count as
 	// overload. It is also the period of all adjustments.
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// minProbeInterval is the minimum time between two probes of the service time estimate, so at
-	// most 5 calls per second run without meeting their deadline.
+	// minProbeInterval is the minimum time between two probes. A probe is a call that runs although
+	// the service time estimate predicts that it misses its deadline, so at most 5 calls per second
+	// run without meeting their deadline.
 	minProbeInterval = 200 * time.Millisecond
 	// minEstimateFactor is the lower bound of estimateFactor, which successful probes reduce.
 	minEstimateFactor = 1.0 / 16
@@ -22,15 +23,15 @@
 // Controller decides which calls of one upstream run, wait or are refused. It is not safe for
 // concurrent use.
 type Controller struct {
-	cfg      Config
-	calls    map[string]*call
-	free     []*call
-	queue    *queue
-	limiter  *limiter
-	shedder  *shedder
-	estimate *estimator
-	refusals refusalCache
-	counters Counters
+	cfg       Config
+	calls     map[string]*call
+	freeCalls []*call
+	queue     *queue
+	limiter   *limiter
+	shedder   *shedder
+	estimate  *estimator
+	refusals  refusalCache
+	counters  Counters
 
 	inFlight int
 	// aboveInFlight counts the running calls that took a slot although they were above the
@@ -48,13 +49,13 @@
 	// four intervals.
 	starts    int
 	startRate float64
-	// busy is the integral of the slots in use over the current interval, in slot-nanoseconds, up
-	// to the time in integrated.
-	busy float64
-	// busyAbove is the part of busy used by calls above the threshold.
-	busyAbove  float64
-	integrated time.Time
-	// periodStarted is the start of the current threshold period.
+	// busySlotTime is the integral of the slots in use over the current interval, in
+	// slot-nanoseconds, up to integratedUntil.
+	busySlotTime float64
+	// busySlotTimeAbove is the part of busySlotTime used by calls above the threshold.
+	busySlotTimeAbove float64
+	integratedUntil   time.Time
+	// periodStarted is the start of the current threshold period; see endThresholdPeriod.
 	periodStarted time.Time
 
 	// estimateFactor scales the service time estimate by which calls are refused, between
@@ -78,7 +79,7 @@
 		estimate:        newEstimator(now),
 		intervalStarted: now,
 		periodStarted:   now,
-		integrated:      now,
+		integratedUntil: now,
 	}
 	for i := range c.estimateFactor {
 		c.estimateFactor[i] = 1
@@ -113,10 +114,10 @@
 	}
 	rank := Rank(r.Level, r.CallerHash)
 	c.shedder.offer(rank)
-	// A deep call (depth above 0) over the threshold may still take a slot that would otherwise stay
-	// idle, because work was already spent on its root. A later call of a tree with prior work may
-	// also wait, or the work of deep services for this tree would be lost. The threshold therefore
-	// applies to the first call of a tree.
+	// A deep call (depth above 0) over the threshold may still take a slot that would otherwise
+	// stay idle, because work was already spent on its root. A call with HasPriorWork may also
+	// wait: if it were refused, the work of deep services for its tree would be lost. The threshold
+	// therefore applies only to the first call of a tree.
 	above := rank >= c.shedder.threshold
 	if above && !r.HasPriorWork && !(slotFree && r.Depth > 0) {
 		return c.refuse(&r, reasonThreshold), out
@@ -204,7 +205,7 @@
 	case Answered:
 		c.counters.Answered[level]++
 		c.counters.Worth += c.cfg.Worth[level]
-		c.adjustEstimateFactor(w, latency < c.estimate.low[level])
+		c.adjustEstimateFactor(w, latency < c.estimate.lowQuantiles[level])
 		c.estimate.answered(level, latency)
 		c.limiter.callAnswered(latency)
 	case TimedOut:
--- a/internal/admission/cuttrial.go
+++ b/internal/admission/cuttrial.go
@@ -6,8 +6,9 @@
 	// raisePauseAfterCut is the pause after a confirmed cut before the limit may rise.
 	raisePauseAfterCut = 300 * time.Millisecond
 
-	// slowFactor is the ratio of the median latency to its reference above which a trial starts. Up
-	// to normalFactor the limit may rise again.
+	// slowFactor is the ratio of the median latency to the reference latency (cutTrial.reference)
+	// above which a trial starts. At a ratio of at most normalFactor, the latency counts as normal
+	// and the limit may rise again.
 	slowFactor   = 2.0
 	normalFactor = 1.5
 	// trialLimitShare is the share of the limit that is kept during a trial.
@@ -16,8 +17,8 @@
 	// before it for the cut to be confirmed. It lies between trialLimitShare (the removed slots
 	// were needed) and 1 (they were not).
 	minThroughputRatio = 0.9
-	// epochResponses is the number of responses that ends an epoch. It determines throughput to
-	// about 5 %.
+	// epochResponses is the number of responses that ends an epoch, which is one measurement of
+	// throughput and latency. With this number of responses, throughput is known to about 5 %.
 	epochResponses = 200
 	// maxEpoch is the maximum length of an epoch. With fewer than minTrialResponses responses, an
 	// epoch does not start a trial.
@@ -27,9 +28,8 @@
 	// costs a quarter of the responses of two epochs.
 	minBackoff = 8 * time.Second
 	maxBackoff = 64 * time.Second
-	// referenceDrift is the share by which the reference latency (cutTrial.reference) rises per
-	// epoch while the median latency is higher. Without it, a reference that has become too low
-	// would never be replaced.
+	// referenceDrift is the share by which the reference latency rises per epoch while the median
+	// latency is higher. Without it, a reference that has become too low would never be replaced.
 	referenceDrift = 1.0 / 256
 )
 
@@ -61,6 +61,7 @@
 	latencyExternal bool
 	epoch           epoch
 
+	// limitBefore and rateBefore are the limit and the rate of responses before the trial.
 	limitBefore int
 	rateBefore  float64
 	nextTrial   time.Time
@@ -128,11 +129,11 @@
 
 // updateReference lowers the reference to the median at once and raises it slowly.
 func (t *cutTrial) updateReference(median time.Duration) {
-	risen := t.reference + time.Duration(float64(t.reference)*referenceDrift)
-	if t.reference == 0 || median < risen {
+	raisedReference := t.reference + time.Duration(float64(t.reference)*referenceDrift)
+	if t.reference == 0 || median < raisedReference {
 		t.reference = median
 	} else {
-		t.reference = risen
+		t.reference = raisedReference
 	}
 	t.latencyNormal = float64(median) <= normalFactor*float64(t.reference)
 	if t.latencyNormal {
--- a/internal/admission/fewslots_test.go
+++ b/internal/admission/fewslots_test.go
@@ -73,7 +73,7 @@
 
 // Guards against lost throughput at an upstream that becomes slower as its last slots fill. The
 // reserve must leave these slots empty.
-func TestReserveKeepsSlotsThatSlowOthersEmpty(t *testing.T) {
+func TestReserveKeepsThroughputOfUpstreamSlowWhenFull(t *testing.T) {
 	for _, slots := range []int{16, 29, 122} {
 		rate := func(limit int) float64 { return float64(limit) / 0.055 }
 		best := rate(int(0.95 * float64(slots)))
--- a/internal/admission/latency.go
+++ b/internal/admission/latency.go
@@ -18,7 +18,7 @@
 	minSamples = 4
 	// lowQuantile selects a service time that nearly all calls exceed.
 	lowQuantile = 0.10
-	// minGeneration is the minimum length of a generation of samples.
+	// minGeneration is the minimum length of a generation of samples; see window.
 	minGeneration = time.Second
 	// generationMedians is the length of a generation in median service times. It applies to slow
 	// services.
@@ -107,14 +107,14 @@
 // estimator estimates service times by level and over all levels. refresh computes the estimates
 // once per interval, so reading them is cheap.
 type estimator struct {
-	byLevel [callctx.Levels]window
-	all     window
-	low     [callctx.Levels]time.Duration
-	median  time.Duration
+	byLevel      [callctx.Levels]window
+	allLevels    window
+	lowQuantiles [callctx.Levels]time.Duration
+	median       time.Duration
 }
 
 func newEstimator(now time.Time) *estimator {
-	e := &estimator{all: window{started: now}}
+	e := &estimator{allLevels: window{started: now}}
 	for i := range e.byLevel {
 		e.byLevel[i].started = now
 	}
@@ -124,7 +124,7 @@
 // answered records the service time of a complete response.
 func (e *estimator) answered(level callctx.Level, d time.Duration) {
 	e.byLevel[level].current.add(d)
-	e.all.current.add(d)
+	e.allLevels.current.add(d)
 }
 
 // timedOut records a call that was cut off after d. Its service time is unknown but longer than
@@ -133,22 +133,22 @@
 // calls that cannot succeed.
 func (e *estimator) timedOut(level callctx.Level, d time.Duration) {
 	longer := d + d/subBuckets
-	if longer > e.low[level] {
+	if longer > e.lowQuantiles[level] {
 		e.answered(level, longer)
 	}
 }
 
-// refresh ages the samples and computes the estimates.
+// refresh rotates the generations of samples and computes the estimates.
 func (e *estimator) refresh(now time.Time) {
 	generation := max(minGeneration, generationMedians*e.median)
-	e.all.rotate(now, generation)
-	e.median = e.all.quantile(0.5)
-	lowOfAll := e.all.quantile(lowQuantile)
+	e.allLevels.rotate(now, generation)
+	e.median = e.allLevels.quantile(0.5)
+	lowQuantileOfAll := e.allLevels.quantile(lowQuantile)
 	for i := range e.byLevel {
 		e.byLevel[i].rotate(now, generation)
-		e.low[i] = e.byLevel[i].quantile(lowQuantile)
-		if e.low[i] == 0 {
-			e.low[i] = lowOfAll
+		e.lowQuantiles[i] = e.byLevel[i].quantile(lowQuantile)
+		if e.lowQuantiles[i] == 0 {
+			e.lowQuantiles[i] = lowQuantileOfAll
 		}
 	}
 }
--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -8,9 +8,9 @@
 	raiseDivisor = 8
 	// shedCutDivisor: one call shed by the upstream lowers the limit by at most an eighth.
 	shedCutDivisor = 8
-	// unmeasuredFloorShare is the share of floor down to which shed calls lower the limit before
-	// their effect is measured. It is less than 1 so that the limit can follow a drop of the
-	// capacity to slightly less than half at once.
+	// unmeasuredFloorShare times limiter.floor is the lowest limit that shed calls can cause before
+	// their effect is measured. The floor is half of an earlier limit. The share is less than 1 so
+	// that the limit can follow at once when the capacity drops to slightly less than half.
 	unmeasuredFloorShare = 0.75
 	// raisePauseAfterShed is the pause after a shed call before the limit may rise.
 	raisePauseAfterShed = 200 * time.Millisecond
@@ -34,10 +34,10 @@
 	raiseAfter, lastShed time.Time
 	// floor is half of the limit at the latest measurement, or before the first shed. It bounds
 	// how far shed calls lower the limit before their effect is measured; see unmeasuredFloorShare.
-	floor   int
-	sheds   shedClassifier
-	reserve reserve
-	cut     cutTrial
+	floor      int
+	classifier shedClassifier
+	reserve    reserve
+	cut        cutTrial
 }
 
 func newLimiter(cfg Config, now time.Time) *limiter {
@@ -61,8 +61,8 @@
 // maxLimit returns the maximum limit: all slots except the reserve.
 func (l *limiter) maxLimit() int { return max(l.cfg.Slots-l.reserve.effective(), l.cfg.MinLimit) }
 
-// callStarted records the start of a call beside the given number of running calls.
-func (l *limiter) callStarted(concurrent int) { l.sheds.callStarted(concurrent, l.cfg.Slots) }
+// callStarted records the start of a call while the given number of other calls is running.
+func (l *limiter) callStarted(concurrent int) { l.classifier.callStarted(concurrent, l.cfg.Slots) }
 
 func (l *limiter) callAnswered(latency time.Duration) {
 	l.cut.epoch.responses++
@@ -78,16 +78,16 @@
 	if !l.cfg.Adapt {
 		return
 	}
-	l.sheds.firstShed(now, l.limit)
-	l.sheds.shedCalls.add(concurrent, l.cfg.Slots)
+	l.classifier.firstShed(now, l.limit)
+	l.classifier.shedCalls.add(concurrent, l.cfg.Slots)
 	l.lastShed = now
 	l.reserve.abort(now)
-	if l.sheds.atRandom(now) {
+	if l.classifier.atRandom(now) {
 		return
 	}
-	stepped := l.limit - max(1, l.limit/shedCutDivisor)
+	steppedLimit := l.limit - max(1, l.limit/shedCutDivisor)
 	floor := int(unmeasuredFloorShare * float64(l.floor))
-	l.limit = min(l.limit, l.maxLimit(), max(stepped, inFlight, floor, l.cfg.MinLimit))
+	l.limit = min(l.limit, l.maxLimit(), max(steppedLimit, inFlight, floor, l.cfg.MinLimit))
 	l.raiseAfter = now.Add(raisePauseAfterShed)
 	l.cut.abort()
 }
@@ -127,24 +127,26 @@
 	l.limit = l.maxLimit()
 }
 
-// adjustFloor lets the limit fall further, or reverts a cut if the calls were shed at random.
+// adjustFloor sets the floor to half of the limit while the upstream does not shed, and whenever
+// the effect of shed calls has been measured. Further shed calls can then lower the limit again. It
+// reverts a cut if the calls were shed at random.
 func (l *limiter) adjustFloor(now time.Time) {
-	if !l.sheds.active {
+	if !l.classifier.active {
 		l.floor = l.limit / 2
 		return
 	}
 	if now.Sub(l.lastShed) >= recentShedWindow {
-		l.sheds.end()
+		l.classifier.end()
 		l.floor = l.limit / 2
 		return
 	}
-	wasAtRandom := l.sheds.atRandom(now)
-	action := l.sheds.evaluate(now)
+	wasAtRandom := l.classifier.atRandom(now)
+	action := l.classifier.evaluate(now)
 	if action == keepFloor {
 		return
 	}
 	if action == revertCut && !wasAtRandom {
-		l.limit = min(l.sheds.limitBefore, l.maxLimit())
+		l.limit = min(l.classifier.limitBefore, l.maxLimit())
 		l.raiseAfter = time.Time{}
 	}
 	l.floor = l.limit / 2
@@ -157,8 +159,8 @@
 		return
 	}
 	step := max(1, l.cfg.Slots/raiseDivisor)
-	recent := !l.lastShed.IsZero() && now.Sub(l.lastShed) < recentShedWindow
-	if recent && !l.sheds.atRandom(now) {
+	recentlyShed := !l.lastShed.IsZero() && now.Sub(l.lastShed) < recentShedWindow
+	if recentlyShed && !l.classifier.atRandom(now) {
 		step = 1
 	}
 	l.limit = min(l.limit+step, l.maxLimit())
--- a/internal/admission/reserve.go
+++ b/internal/admission/reserve.go
@@ -16,12 +16,12 @@
 	// reserveMaxDuration ends a trial whose upstream returns too few responses for a decision:
 	// fewer than 25 per second. The trial costs a sixteenth of the slots meanwhile.
 	reserveMaxDuration = 8 * time.Second
-	// reserveMinGain is the throughput ratio that confirms a step to more empty slots. It lies
-	// between the ratio if every slot contributes (a sixteenth less) and the gain of an upstream
-	// that is a quarter slower with its last slots in use.
+	// reserveMinGain is the throughput ratio that confirms a step to more empty slots. If every
+	// slot contributes, the step lowers throughput by a sixteenth. If the upstream is a quarter
+	// slower with its last slots in use, the step raises throughput by more than this ratio.
 	reserveMinGain = 1.03
-	// reserveMinKept is the throughput ratio that counts as unchanged. It applies if slots stay
-	// idle although there are fewer of them.
+	// reserveMinKept is the throughput ratio from which throughput counts as unchanged. It confirms
+	// a step after which slots stay idle although there are fewer of them.
 	reserveMinKept = 0.97
 )
 
--- a/internal/admission/scenario_test.go
+++ b/internal/admission/scenario_test.go
@@ -39,11 +39,11 @@
 		return 0.6 * capacity
 	})
 	m.Run(10 * time.Second)
-	all, good := m.sum(m.answeredInTime, 4, 7)
+	all, answeredByLevel := m.sum(m.answeredInTime, 4, 7)
 	_, offered := m.sum(m.offered, 4, 7)
 	must.Greater(t, 0.95*3*capacity, float64(all))
-	must.Greater(t, 0.98*float64(offered[callctx.LevelCritical]), float64(good[callctx.LevelCritical]))
-	must.Less(t, 30, good[callctx.LevelLow])
+	must.Greater(t, 0.98*float64(offered[callctx.LevelCritical]), float64(answeredByLevel[callctx.LevelCritical]))
+	must.Less(t, 30, answeredByLevel[callctx.LevelLow])
 	after, _ := m.sum(m.answeredInTime, 8, 10)
 	demand, _ := m.sum(m.offered, 8, 10)
 	must.Greater(t, 0.98*float64(demand), float64(after))
@@ -52,12 +52,12 @@
 // Guards against a limit that falls because a deeper service is slow and latency rises.
 func TestUniformSlowdownKeepsLimit(t *testing.T) {
 	m := newMixedModel(25, time.Second, latencyWithin(3*time.Second, 12*time.Second, 200*time.Millisecond, 20*time.Millisecond), steady(800))
-	least := 25
+	lowestLimit := 25
 	for s := range 15 {
 		m.Run(time.Duration(s+1) * time.Second)
-		least = min(least, m.ctl.Load().Limit)
+		lowestLimit = min(lowestLimit, m.ctl.Load().Limit)
 	}
-	must.GreaterEq(t, 18, least)
+	must.GreaterEq(t, 18, lowestLimit)
 	slowed, _ := m.sum(m.answeredInTime, 4, 12)
 	must.Greater(t, int(0.85*125*8), slowed)
 	must.Eq(t, 25, m.ctl.Load().Limit)
@@ -145,12 +145,12 @@
 		share := max(1, float64(m.ctl.Load().InFlight)/8)
 		return m.jittered(time.Duration(share * float64(10*time.Millisecond)))
 	}
-	least := 25
+	lowestLimit := 25
 	for s := range 10 {
 		m.Run(time.Duration(s+1) * time.Second)
-		least = min(least, m.ctl.Load().Limit)
+		lowestLimit = min(lowestLimit, m.ctl.Load().Limit)
 	}
-	must.Less(t, 19, least)
+	must.Less(t, 19, lowestLimit)
 	all, _ := m.sum(m.answeredInTime, 4, 10)
 	must.Greater(t, int(0.95*800*6), all)
 }
@@ -240,9 +240,9 @@
 	m.Run(8 * time.Second)
 	must.Between(t, 3, started, 40) // only probes, of 1,600 offered
 	m.Run(11 * time.Second)
-	good, _ := m.sum(m.answeredInTime, 9, 11)
+	answered, _ := m.sum(m.answeredInTime, 9, 11)
 	demand, _ := m.sum(m.offered, 9, 11)
-	must.Greater(t, 0.97*float64(demand), float64(good))
+	must.Greater(t, 0.97*float64(demand), float64(answered))
 }
 
 // Guards against fast calls that are refused permanently because only slow calls are measured.
@@ -265,8 +265,8 @@
 		return m.jittered(100 * time.Millisecond)
 	}
 	m.Run(8 * time.Second)
-	_, good := m.sum(m.answeredInTime, 5, 8)
-	must.Greater(t, int(0.95*300*3), good[callctx.LevelHigh])
+	_, answeredByLevel := m.sum(m.answeredInTime, 5, 8)
+	must.Greater(t, int(0.95*300*3), answeredByLevel[callctx.LevelHigh])
 }
 
 // Guards against refusing a critical call while calls of low importance wait in the queue.
--- a/internal/admission/shedclassifier.go
+++ b/internal/admission/shedclassifier.go
@@ -21,8 +21,8 @@
 	// as random. Each measurement with the same result extends the time, and one that finds lack of
 	// capacity ends it. It is about ten measurements at usual call rates.
 	ignoreRandomFor = 2 * time.Second
-	// loadBuckets is the number of buckets for the number of concurrent calls. It separates each of
-	// 16 slots, and every second one of 122.
+	// loadBuckets is the number of buckets for the number of concurrent calls. With 16 slots each
+	// number has its own bucket; with 122 slots about two numbers share one.
 	loadBuckets = 64
 )
 
@@ -76,7 +76,7 @@
 	s.shedCalls = loadCounts{}
 }
 
-// callStarted records the start of a call beside the given number of running calls.
+// callStarted records the start of a call while the given number of other calls is running.
 func (s *shedClassifier) callStarted(concurrent, slots int) {
 	if s.active {
 		s.startedCalls.add(concurrent, slots)
--- a/internal/admission/threshold.go
+++ b/internal/admission/threshold.go
@@ -8,7 +8,8 @@
 	bucketWidth = 1 << bucketShift
 	// minThreshold always admits a sixteenth of the critical callers.
 	minThreshold = 4 * bucketWidth
-	// decay is the factor applied to all sums per period. They cover about four periods.
+	// decay is the factor applied to all sums once per period. The sums therefore cover about four
+	// periods.
 	decay = 0.75
 	// smallRaise is the step per interval while most slots are in use: a 16th of a level.
 	smallRaise = 4 * bucketWidth
@@ -22,8 +23,8 @@
 	// rejectedShare is the share of offers rejected by a full queue that counts as pressure even
 	// without a standing delay.
 	rejectedShare = 0.05
-	// Below fullUse of the slots, some more callers can be admitted. Below lightUse, the threshold
-	// opens fast.
+	// fullUse and lightUse are shares of the slots in use. Below fullUse the threshold rises by
+	// smallRaise per interval, and below lightUse by steps that double from firstRaise.
 	fullUse  = 0.95
 	lightUse = 0.75
 )
@@ -33,9 +34,11 @@
 type shedder struct {
 	threshold uint32
 	nextRaise uint32
-	offers    [rankBuckets]float32
-	offered   float32
-	started   float32
+	// offers counts the offered calls by rank bucket, and offered is their sum. started counts the
+	// calls that started. All of them decay over periods.
+	offers  [rankBuckets]float32
+	offered float32
+	started float32
 	// rejected counts calls refused because of a full queue or an expired wait, decaying over
 	// periods. rejectedInPeriod counts those of the current period.
 	rejected         float32
@@ -88,9 +91,9 @@
 	s.age()
 }
 
-// lower lowers the threshold by at least one bucket. If the capacity ends within a bucket, this
-// bucket is kept. Otherwise a single caller with most of the traffic would be shed completely,
-// and slots would stay idle.
+// lower lowers the threshold by at least one bucket. If the capacity is used up by a part of the
+// calls of a bucket, the threshold stays above this bucket. Otherwise a single caller with most of
+// the traffic would be shed completely, and slots would stay idle.
 func (s *shedder) lower() {
 	next := min(s.threshold, s.thresholdFor(s.started*capacityMargin))
 	if next == s.threshold && next > minThreshold {
@@ -110,15 +113,15 @@
 	return openThreshold
 }
 
-// raise raises the threshold to the value that would fill the slots, but by at most step. Entry
-// nodes refuse requests early that this guard would shed, so the offers above the threshold are
-// not all counted here.
+// raise raises the threshold to the value that would fill the slots, but by at most step. That
+// value can be too high: entry nodes refuse requests early that this guard would shed, so the
+// offers above the threshold are not all counted here.
 func (s *shedder) raise(step uint32, use float64) {
 	if s.threshold > openThreshold-step {
 		step = openThreshold - s.threshold
 	}
-	fitting := s.thresholdFor(s.started / float32(max(use, 0.01)))
-	s.threshold = min(s.threshold+step, max(fitting, s.threshold))
+	fittingThreshold := s.thresholdFor(s.started / float32(max(use, 0.01)))
+	s.threshold = min(s.threshold+step, max(fittingThreshold, s.threshold))
 }
 
 func (s *shedder) age() {
--- a/internal/admission/tree.go
+++ b/internal/admission/tree.go
@@ -10,8 +10,8 @@
 
 const (
 	// treeMaxAge is how long a threshold is used without a new response of the route. It is ten
-	// times the longest period between threshold changes of a guard, because with hundreds of entry
-	// nodes each of them receives about one response per second.
+	// times maxThresholdPeriod, because with hundreds of entry nodes each of them receives about
+	// one response per second.
 	treeMaxAge = 3 * time.Second
 	// treeMinGain is the minimum weight of a response. A response carries the threshold of one
 	// guard, and the guards of a service differ. Seven responses in quick succession move the
@@ -32,13 +32,13 @@
 // TreeGate refuses requests of one route at their entry node, based on what the services called
 // behind their upstream shed. The zero value is open. It is not safe for concurrent use.
 //
-// It handles overload of the deepest service of a call chain, which sheds calls from some rank
-// upwards. All calls of a tree have the rank of its root, so a root of such a rank fails after
-// three services have worked for it, and its other calls have used capacity without a result. A
-// refusal at the entry node avoids this cost. The more entry nodes there are, the fewer
-// responses each of them receives, so a response after a long interval has more weight than one
-// of many. Only the responses of a route count against it: another route to the same service
-// that calls no deeper service is not affected.
+// It handles overload of the deepest service of a call chain. That service sheds calls from some
+// rank upwards, and all calls of a tree have the rank of its root. A root of such a rank therefore
+// fails after three services have worked for it, and its other calls have used capacity without a
+// result. A refusal at the entry node avoids this cost. The more entry nodes there are, the fewer
+// responses each of them receives, so a response after a long interval has more weight than one of
+// many. A gate uses only the responses of its own route: another route to the same service that
+// calls no deeper service is not affected.
 type TreeGate struct {
 	threshold float64
 	updated   time.Time
@@ -64,7 +64,8 @@
 }
 
 // Admit returns a refusal if the request must be rejected, and nil otherwise. u and v are random
-// numbers in [0, 1).
+// numbers in [0, 1): u selects the requests that are admitted as probes, and v sets the jitter of
+// the retry delay.
 func (g *TreeGate) Admit(now time.Time, level callctx.Level, hash uint32, objective time.Duration, u, v float64) *result.Refusal {
 	threshold := g.Threshold(now)
 	if Rank(level, hash) < threshold || u < treeProbeShare {
--- a/internal/admission/treemodel_test.go
+++ b/internal/admission/treemodel_test.go
@@ -19,7 +19,7 @@
 	// meanCallDuration is the mean duration of a call to the deepest service.
 	meanCallDuration = 55 * time.Millisecond
 	// rootDurationFactor is the duration of a call of a route that uses only the deepest service,
-	// as a multiple of other calls.
+	// as a multiple of the duration of other calls.
 	rootDurationFactor = 3
 )
 
