--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -50,10 +50,11 @@
 	return call, retry.NewAccount(r.Retries)
 }
 
-// ChildEnded records the end of a call at the running call that made it: the rank from which
-// deeper services shed calls, and the root cause of a failure. The response of the whole tree
-// carries both to the entry node. The log line of the entry node then names the deepest decision,
-// even when the node that took the decision dropped its own log line because of its rate limit.
+// ChildEnded records the end of a call at the running call that made it: the threshold at which
+// deeper services shed calls (see Response.ShedThreshold), and the root cause of a failure. The
+// response of the whole tree carries both to the entry node. The log line of the entry node then
+// names the root cause, even when the node that refused or failed the call dropped its own log line
+// because of its rate limit.
 func (n *Node) ChildEnded(now time.Time, call *Call, a *Response) {
 	if call.Ctx.ParentID == "" {
 		return
--- a/internal/node/call.go
+++ b/internal/node/call.go
@@ -80,13 +80,14 @@
 	Body   []byte
 	// Refusal is set when the response is not complete.
 	Refusal *result.Refusal
-	// ShedThreshold is the lowest rank from which deeper services shed calls, as far as this call
-	// reached them; routing.NoThreshold when they shed none.
+	// ShedThreshold is the lowest threshold of the deeper services that this call reached. Such a
+	// service sheds calls whose admission.Rank is not below its threshold; routing.NoThreshold
+	// when none sheds calls.
 	ShedThreshold uint32
 	// SheddingService is the deeper service with that threshold; empty when none sheds calls.
 	SheddingService string
-	// Cause is the root cause of a failed response when a call made for it failed; nil when
-	// none did.
+	// Cause is the root cause of a failure when a call that the upstream made for this one failed;
+	// nil when none did.
 	Cause *result.Cause
 	// UnusedAllowance is the part of the call's allowance that was not spent and is returned to the
 	// sender.
--- a/internal/node/concurrent_test.go
+++ b/internal/node/concurrent_test.go
@@ -105,7 +105,7 @@
 			s.crash(call)
 			return
 		}
-		s.g.Finish(time.Now(), id, wholeResponseOf(call, request))
+		s.g.Finish(time.Now(), id, completeResponseOf(call, request))
 	}()
 }
 
@@ -175,8 +175,8 @@
 }
 
 // transmit sends an attempt to its guard. One in five uses a connection that becomes
-// unresponsive before or after the guard received the call: the call arrives late or its
-// response never does, and a second transmission follows.
+// unresponsive before or after the guard received the call: either the call arrives late, or
+// its response is lost. A second transmission follows.
 func (s *sim) transmit(ctx context.Context, rng *rand.Rand, node string, call *Call) *Response {
 	g := s.guards[node].g
 	if rng.IntN(5) > 0 {
@@ -251,9 +251,9 @@
 	}
 }
 
-// Guards against a broken at-most-once guarantee, or a leaked slot, when concurrent calls meet
-// faults.
-func TestHistoriesOfConcurrentCalls(t *testing.T) {
+// Guards against a call that runs more than once, a false result, and a slot that is not released.
+// Concurrent calls are shed, time out, are transmitted twice and are resent while upstreams crash.
+func TestConcurrentCallsRunAtMostOnce(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSim(seed)
--- a/internal/node/dispatch.go
+++ b/internal/node/dispatch.go
@@ -66,17 +66,17 @@
 	tried     []string
 	ownerNode string // owner of the key, as named by the last response
 	redirects int
-	// maybeRan is the response of the first attempt that may have run; nil when there is none.
-	maybeRan *Response
-	attempts int
-	retries  int
-	// reroutes counts the attempts that did not reach an upstream and were sent elsewhere
-	// without cost.
+	// maybeRanResponse is the response of the first attempt that may have run; nil when there is none.
+	maybeRanResponse *Response
+	attempts         int
+	retries          int
+	// reroutes counts the attempts that did not reach an upstream and were followed by an attempt
+	// at another node without spending the allowance.
 	reroutes         int
 	crashRecords     []quarantine.CrashRecord
-	waitedForSuspect bool // paused once until the suspected request may run
+	waitedForSuspect bool // waitForSuspect has paused the call
 	pause            time.Duration
-	final            *Response
+	finalResponse    *Response
 	target           *routing.Target
 	share            *retry.Share
 	sentAt           time.Time
@@ -103,8 +103,8 @@
 			d.node.recordReceived(now, d.call, d.account.Balance())
 		}
 	}
-	if d.final != nil {
-		return Action{Kind: ActionDone, Response: d.final}
+	if d.finalResponse != nil {
+		return Action{Kind: ActionDone, Response: d.finalResponse}
 	}
 	if d.pause > 0 {
 		pause := d.pause
@@ -113,12 +113,12 @@
 	}
 	if d.call.Ctx.Remaining(now) <= 0 {
 		d.settle(Refused(d.call.Ctx.CallID, result.Refuse(result.DeadlineTooNear, "the deadline passed before an upstream was chosen")))
-		return Action{Kind: ActionDone, Response: d.final}
+		return Action{Kind: ActionDone, Response: d.finalResponse}
 	}
 	target, refusal := d.pick(now)
 	if refusal != nil {
 		d.settle(Refused(d.call.Ctx.CallID, refusal))
-		return Action{Kind: ActionDone, Response: d.final}
+		return Action{Kind: ActionDone, Response: d.finalResponse}
 	}
 	return d.send(now, target)
 }
@@ -127,17 +127,17 @@
 // guarantees "not run" would then be false, and the caller gets the response of the earlier
 // attempt.
 func (d *Dispatch) settle(a *Response) {
-	last := retry.Attempt{Code: a.Code, MayHaveRun: d.maybeRan != nil}
+	last := retry.Attempt{Code: a.Code, MayHaveRun: d.maybeRanResponse != nil}
 	if retry.FinalCode(last) != a.Code {
-		a = d.maybeRan
+		a = d.maybeRanResponse
 	}
-	d.final = a
+	d.finalResponse = a
 }
 
 // Leave ends a call whose caller left between two attempts. Otherwise the next attempt would
 // still be sent, and a call that is not idempotent would run to its end without a receiver.
 func (d *Dispatch) Leave() {
-	if d.final == nil {
+	if d.finalResponse == nil {
 		d.settle(Refused(d.call.Ctx.CallID, result.Refuse(result.Cancelled, "the caller left before the next attempt")))
 	}
 }
@@ -220,7 +220,7 @@
 	throttle := d.router.Throttle(d.call.Ctx.Service)
 	if a.Complete() {
 		throttle.Success()
-		d.final = a
+		d.finalResponse = a
 		return
 	}
 	d.mayHaveArrived = d.mayHaveArrived || !didNotReachUpstream(a.Code)
@@ -231,8 +231,8 @@
 		a.Upstream = d.target.Endpoint().Node
 		d.router.ReportCrash(now, d.call, a)
 	}
-	if a.Code.Ran() != result.RanNo && d.maybeRan == nil {
-		d.maybeRan = a
+	if a.Code.Ran() != result.RanNo && d.maybeRanResponse == nil {
+		d.maybeRanResponse = a
 	}
 	d.decide(now, a, throttle)
 }
@@ -247,7 +247,7 @@
 		Idempotent: d.call.Ctx.Idempotent,
 		Remaining:  d.call.Ctx.Remaining(now),
 		Owner:      a.Refusal.Owner,
-		MayHaveRun: d.maybeRan != nil && d.maybeRan != a,
+		MayHaveRun: d.maybeRanResponse != nil && d.maybeRanResponse != a,
 		Number:     d.retries,
 		OwnerAsked: d.redirects,
 		Rand:       d.rng,
@@ -306,12 +306,13 @@
 	return false
 }
 
-// waitForSuspect pauses the call once when its request was running at a crash, until the
-// request may run alone. The records of other crashes take a moment to arrive from the peers.
-// It reports whether the call is paused.
+// waitForSuspect pauses a call once if an attempt of it was running when an upstream crashed and a
+// guard now refuses it as quarantined. The pause is the retry delay of the refusal, after which the
+// request may run alone; it gives the records of other crashes time to arrive from the peers.
+// waitForSuspect reports whether the call is paused.
 func (d *Dispatch) waitForSuspect(now time.Time, a *Response) bool {
 	wait := a.Refusal.RetryAfter
-	inFlight := d.maybeRan != nil && d.maybeRan.Crashed != 0
+	inFlight := d.maybeRanResponse != nil && d.maybeRanResponse.Crashed != 0
 	if a.Code != result.Quarantined || !inFlight || d.waitedForSuspect || wait <= 0 {
 		return false
 	}
--- a/internal/node/dispatch_property_test.go
+++ b/internal/node/dispatch_property_test.go
@@ -45,7 +45,7 @@
 type sentAttempt struct {
 	id, node string
 	ran      result.Ran
-	whole    bool
+	complete bool
 }
 
 // drawResponse draws the response of an attempt. The unused allowance that it reports may exceed
@@ -57,7 +57,7 @@
 		result.Quarantined, result.OutcomeUnknown, result.NoAuthority, result.DeadlinePassed, result.CancelledRunning,
 	}).Draw(t, "code")
 	if code == result.OK || code == result.UpstreamFailed && rapid.Bool().Draw(t, "whole") {
-		a := wholeResponseOf(action.Attempt, "x")
+		a := completeResponseOf(action.Attempt, "x")
 		a.Code = code
 		return a
 	}
@@ -72,8 +72,8 @@
 	return a
 }
 
-// Guards against retries beyond the allowance, or a false `ran: no`, for any sequence of
-// responses.
+// Guards against retries beyond the allowance, and against a refusal with `ran: no` although an
+// attempt may have run, for any sequence of responses.
 func TestDispatchProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		router := newFakeRouter(rapid.IntRange(1, 5).Draw(t, "upstreams"), epoch)
@@ -128,7 +128,7 @@
 	if !d.call.Ctx.Idempotent && mayHaveRun > 1 {
 		t.Fatalf("%d attempts of a call that is not idempotent may have run", mayHaveRun)
 	}
-	if final.Complete() && !attempts[len(attempts)-1].whole {
+	if final.Complete() && !attempts[len(attempts)-1].complete {
 		t.Fatalf("the final response is complete, the response of the last attempt is not")
 	}
 }
--- a/internal/node/fake_test.go
+++ b/internal/node/fake_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func wholeResponseOf(call *Call, body string) *Response {
+func completeResponseOf(call *Call, body string) *Response {
 	return &Response{CallID: call.Ctx.CallID, Code: result.OK, Status: 200, Body: []byte(body)}
 }
 
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -32,7 +32,7 @@
 	// MayStart is called right before the call is sent. A nil refusal permits the start until
 	// startBy; zero means that there is no other bound than the deadline.
 	MayStart(now time.Time, call *Call) (startBy time.Time, refusal *result.Refusal)
-	// NeedsClaim reports whether a claim of the key must be in the log first.
+	// NeedsClaim reports whether a claim of the key must be in the log before the call runs.
 	NeedsClaim(call *Call) bool
 }
 
@@ -78,8 +78,9 @@
 
 // GuardConfig limits what a guard retains.
 type GuardConfig struct {
-	// KeepDone is how long the response of a finished call is kept for a re-attachment. It must
-	// exceed the time during which a re-attachment can race the first transmission.
+	// KeepDone is how long the response of a finished call is kept for a re-attachment, which is a
+	// second transmission of the same call ID (see Call.Reattach). It must exceed the time by which
+	// one of the two transmissions can arrive after the other.
 	KeepDone time.Duration
 	// KeepDoneBytes bounds the size of those responses.
 	KeepDoneBytes int64
@@ -118,10 +119,10 @@
 	calls       map[string]*execution
 	done        []*execution // finished, oldest first
 	doneBytes   int64
-	// stripped is the number of entries at the start of done whose response is no longer
+	// strippedCount is the number of entries at the start of done whose response is no longer
 	// stored.
-	stripped int
-	draining bool
+	strippedCount int
+	draining      bool
 	// stopAt is the time at which the node's process stops; zero while no stop is planned.
 	stopAt     time.Time
 	upstreamUp bool
@@ -150,7 +151,7 @@
 	}
 }
 
-// callbacks collects calls that must be made after the guard's lock is released.
+// callbacks are functions that must be called after the guard's lock is released.
 type callbacks []func()
 
 func (c callbacks) run() {
--- a/internal/node/guard_arrive.go
+++ b/internal/node/guard_arrive.go
@@ -46,9 +46,9 @@
 	return e.nextWaiter, nil
 }
 
-// decideLocked decides on a call ID that was never seen here. A known key is answered from the
-// key table even while draining: its first transmission may have run here, and no other guard
-// knows that.
+// decideLocked decides on a call whose ID this guard has not received before. A known key gets its
+// response from the key table even while draining: an earlier call with the key may have run here,
+// and no other guard has a record of it.
 func (g *Guard) decideLocked(now time.Time, call *Call, w Waiter, deferred *callbacks) (int, *Response) {
 	if call.Keyed() {
 		if response, settled := g.beginKeyLocked(now, call, w); settled {
@@ -64,7 +64,8 @@
 
 func (g *Guard) checkLocked(now time.Time, call *Call) *result.Refusal {
 	if call.Keyed() && !g.authority.NeedsClaim(call) {
-		// Checked before draining: while slots move, this refusal names their next owner.
+		// This check precedes the check for draining: while the slots of the keys are handed over to
+		// another node, its refusal names the next owner.
 		if _, refusal := g.authority.MayStart(now, call); refusal != nil {
 			return refusal
 		}
@@ -106,7 +107,7 @@
 	case idempotency.Conflict:
 		return g.refusalResponseLocked(call, result.Refuse(result.KeyReused, "the key was used before with a different body")), true
 	case idempotency.TableFull:
-		return g.refusalResponseLocked(call, result.Refuse(result.NoAuthority, "the table of keys is full")), true
+		return g.refusalResponseLocked(call, result.Refuse(result.NoAuthority, "the guard's table of idempotency keys is full")), true
 	default:
 		return g.refusalResponseLocked(call, result.Refuse(result.OutcomeUnknown, "an earlier attempt with this key may have run")), true
 	}
--- a/internal/node/guard_end.go
+++ b/internal/node/guard_end.go
@@ -34,8 +34,8 @@
 	g.keepLocked(now, e)
 }
 
-// settleKeyLocked records the outcome of the call's key. Only a code that guarantees "not run"
-// lets a resend run.
+// settleKeyLocked records the outcome of the call's key. A resend with the key runs only after a
+// code that guarantees "not run".
 func (g *Guard) settleKeyLocked(now time.Time, call *Call, a *Response) {
 	if !call.Keyed() {
 		return
@@ -82,10 +82,10 @@
 		n++
 	}
 	g.done = g.done[n:]
-	g.stripped = max(0, g.stripped-n)
-	for g.doneBytes > g.cfg.KeepDoneBytes && g.stripped < len(g.done) {
-		g.stripLocked(g.done[g.stripped])
-		g.stripped++
+	g.strippedCount = max(0, g.strippedCount-n)
+	for g.doneBytes > g.cfg.KeepDoneBytes && g.strippedCount < len(g.done) {
+		g.stripLocked(g.done[g.strippedCount])
+		g.strippedCount++
 	}
 }
 
--- a/internal/node/guard_model_test.go
+++ b/internal/node/guard_model_test.go
@@ -104,16 +104,16 @@
 	if len(m.calls) == 0 {
 		t.Skip("no call yet")
 	}
-	again := *rapid.SampledFrom(m.calls).Draw(t, "call")
-	ended, ran := m.started[again.Ctx.CallID]
+	reattachment := *rapid.SampledFrom(m.calls).Draw(t, "call")
+	ended, ran := m.started[reattachment.Ctx.CallID]
 	if ran && !ended.IsZero() && m.now.Sub(ended) >= m.g.cfg.KeepDone {
 		t.Skip("no longer retained")
 	}
-	if at, ok := m.refusedReattach[again.Ctx.CallID]; ok && m.now.Sub(at) >= m.g.cfg.KeepDone {
+	if at, ok := m.refusedReattach[reattachment.Ctx.CallID]; ok && m.now.Sub(at) >= m.g.cfg.KeepDone {
 		t.Skip("no longer retained")
 	}
-	again.Reattach = true
-	m.send(&again)
+	reattachment.Reattach = true
+	m.send(&reattachment)
 }
 
 func (m *guardModel) send(call *Call) {
@@ -190,7 +190,7 @@
 	if code.Ran() == result.RanNo {
 		delete(m.keys, call.Ctx.Key)
 	}
-	a := wholeResponseOf(call, "a body that exceeds KeepDoneBytes, so that the response of each call is dropped")
+	a := completeResponseOf(call, "a body that exceeds KeepDoneBytes, so that the response of each call is dropped")
 	if code != result.OK && code != result.UpstreamFailed {
 		a = refusedWith(call, code)
 	}
--- a/internal/node/guard_test.go
+++ b/internal/node/guard_test.go
@@ -57,7 +57,7 @@
 	g.OnCancel("letter", func() { cancelled = true })
 	g.Leave(epoch, "letter", token)
 	must.False(t, cancelled)
-	g.Finish(epoch, "letter", wholeResponseOf(call, "signed"))
+	g.Finish(epoch, "letter", completeResponseOf(call, "signed"))
 	again := newCall("letter-again", epoch.Add(time.Minute))
 	again.Ctx.Key = "k"
 	_, response := g.Arrive(epoch, again, func(*Response) {})
@@ -85,16 +85,17 @@
 	must.SliceEmpty(t, waiter.got)
 }
 
-// Guards against a second run of a call whose ID was evicted along with its response.
+// Guards against a second run of a call whose ID was evicted along with its response. A re-attachment
+// arrives after the response was dropped to stay within KeepDoneBytes.
 func TestEvictedResponseKeepsItsCallID(t *testing.T) {
 	runner := &fakeRunner{}
 	g := newGuard(2, runner, &fakeAuthority{})
 	first := newCall("first", epoch.Add(time.Minute))
 	g.Arrive(epoch, first, func(*Response) {})
-	g.Finish(epoch, "first", wholeResponseOf(first, "done"))
+	g.Finish(epoch, "first", completeResponseOf(first, "done"))
 	large := newCall("large", epoch.Add(time.Minute))
 	g.Arrive(epoch, large, func(*Response) {})
-	g.Finish(epoch, "large", wholeResponseOf(large, strings.Repeat("x", 100)))
+	g.Finish(epoch, "large", completeResponseOf(large, strings.Repeat("x", 100)))
 	again := newCall("first", epoch.Add(time.Minute))
 	again.Reattach = true
 	_, response := g.Arrive(epoch.Add(time.Second), again, func(*Response) {})
@@ -143,7 +144,9 @@
 	must.Len(t, 1, runner.runs)
 }
 
-// Guards against a call running after its joined re-attachment was answered with `ran: no`.
+// Guards against a call running after its re-attachment was answered with `ran: no`. The re-attachment
+// joined another call with the same key, and the claim of that call failed; the first
+// transmission arrives afterwards.
 func TestJoinedReattachmentRefusalIsFinal(t *testing.T) {
 	runner := &fakeRunner{}
 	g := newGuard(2, runner, &fakeAuthority{claims: true})
@@ -172,11 +175,12 @@
 	call := newCall("large", epoch.Add(time.Minute))
 	call.Body = make([]byte, 1<<20)
 	g.Arrive(epoch, call, func(*Response) {})
-	g.Finish(epoch, "large", wholeResponseOf(call, "x"))
+	g.Finish(epoch, "large", completeResponseOf(call, "x"))
 	must.SliceEmpty(t, g.calls["large"].call.Body)
 }
 
-// Guards against a call running after its re-attachment was answered with `ran: no`.
+// Guards against a call running after its re-attachment was answered with `ran: no`. The first
+// transmission arrives after the re-attachment.
 func TestReattachmentRefusalIsFinal(t *testing.T) {
 	runner := &fakeRunner{}
 	g := NewGuard(DefaultGuardConfig(), 1, runner, &fakeAuthority{}, epoch)
@@ -201,13 +205,13 @@
 		id := "usual-" + strconv.Itoa(i)
 		g.Arrive(now, newCall(id, now.Add(time.Minute)), func(*Response) {})
 		now = now.Add(50 * time.Millisecond)
-		g.Finish(now, id, wholeResponseOf(newCall(id, now), "ok"))
+		g.Finish(now, id, completeResponseOf(newCall(id, now), "ok"))
 	}
 	g.SetStopTime(now.Add(time.Second))
 	var in inbox
 	_, response := g.Arrive(now.Add(700*time.Millisecond), newCall("short", now.Add(time.Minute)), in.put)
 	must.Nil(t, response)
-	g.Finish(now.Add(750*time.Millisecond), "short", wholeResponseOf(newCall("short", now), "ok"))
+	g.Finish(now.Add(750*time.Millisecond), "short", completeResponseOf(newCall("short", now), "ok"))
 	_, response = g.Arrive(now.Add(900*time.Millisecond), newCall("late", now.Add(time.Minute)), in.put)
 	must.NotNil(t, response)
 	must.EqOp(t, result.Draining, response.Code)
--- a/internal/node/guard_upstream.go
+++ b/internal/node/guard_upstream.go
@@ -110,8 +110,8 @@
 	g.endLocked(now, e, Refused(e.call.Ctx.CallID, refusal), deferred)
 }
 
-// stopLatencyFactor is the time that must remain before the node stops for it to accept a new
-// call, as a multiple of the median latency. Hardly any call takes longer than that.
+// stopLatencyFactor times the median latency is the time before the planned stop of the node from
+// which new calls are refused. Hardly any call takes longer than that.
 const stopLatencyFactor = 4
 
 // SetStopTime sets the time at which the node's process stops. A call that would probably still run
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -184,8 +184,8 @@
 	return t.(*throttle).Throttle
 }
 
-// idBytes is the length of a call ID: 128 random bits, so that IDs stay unique over years of
-// 5.5 million calls a second.
+// idBytes is the length of a call ID: 128 random bits, so that IDs stay unique for years at
+// 5.5 million calls per second.
 const idBytes = 16
 
 // NewID implements Router.
@@ -276,7 +276,7 @@
 		return nil, nil, refusal
 	}
 	if parent.Depth+1 > eff.MaxDepth {
-		return nil, nil, result.Refuse(result.TooDeep, "depth %d, bound %d", parent.Depth+1, eff.MaxDepth)
+		return nil, nil, result.Refuse(result.TooDeep, "call depth is %d, limit is %d", parent.Depth+1, eff.MaxDepth)
 	}
 	n.cfg.Metrics.Inc(metrics.CallsFromUpstream, 1)
 	call := &Call{Ctx: parent, Sampled: running.Sampled}
--- a/internal/node/observe.go
+++ b/internal/node/observe.go
@@ -108,8 +108,8 @@
 // eventRecorder records the events of a guard's calls; a nil recorder discards them.
 type eventRecorder struct {
 	node *Node
-	// recorded is the load that was last recorded.
-	recorded        admission.Load
+	// lastLoad is the load that was last recorded.
+	lastLoad        admission.Load
 	limitRecordedAt time.Time
 }
 
@@ -207,19 +207,19 @@
 	if o == nil {
 		return
 	}
-	if l.Overloaded != o.recorded.Overloaded {
+	if l.Overloaded != o.lastLoad.Overloaded {
 		kind := timeline.OverloadFinished
 		if l.Overloaded {
 			kind = timeline.OverloadStarted
 		}
 		o.node.Event(now, timeline.Event{Kind: kind, Upstream: o.node.ID(), Detail: fmt.Sprintf("in flight %d, limit %d, queued %d, threshold %d", l.InFlight, l.Limit, l.Queued, l.Threshold)})
-		o.recorded.Overloaded = l.Overloaded
+		o.lastLoad.Overloaded = l.Overloaded
 	}
-	if l.Limit == o.recorded.Limit || now.Sub(o.limitRecordedAt) < minLimitInterval {
+	if l.Limit == o.lastLoad.Limit || now.Sub(o.limitRecordedAt) < minLimitInterval {
 		return
 	}
-	o.node.Event(now, timeline.Event{Kind: timeline.LimitChanged, Upstream: o.node.ID(), Detail: fmt.Sprintf("%d to %d", o.recorded.Limit, l.Limit)})
-	o.recorded.Limit = l.Limit
+	o.node.Event(now, timeline.Event{Kind: timeline.LimitChanged, Upstream: o.node.ID(), Detail: fmt.Sprintf("concurrency limit changed from %d to %d", o.lastLoad.Limit, l.Limit)})
+	o.lastLoad.Limit = l.Limit
 	o.limitRecordedAt = now
 }
 
--- a/internal/node/observe_test.go
+++ b/internal/node/observe_test.go
@@ -35,7 +35,7 @@
 	call := &Call{}
 	call.Ctx.RequestID = "r"
 	e := &execution{call: call, arrived: at, started: at}
-	whole := &Response{Code: result.OK, Status: 200}
+	complete := &Response{Code: result.OK, Status: 200}
 	d := NewDispatch(n, rand.New(rand.NewPCG(1, 1)), call, retry.NewAccount(1))
 	d.attempts = 1
 	allocs := testing.AllocsPerRun(1000, func() {
@@ -43,8 +43,8 @@
 		n.recordRouted(at, d, call)
 		n.guard.events.offered(at, call, admission.Run, admission.Load{})
 		n.guard.events.started(at, e)
-		n.guard.events.finished(at, e, whole)
-		n.RecordResponse(call, whole, d)
+		n.guard.events.finished(at, e, complete)
+		n.RecordResponse(call, complete, d)
 		n.ObserveClock(n.Stamp(call))
 	})
 	must.Eq(t, 0, allocs)
--- a/internal/node/prior_work_test.go
+++ b/internal/node/prior_work_test.go
@@ -35,7 +35,8 @@
 	return call
 }
 
-// Guards against the further calls of a tree with prior work being shed like first calls.
+// Guards against a call being shed although the running call that makes it has made another call
+// that was already served.
 func TestCallAfterServedSiblingHasPriorWork(t *testing.T) {
 	root := &Call{Routed: true, Ctx: callctx.Context{RequestID: "q", CallID: "c", Workspace: "north", Service: "letters", Deadline: epoch.Add(time.Minute)}}
 	n := nodeRunning(t, root)
@@ -49,7 +50,8 @@
 	must.EqOp(t, "north", second.Ctx.Workspace)
 }
 
-// Guards against a tree with prior work being treated as a new one further down.
+// Guards against a call being shed deep in a tree with prior work, because its parent does not pass
+// HasPriorWork on.
 func TestChildOfCallWithPriorWorkHasPriorWork(t *testing.T) {
 	n := nodeRunning(t, &Call{Routed: true, HasPriorWork: true, Ctx: callctx.Context{RequestID: "q.1", CallID: "c", Workspace: "north", Service: "consent", Depth: 1, Deadline: epoch.Add(time.Minute)}})
 	must.True(t, acceptChild(t, n, "c").HasPriorWork)
--- a/internal/node/reconfigure_test.go
+++ b/internal/node/reconfigure_test.go
@@ -59,13 +59,13 @@
 	}
 	must.Nil(t, send("first", epoch))
 	must.SliceLen(t, 1, runner.runs)
-	n.Guard().Finish(epoch.Add(time.Second), "first", wholeResponseOf(runner.runs[0], "issued"))
+	n.Guard().Finish(epoch.Add(time.Second), "first", completeResponseOf(runner.runs[0], "issued"))
 	late := epoch.Add(40 * time.Minute)
 	n.Guard().Tick(late)
-	again := send("again", late)
+	resendResponse := send("again", late)
 	must.SliceLen(t, 1, runner.runs)
-	must.NotNil(t, again)
-	must.NotEq(t, result.RanNo, again.Code.Ran())
+	must.NotNil(t, resendResponse)
+	must.NotEq(t, result.RanNo, resendResponse.Code.Ran())
 	must.Eq(t, 7*time.Second, routingOverrides(n.Policy())["s"].SlowStart)
 }
 
