--- a/internal/proxy/cluster_test.go
+++ b/internal/proxy/cluster_test.go
@@ -224,7 +224,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !cond(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the condition never held")
+			t.Fatal("the condition did not become true within testTimeout")
 		}
 	}
 }
--- a/internal/proxy/latency_test.go
+++ b/internal/proxy/latency_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against a slow upstream that appears fast, because the end of a call is taken before the call
-// is sent.
+// Guards against a slow upstream that appears fast, because the end time of a call is read before the
+// call is sent.
 func TestLatencyOfATargetCoversTheCall(t *testing.T) {
 	const serviceTime = 60 * time.Millisecond
 	c := newCluster(t)
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -16,14 +16,14 @@
 	"github.com/galenagrade/galenagrade/internal/routing"
 )
 
-// maxReattaches is the maximum number of concurrent re-attachments to one peer. It prevents a burst
-// of new connections to a slow peer.
+// maxReattaches is the maximum number of concurrent re-attachments (see Peers.Send) to one peer. It
+// prevents a burst of new connections to a slow peer.
 const maxReattaches = 16
 
 // ConnectionConfig configures the connections to other nodes.
 type ConnectionConfig struct {
-	// Connect is the timeout for establishing a connection without its TLS handshake; this usually
-	// takes about 1 ms. It does not apply to a dial function given to NewPeers.
+	// Connect is the timeout for establishing a connection without its TLS handshake. Establishing one
+	// usually takes about 1 ms. The timeout does not apply to a dial function given to NewPeers.
 	Connect time.Duration
 	// Idle is how long an unused connection stays open. A device on the path may have lost the state
 	// of an idle connection, and neither end would receive an error.
@@ -34,8 +34,8 @@
 	// PathTimeout is the time without acknowledgements after which a connection fails; 0 disables this
 	// check, so that only the re-attachment detects a broken path.
 	PathTimeout time.Duration
-	// Reattach bounds the time to wait for a response before a re-attachment; 0 for both uses the
-	// default bounds.
+	// Reattach bounds the time to wait for a response before a re-attachment (see Peers.Send); 0 for
+	// both uses the default bounds.
 	Reattach WaitBounds
 }
 
@@ -207,9 +207,9 @@
 //
 // A connection can become unresponsive permanently while new connections work. The first
 // transmission would then wait until the deadline of the call. After a multiple of the usual response
-// time, the same call ID is therefore sent again over a new connection. If the guard knows the call,
-// the second transmission joins it; otherwise the guard runs it now. The call cannot run twice,
-// because a guard runs a call ID at most once.
+// time, the same call ID is therefore sent again over a new connection. This second transmission is
+// called a re-attachment. If the guard knows the call, the second transmission joins it; otherwise
+// the guard runs it now. The call cannot run twice, because a guard runs a call ID at most once.
 func (p *Peers) Send(ctx context.Context, endpoint routing.Endpoint, call *node.Call) *node.Response {
 	peer := p.peer(endpoint.Addr)
 	started := p.node.Now()
--- a/internal/proxy/peers_test.go
+++ b/internal/proxy/peers_test.go
@@ -75,7 +75,8 @@
 	must.Eq(t, result.Unreachable, send("never sent").Code)
 }
 
-// Guards against the refusal of the first transmission being returned while the second one runs.
+// Guards against the refusal of the first transmission being returned while the second one runs: the
+// caller would receive "not run" for a call that runs.
 func TestRefusalOfFirstTransmissionIsNotFinal(t *testing.T) {
 	reattached, refused := make(chan struct{}), make(chan struct{})
 	send := startFakeGuard(t, func(_ net.Listener, h *innerpb.CallHeader, w http.ResponseWriter) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -198,9 +198,10 @@
 		case node.ActionPause:
 			wait.For(ctx, action.Pause)
 		case node.ActionSend:
-			// The time is read after the response. As an argument next to p.send it would be the time
-			// before the call: every latency would be microseconds, a slow upstream would look fast, and
-			// load reports would be as old as the call.
+			// p.send is a statement of its own, so that the time is read after the response. Go evaluates
+			// the arguments of Observe(p.node.Now(), p.send(ctx, action)) from left to right and would
+			// read the time before the call: every latency would be microseconds, a slow upstream would
+			// look fast, and load reports would be as old as the call.
 			resp := p.send(ctx, action)
 			dispatch.Observe(p.node.Now(), resp)
 		}
--- a/internal/proxy/responsetime.go
+++ b/internal/proxy/responsetime.go
@@ -16,7 +16,9 @@
 	minReattachWait = 100 * time.Millisecond
 	// maxReattachWait limits the delay that one unresponsive connection causes for a caller.
 	maxReattachWait = 1 * time.Second
-	// Gains of the smoothed response time and its deviation, as in RFC 6298.
+	// As in RFC 6298, an observation moves the smoothed response time by 1/meanGain of its difference
+	// and the deviation by 1/deviationGain. The wait is the smoothed response time plus
+	// deviationFactor times the deviation.
 	meanGain        = 8
 	deviationGain   = 4
 	deviationFactor = 4
--- a/internal/proxy/routed.go
+++ b/internal/proxy/routed.go
@@ -18,11 +18,11 @@
 type RequestMetadata struct {
 	// RequestID is the caller's ID of the request.
 	RequestID string
-	// Parent is the ID of the request for which this one was made; empty if unknown. It is a hint
-	// only.
+	// Parent is the request ID of the request for which this one was made; empty if unknown. An ID
+	// that no call running at the local upstream has is ignored.
 	Parent string
-	// APIKey identifies the workspace of the request; empty if the caller sent none. It must not be in
-	// Header.
+	// APIKey identifies the workspace of the request; empty if the caller sent none. Header must not
+	// contain it, so that it is not forwarded to the upstream.
 	APIKey string
 	// Timeout is how long the caller waits; 0 if it sent no timeout.
 	Timeout time.Duration
@@ -54,7 +54,7 @@
 	edge  Edge
 	quota Quota
 	table atomic.Pointer[routes.Table]
-	// treeGates refuse requests at their entry node.
+	// treeGates refuse requests at their entry node if a deeper service sheds their calls.
 	treeGates treeGates
 	// workspaceMetrics counts the requests of workspaces by result.
 	workspaceMetrics workspaceMetrics
