--- a/internal/h1/conn.go
+++ b/internal/h1/conn.go
@@ -27,14 +27,15 @@
 	// A connection with a partially written body is closed, because the server would read the next
 	// request as the rest of that body.
 	bodyGrace = 50 * time.Millisecond
-	// maxSkippedResponses bounds the late responses to earlier requests that are skipped. A server
-	// that responds twice leaves one response behind per request.
+	// maxSkippedResponses is the maximum number of late responses to earlier requests that one request
+	// skips. A server that responds twice to a request leaves the second response on the connection.
 	maxSkippedResponses = 4
-	// keepAliveShare is the used share of the idle time that a server states in Keep-Alive, so that
-	// no request is sent while the server closes the connection.
+	// keepAliveShare is the fraction of the server's idle timeout, as stated in Keep-Alive, after which
+	// an idle connection is no longer reused. The rest is a margin, so that no request is sent while
+	// the server closes the connection.
 	keepAliveShare = 0.75
-	// noKeepAliveTimeout is the idle time assumed if the server states none. It is longer than every
-	// Config.Idle, so that Config.Idle applies.
+	// noKeepAliveTimeout is the idle timeout assumed for a server that states none. It is longer than
+	// every Config.Idle, so that Config.Idle applies.
 	noKeepAliveTimeout = time.Hour
 )
 
@@ -134,8 +135,8 @@
 	return nil, false, &Error{Stage: StageSend, Cause: sendErr}
 }
 
-// bodySent reports whether a long body was written completely. After bodyGrace it closes the
-// connection and returns false.
+// bodySent waits for the end of the write of a long body and reports whether the body was written
+// completely. If the write takes longer than bodyGrace, it closes the connection and returns false.
 func (c *conn) bodySent(sent <-chan error) bool {
 	timer := time.NewTimer(bodyGrace)
 	defer timer.Stop()
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -163,7 +163,8 @@
 }
 
 // Reset closes the idle connections and prevents the reuse of those in use. It is called after one
-// connection became unresponsive, since the path may have lost the state of the others as well.
+// connection became unresponsive: a device on the path that dropped the state of one connection may
+// have dropped the state of the others as well.
 func (p *Pool) Reset() {
 	p.mu.Lock()
 	idle := p.idle
--- a/internal/h1/pool_test.go
+++ b/internal/h1/pool_test.go
@@ -17,10 +17,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// connHandler serves one accepted connection. The n-th connection is served by the n-th handler,
-// later ones by the last handler.
+// connHandler serves one accepted connection.
 type connHandler func(c net.Conn, r *bufio.Reader)
 
+// serve accepts connections at addr and counts them. The n-th connection is served by the n-th
+// handler, later ones by the last handler.
 func serve(t *testing.T, handlers ...connHandler) (addr string, accepted *atomic.Int64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -62,6 +63,7 @@
 }
 
 // Guards against connections that expire during low load and are all dialed again at the next peak.
+// Without RoundRobin, requests at a low rate use the same connection, and all others expire.
 func TestRoundRobinKeepsConnectionsInUse(t *testing.T) {
 	for _, roundRobin := range []bool{true, false} {
 		addr, _ := serve(t, echo)
@@ -152,7 +154,8 @@
 	must.LessEq(t, 4, int(accepted.Load()))
 }
 
-// Guards against a caller that receives the duplicate response to another request.
+// Guards against a caller that receives the response to another request. The server responds to the
+// first request twice, and the duplicate arrives before the response to the second request.
 func TestLateResponseToAnotherRequestIsSkipped(t *testing.T) {
 	addr, _ := serve(t, func(c net.Conn, r *bufio.Reader) {
 		first := readRequestID(r)
@@ -172,7 +175,7 @@
 
 // Guards against the response to another request being returned as this one's. The server sends
 // only that response and closes the connection.
-func TestOnlyResponseToAnotherRequest(t *testing.T) {
+func TestResponseToAnotherRequestIsRejected(t *testing.T) {
 	addr, _ := serve(t, func(c net.Conn, r *bufio.Reader) {
 		_ = readRequestID(r)
 		writeResponse(c, "z", "of z", "")
