--- a/internal/conns/keepalive.go
+++ b/internal/conns/keepalive.go
@@ -14,7 +14,8 @@
 
 // DetectDeadPath configures a dialer so that its connections fail about timeout after the peer's
 // kernel stops acknowledging, with or without unacknowledged data. It sets keep-alive probes and
-// TCP_USER_TIMEOUT.
+// TCP_USER_TIMEOUT. The idle time before the first probe and the interval after each of the maxProbes
+// probes are equal and add up to timeout.
 //
 // This covers a device on the path, such as a NAT or firewall, that drops its state of a
 // connection. Neither end receives an error, and a request on the connection never gets a response,
