--- a/internal/inner/check.go
+++ b/internal/inner/check.go
@@ -24,8 +24,8 @@
 	MaxDetailLen = 512
 	// MaxAddrLen is the limit for inner addresses.
 	MaxAddrLen = 64
-	// MaxDepth limits the call depth in a header. Call chains are up to 10 deep by design; the limit
-	// in a template is lower.
+	// MaxDepth limits the call depth in a header. Call chains are up to 10 deep by design, and
+	// templates set a limit below MaxDepth.
 	MaxDepth = 64
 	// MaxAllowance limits the retries that one call can carry.
 	MaxAllowance = 1 << 16
--- a/internal/inner/check_control.go
+++ b/internal/inner/check_control.go
@@ -12,7 +12,7 @@
 // Limits of the fields of a control message. MaxControlBytes limits the whole message.
 const (
 	// MaxListLen limits the length of a repeated field. By design an availability zone has about 412
-	// nodes (14,000 nodes in 34 zones), so the limit allows 10 times a list of all of them.
+	// nodes (14,000 nodes in 34 zones); the limit is about 10 times that number.
 	MaxListLen = 4096
 	// MaxTextLen limits a string field, in bytes.
 	MaxTextLen = 512
@@ -81,8 +81,9 @@
 	return nil
 }
 
-// checkDuration checks durations, whose field names end in _us. A negative age would make old
-// updates look recent, and the authority of an owner depends on ages.
+// checkDuration checks durations, whose field names end in _us. A negative age would make an old
+// update look recent. The authority of a key's owner depends on ages, so it could seem to continue
+// after it expired.
 func checkDuration(fd protoreflect.FieldDescriptor, us int64, path string) error {
 	if !strings.HasSuffix(string(fd.Name()), "_us") {
 		return nil
--- a/internal/inner/control.go
+++ b/internal/inner/control.go
@@ -11,7 +11,8 @@
 )
 
 // MaxControlBytes limits one message of the Control service in either direction. The largest
-// messages are parts of a state or of a hand-over; their senders limit these to a quarter of it.
+// messages carry one part of a node's state (FetchState) or of a hand-over of keys (HandOver). The
+// senders limit a part to a quarter of MaxControlBytes.
 const MaxControlBytes = 4 << 20
 
 // NewControlHandler returns the path and the handler of the Control service. Messages that exceed
