--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -63,7 +63,7 @@
 
 // candidatesLocked chooses holders that may have a token, those of the own zone first.
 // unresponsive reports that at least one holder was excluded because it is marked unresponsive or
-// skip returned true for it.
+// skip returned true for it. u is a random number in [0, 1) that selects the holder to start with.
 func (l *Ledger) candidatesLocked(now time.Time, a *account, u float64, skip func(node string) bool) (candidates []Node, unresponsive bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -61,6 +61,7 @@
 	return time.Duration(max(0, 1-b.tokens) / b.rate * float64(time.Second))
 }
 
-// noPartRetryAfter is the delay reported to a node that requests a token from a node which, by its
-// own list of nodes, holds no part of the quota.
+// noPartRetryAfter is the delay that a node without a part of the quota reports when another node
+// requests a token from it. This occurs while the two nodes have different lists of nodes
+// or different routes.
 const noPartRetryAfter = time.Second
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -9,7 +9,7 @@
 
 const (
 	// maxOwnZoneCandidates and maxOtherZoneCandidates bound the holders of the own zone and of
-	// each other zone that are asked for a token of one request; maxCandidates bounds their sum.
+	// each other zone that Take returns for one request; maxCandidates bounds their sum.
 	maxOwnZoneCandidates, maxOtherZoneCandidates, maxCandidates = 2, 1, 4
 	// minBackoff and maxBackoff bound the time for which requests of a workspace are refused
 	// without asking holders, after no holder had a token. The time doubles on each repetition,
@@ -96,9 +96,9 @@
 	return Decision{Holders: candidates, Unknown: len(candidates) == 0 && unresponsive}
 }
 
-// Grant spends a token of this node for a request of another node. If there is none, next is the
-// time until the next token.
-func (l *Ledger) Grant(now time.Time, workspace string) (granted bool, next time.Duration) {
+// Grant spends a token of this node for a request of another node. If there is none, untilNext is
+// the time until the next token.
+func (l *Ledger) Grant(now time.Time, workspace string) (granted bool, untilNext time.Duration) {
 	a := (*l.accounts.Load())[workspace]
 	if a == nil {
 		return false, noPartRetryAfter
@@ -128,11 +128,11 @@
 	})
 }
 
-// MarkEmpty records that a holder has no token until next has passed.
-func (l *Ledger) MarkEmpty(now time.Time, workspace, node string, next time.Duration) {
+// MarkEmpty records that a holder has no token until untilNext has passed.
+func (l *Ledger) MarkEmpty(now time.Time, workspace, node string, untilNext time.Duration) {
 	l.withAccount(workspace, func(a *account) {
 		maps.DeleteFunc(a.emptyUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
-		a.emptyUntil[node] = now.Add(next)
+		a.emptyUntil[node] = now.Add(untilNext)
 	})
 }
 
@@ -145,8 +145,10 @@
 }
 
 // Refuse records that a request found no token, and returns the delay after which its caller may
-// retry. The delays are spaced so that the retries of this node's callers arrive at the rate of an
-// equal part of the quota for each node. u is a random number in [0, 1).
+// retry. The time up to maxRetryAfter is divided into intervals of the number of nodes divided by the
+// quota's rate, and each refused caller gets a random time in the next interval. If all nodes refuse,
+// their callers' retries together arrive at the rate of the quota, an equal part at each node. u is a
+// random number in [0, 1).
 func (l *Ledger) Refuse(now time.Time, workspace string, u float64) time.Duration {
 	retryAfter := maxRetryAfter
 	l.withAccount(workspace, func(a *account) {
--- a/internal/quota/ring.go
+++ b/internal/quota/ring.go
@@ -80,9 +80,9 @@
 	perHolder    part
 }
 
-// minDepth is the depth of a bucket in tokens below which a quota is not divided further, where
-// the quota allows. A quota divided into many small buckets refuses the requests that arrive at
-// empty buckets while others have tokens.
+// minDepth is the least depth in tokens of a bucket when the part of a zone is divided among several
+// holders. A zone whose part is smaller has a single holder. A quota divided into many small buckets
+// refuses the requests that arrive at empty buckets while others have tokens.
 const minDepth = 6
 
 // split divides a quota among the zones in proportion to their nodes. In each zone it uses as
@@ -105,8 +105,8 @@
 }
 
 // holdingZones returns the zones that hold parts of a quota, and the sum of their nodes. A zone
-// whose part would be less than 1 token holds none. If that holds for every zone, the hash of the
-// workspace selects one.
+// whose part would be less than 1 token holds no part. If every zone's part would be less than 1
+// token, the hash of the workspace selects one zone.
 func (r *Ring) holdingZones(workspace string, depth float64) (zones []*ringZone, nodes int) {
 	for i := range r.zones {
 		z := &r.zones[i]
