--- a/internal/routes/split.go
+++ b/internal/routes/split.go
@@ -3,8 +3,8 @@
 import "sync"
 
 // Splitter distributes requests among targets by smooth weighted round robin. In any run of
-// requests each target gets its share to within 1 request, where a random choice would be off by
-// a tenth in 200 requests. Each node distributes its own requests. The error of each node is at
+// requests each target gets its share to within 1 request. A random choice would be off by a tenth
+// in 200 requests. Each node distributes its own requests. The error of each node is at
 // most 1 request per target, so the error of the sum is at most 1 request per target and node. It
 // is safe for concurrent use.
 type Splitter struct {
@@ -28,7 +28,8 @@
 	return s
 }
 
-// maxInitialSteps bounds the steps that NewSplitter skips; weights are mostly percentages.
+// maxInitialSteps bounds the steps that NewSplitter skips. The sequence repeats after as many steps
+// as the sum of the weights, which is mostly 100, since weights are mostly percentages.
 const maxInitialSteps = 128
 
 // Next returns the index of the target of the next request.
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -31,7 +31,8 @@
 
 // NewTable returns the table of a validated configuration. Routes whose targets are unchanged
 // keep the splitters of prev, which may be nil: a splitter that started again with each
-// publication would prefer the first target.
+// publication would prefer the first target. New splitters start at a position selected by seed,
+// which should differ between nodes.
 func NewTable(prev *Table, c *Config, seed uint64) *Table {
 	t := &Table{config: c, hosts: make(map[string][]*Entry), workspacesByKey: workspacesByKey(c)}
 	for i := range c.Routes {
--- a/internal/routes/workspace.go
+++ b/internal/routes/workspace.go
@@ -28,7 +28,7 @@
 func (k *Key) UnmarshalText(text []byte) error {
 	raw, err := hex.DecodeString(string(text))
 	if err != nil {
-		return fmt.Errorf("key digest: %w", err)
+		return fmt.Errorf("decode key digest: %w", err)
 	}
 	if len(raw) != len(k) {
 		return fmt.Errorf("key digest: %d bytes, must be %d", len(raw), len(k))
