--- a/internal/fleet/absent.go
+++ b/internal/fleet/absent.go
@@ -6,10 +6,11 @@
 // within seconds; contacting a member that does not return costs nothing after this time.
 const introductionPeriod = time.Minute
 
-// Absent selects the members that may have restarted and need an introduction. A node that starts
-// while it is partitioned from the store knows no other node and has no routes, and its new
-// record reaches no other node. Nodes that know its address can contact it. It is not safe for
-// concurrent use.
+// Absent selects the members that may have restarted and need an introduction, which is an exchange
+// of member records started by another node. A node that starts while it is partitioned from the
+// store knows no other node and has no routes, and its new record reaches no other node. Nodes that
+// still have the record of its previous process know its address and can contact it. An Absent is
+// not safe for concurrent use.
 type Absent struct {
 	absences map[string]absence
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -38,7 +38,7 @@
 
 // Guards against nodes that compute different endpoints from the same records, which they read in
 // different orders and some twice.
-func TestFoldDoesNotDependOnOrder(t *testing.T) {
+func TestEndpointsDoNotDependOnRecordOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []Member
 		for range rapid.IntRange(1, 20).Draw(t, "records") {
@@ -106,7 +106,8 @@
 	must.True(t, serving)
 }
 
-// Guards against the same failure if upstreams do not report their start time.
+// Guards against calls to a dead process of an upstream, after its report arrived late, if upstreams
+// do not report their start time.
 func TestLateReportWithoutStartTime(t *testing.T) {
 	var u LocalUpstream
 	u.Apply(report("old", 0, 5))
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -1,6 +1,6 @@
 // Package fleet holds the state of the nodes of a deployment and of their upstreams: the record
-// that a node publishes about itself, the fold of all records into endpoints, and the order of
-// the reports of one upstream. It is pure: no I/O, no clock.
+// that a node publishes about itself, the computation of routing endpoints from all records, and
+// the tracking of the local upstream's process by its reports. It is pure: no I/O, no clock.
 package fleet
 
 import (
@@ -21,9 +21,9 @@
 const (
 	// Serving means that the upstream accepts work.
 	Serving State = "serving"
-	// Stopping means that the node is about to stop while its upstream continues. It still
-	// accepts calls that find no other upstream: several nodes of a service may restart while
-	// other upstreams of it leave.
+	// Stopping means that the node is about to stop while its upstream continues. The node still
+	// accepts calls for which no other upstream of the service is available. This occurs when some
+	// nodes of a service restart while the upstreams of its other nodes leave.
 	Stopping State = "stopping"
 	// Leaving means that the upstream accepts no new work.
 	Leaving State = "leaving"
@@ -49,8 +49,8 @@
 	Upstream string `json:"upstream,omitempty"`
 	Slots    int    `json:"slots"`
 	// ServesSince is the time at which the upstream began to accept work, in Unix milliseconds; 0
-	// means that it has long been warm. The share of a fresh upstream, which is slow, rises
-	// gradually.
+	// means that its slow start is over. A new process is slow, so routing raises its share of the
+	// calls gradually after this time.
 	ServesSince int64 `json:"serves_since,omitempty"`
 	State       State `json:"state"`
 }
@@ -88,7 +88,7 @@
 		return m, fmt.Errorf("member: record of %d bytes, must be at most %d", len(raw), MaxMemberBytes)
 	}
 	if err := json.Unmarshal(raw, &m); err != nil {
-		return m, fmt.Errorf("member: %w", err)
+		return m, fmt.Errorf("decode member record: %w", err)
 	}
 	return m, m.Validate()
 }
@@ -167,8 +167,8 @@
 }
 
 // Endpoints returns the endpoints to which calls may be sent. If two nodes have the same address,
-// the one with the greater incarnation has the endpoint: the address of a VM that no longer
-// exists is assigned to another VM.
+// only the one with the greater incarnation has an endpoint. This occurs when the address of a
+// removed VM is assigned to another VM.
 func (r *Registry) Endpoints() []routing.Endpoint {
 	holder := make(map[string]*Member, len(r.members))
 	members := r.Members()
--- a/internal/fleet/parent.go
+++ b/internal/fleet/parent.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// RelayFanOut bounds the nodes of a zone that read through one other node. A zone of 412 nodes
-// then has a tree of 4 levels, and the traffic of a node for its readers fits its byte budget for
-// control.
+// RelayFanOut bounds the nodes of a zone that read through one other node (see Sources). A zone of
+// 412 nodes then has a tree of 4 levels, and the traffic of a node for its readers fits its byte
+// budget for control traffic.
 const RelayFanOut = 5
 
 // Sources returns the nodes of a zone through which a node may read the data of the platform's
@@ -16,10 +16,11 @@
 // are the other nodes of the zone.
 //
 // Load pattern: nodes restart all the time, and each would read each record from the store. To
-// avoid this, the nodes of a zone are ordered by a hash of their names and form a tree. All nodes
-// compute the same order, and a node reads only from nodes before it in that order, so no cycle
-// of nodes waits for updates from itself while the nodes' lists of members differ. Nodes that are
-// about to stop, or have no upstream, are not sources.
+// avoid this, the nodes of a zone are ordered by a hash of their names and form a tree: node i of
+// the order, counted from 0, prefers node (i-1)/RelayFanOut. All nodes compute the same order, and
+// a node reads only from nodes before it in that order. Nodes therefore never read from each other
+// in a cycle, in which none would receive an update, even while their lists of members differ.
+// Nodes that are about to stop, or have no upstream, are not sources.
 func Sources(node string, zoneMembers []Member) []Member {
 	own := nameHash(node)
 	var candidates []Member
