--- a/internal/mesh/adopt.go
+++ b/internal/mesh/adopt.go
@@ -15,8 +15,8 @@
 	// adoptionPollInterval is the pause between two attempts. Routes and the record of the
 	// node's previous process arrive from the store some 20 ms after the start.
 	adoptionPollInterval = 50 * time.Millisecond
-	// healthCheckTimeout bounds a health check of the upstream, which waits for a slot like any
-	// request.
+	// healthCheckTimeout bounds a health check of the upstream. The check is queued for a slot of
+	// the upstream like any request.
 	healthCheckTimeout = 500 * time.Millisecond
 )
 
@@ -24,11 +24,11 @@
 //
 // It covers a node that is restarted while its upstream keeps running. Without adoption, every
 // call for that upstream is refused ("no upstream is announced to this node") until its next
-// report, up to 1.5 s later, although it is idle; where several nodes of a service are restarted
-// in turn, no upstream of the service is left. The node's previous process has left a record of
-// the upstream, and a health check tells whether the upstream is still that process and accepts
-// work. Both are needed: the record may describe a process that is gone, and the health check
-// does not report the number of slots.
+// report, up to 1.5 s later, although it is idle. If several nodes of a service are restarted in
+// turn, the service can be without any upstream for that time. The node's previous process has
+// published a record of the upstream, and a health check shows whether the upstream is still that
+// process and accepts work. Both are needed: the record may describe a process that has ended, and
+// the health check does not report the number of slots.
 func (m *Mesh) adoptUpstream(ctx context.Context) {
 	deadline := time.Now().Add(adoptionWindow)
 	poll := time.NewTicker(adoptionPollInterval)
--- a/internal/mesh/callerconn.go
+++ b/internal/mesh/callerconn.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// idleSentinel and headerSentinel are the timeouts that net/http is configured with.
-	// callerConn replaces them by the timeouts of the routes in force, which may change while
-	// the server runs.
+	// idleSentinel and headerSentinel are placeholder timeouts that net/http is configured with.
+	// callerConn recognises them by their length and replaces them by the timeouts of the routes in
+	// force, which may change while the server runs.
 	idleSentinel   = 1000 * time.Hour
 	headerSentinel = 500 * time.Hour
 	// defaultIdleTimeout applies where the routes set no idle timeout.
--- a/internal/mesh/config.go
+++ b/internal/mesh/config.go
@@ -27,12 +27,13 @@
 	// receiving node keeps it open for longer (innerIdleTimeout), so no call meets a connection
 	// that is being closed.
 	peerIdleTimeout = 20 * time.Second
-	// peerSilenceTimeout is how long a path between nodes may be silent: 2 lost packets in a row
-	// are retransmitted within 0.7 s.
+	// peerSilenceTimeout is the time without acknowledgements after which a connection to another
+	// node fails: 2 lost packets in a row are retransmitted within 0.7 s.
 	peerSilenceTimeout = time.Second
-	// minPeerReattachWait and maxPeerReattachWait bound the wait for a response after which a
-	// new connection is tried although the path is not silent. The duration of calls that make
-	// calls of their own varies by a second, so a shorter bound replaces healthy connections.
+	// minPeerReattachWait and maxPeerReattachWait bound the wait for a response after which the
+	// sender re-attaches: it requests the response of the same call on a new connection, although
+	// packets on the old one are still acknowledged. The duration of calls that make calls of
+	// their own varies by a second, so a shorter bound replaces healthy connections.
 	minPeerReattachWait = 2 * time.Second
 	maxPeerReattachWait = 4 * time.Second
 	// maxIdlePerPeer bounds the idle connections to one node: as many as one node has concurrent
@@ -93,7 +94,7 @@
 
 const (
 	// completedRetention is how long the response of a completed call is kept for a sender whose
-	// connection became silent: it re-attaches within 1 s.
+	// connection failed before the response arrived. The sender re-attaches within 1 s.
 	completedRetention = 3 * time.Second
 	// maxCompletedBytes bounds the total size of those responses in bytes.
 	maxCompletedBytes = 2 << 20
--- a/internal/mesh/crashrecords.go
+++ b/internal/mesh/crashrecords.go
@@ -20,12 +20,14 @@
 	// batchDelay is how long the records of one crash are collected for one append: the crash of
 	// an upstream shows on each of its connections within milliseconds.
 	batchDelay = 50 * time.Millisecond
-	// maxPendingCrashRecords bounds one append: the calls of a large upstream.
+	// maxPendingCrashRecords bounds the records of one append: a crash makes one record for each
+	// call that runs at the upstream, and a large upstream runs about as many.
 	maxPendingCrashRecords = 512
 )
 
-// storedCrashRecord is a crash record as stored. The clocks of nodes are close enough to the
-// true time for the seconds during which suspect requests are held back.
+// storedCrashRecord is the JSON document of a quarantine.CrashRecord in the store. Its time is that
+// of the writer's clock. Suspect requests are held back for seconds, and the clocks of nodes differ
+// by much less.
 type storedCrashRecord struct {
 	Fingerprint uint64 `json:"f"`
 	Upstream    string `json:"upstream"`
--- a/internal/mesh/exchange.go
+++ b/internal/mesh/exchange.go
@@ -22,8 +22,8 @@
 	membersPath = "/members"
 	// introductionTimeout bounds one introduction within the zone.
 	introductionTimeout = 300 * time.Millisecond
-	// maxMembersBytes bounds the records fetched from another node: 14,000 of some 250 bytes,
-	// doubled.
+	// maxMembersBytes bounds the records fetched from another node: twice the size of 14,000
+	// records of some 250 bytes each.
 	maxMembersBytes = 8 << 20
 )
 
@@ -51,7 +51,7 @@
 type statusError struct{ status int }
 
 // Error implements error.
-func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
+func (e *statusError) Error() string { return fmt.Sprintf("node responded with status %d", e.status) }
 
 // sendControl sends a control request to another node and returns the body of the response, cut
 // at maxBytes. A status other than 200 is a *statusError.
--- a/internal/mesh/feed.go
+++ b/internal/mesh/feed.go
@@ -156,10 +156,10 @@
 }
 
 // readFrom returns the records from offset from on, or the newest record of each key if those
-// records are no longer buffered. The batch may include records before from. If there are none,
-// it waits up to wait, also for a first read that is under way; with waitForStore it also waits
-// for a lost store to return. A reader that is ahead of this feed for the whole wait gets
-// errNotBuffered and must read the store: the store may have restarted its offsets.
+// records are no longer buffered. The batch may include records before from. If the feed has no
+// record at or after from, readFrom waits up to wait, also for a first read that is under way; with
+// waitForStore it also waits for a lost store to return. A reader that is ahead of this feed for the
+// whole wait gets errNotBuffered and must read the store: the store may have restarted its offsets.
 func (f *feed) readFrom(ctx context.Context, from int64, wait time.Duration, waitForStore bool) (batch, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/mesh/firststart.go
+++ b/internal/mesh/firststart.go
@@ -13,13 +13,15 @@
 	// before they read the members: upstreams report every 1.5 s, and until all have reported
 	// there is no node to read through.
 	firstStartDelay = 2500 * time.Millisecond
-	// firstStartJitter spreads those reads.
+	// firstStartJitter is the upper bound of a random time added to firstStartDelay, so that the
+	// nodes do not all read at once.
 	firstStartJitter = 300 * time.Millisecond
 	// firstSnapshotPause is how long a node waits after its first read: nodes start within 0.3 s
 	// of each other, and a node that has not read yet has nothing to serve to others.
 	firstSnapshotPause = 700 * time.Millisecond
-	// membersReadTimeout bounds how long a starting node waits for the member records, which
-	// list the nodes it can read routes through, before it reads the store.
+	// membersReadTimeout bounds how long a starting node waits for the member records before it
+	// reads the routes. With the records it can read the routes through another node; without them
+	// it reads the store.
 	membersReadTimeout = 500 * time.Millisecond
 )
 
--- a/internal/mesh/firststart_test.go
+++ b/internal/mesh/firststart_test.go
@@ -20,7 +20,7 @@
 func TestFirstStartReadsOneSnapshotPerNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, startSpread = 35, 300 * time.Millisecond
-		topic := &compactedTopic{growingTopic: &growingTopic{begun: time.Now()}}
+		topic := &compactedTopic{growingTopic: &growingTopic{startedAt: time.Now()}}
 		readers := newReaders(topic, nodes)
 		ctx, cancel := context.WithTimeout(t.Context(), firstStartDelay+firstStartJitter+startSpread+firstSnapshotPause+2*time.Second)
 		defer cancel()
--- a/internal/mesh/follow.go
+++ b/internal/mesh/follow.go
@@ -317,8 +317,9 @@
 // noteLost records that the store did not respond to a read.
 //
 // Load pattern: the store is down, and each node of a zone would probe it with the retry delays
-// of a single node. Only the reader of the zone does so; the others probe so rarely that together
-// they send some 10 requests per second, and they learn of the store's return from each other.
+// of a single node. Only the zone's reader, the node that reads the store for its zone, does so. The
+// others probe so rarely that together they send some 10 requests per second. They receive the
+// records through the first node that regains the store (see relay.awaitStore).
 func (f *follower) noteLost(ctx context.Context, err error) {
 	f.nextProbe = time.Now().Add(f.probeInterval())
 	if !f.lostAt.IsZero() || ctx.Err() != nil {
--- a/internal/mesh/gossip.go
+++ b/internal/mesh/gossip.go
@@ -18,8 +18,9 @@
 const (
 	// unstoredPath is the path at which a node receives records that the store did not accept.
 	unstoredPath = "/unstored"
-	// gossipFanOut is how many nodes of the zone a new record is sent to at once; one node
-	// in 400 is chosen by no sender and receives the record in a later round.
+	// gossipFanOut is how many nodes of the zone each node that receives a new record sends it to
+	// at once. About e^-6 of the nodes, one node in 400, is chosen by no sender and receives the
+	// record in a later round (see gossiper.round).
 	gossipFanOut = 6
 	// gossipRoundFanOut is how many nodes the records are sent to in each later round.
 	gossipRoundFanOut = 2
--- a/internal/mesh/introduce.go
+++ b/internal/mesh/introduce.go
@@ -18,8 +18,9 @@
 	// introducersPerRound is how many nodes of a zone contact an absent member per round, on
 	// average: with 3, a round without any is rare.
 	introducersPerRound = 3
-	// maxConcurrentIntroductions bounds the concurrent introductions of a node: with a third of
-	// the 412 nodes of a zone absent, a round contacts one or two.
+	// maxConcurrentIntroductions bounds the concurrent introductions of a node. If a third of the
+	// 412 nodes of a zone, 137 nodes, are absent, a node contacts each of them with a probability of
+	// 3 in 411, so a round contacts one or two.
 	maxConcurrentIntroductions = 8
 )
 
--- a/internal/mesh/listen.go
+++ b/internal/mesh/listen.go
@@ -21,8 +21,8 @@
 	// defaultHeaderBytes bounds a request's header where the routes set no bound: 8 times the
 	// usual limit of web servers.
 	defaultHeaderBytes = 64 << 10
-	// maxHeaderBytes bounds a request's header whatever the routes allow: 1,000 callers may send
-	// headers at the same time.
+	// maxHeaderBytes bounds a request's header even if the routes allow more. 1,000 callers may
+	// send headers at the same time, and this bounds the memory that their headers take.
 	maxHeaderBytes = 256 << 10
 	// innerIdleTimeout is longer than peerIdleTimeout, so that the node that sends calls is the
 	// one that closes the connection.
@@ -52,7 +52,7 @@
 		opened, err := net.Listen("tcp", x.addr)
 		if err != nil {
 			l.close()
-			return errors.Wrapf(err, "%s %s", x.field, x.addr)
+			return errors.Wrapf(err, "open listener %s at %s", x.field, x.addr)
 		}
 		*x.into = opened
 	}
@@ -70,7 +70,7 @@
 // servers are the HTTP servers on the listeners.
 type servers struct {
 	callers, inner, ready, announce, metrics *http.Server
-	// control carries control requests to other nodes, on connections apart from those of calls.
+	// control carries control requests to other nodes, on connections that carry no calls.
 	control *http.Transport
 }
 
--- a/internal/mesh/local.go
+++ b/internal/mesh/local.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// adopt lets the node accept calls for an upstream that was already running when the node
-// started. It reports false if the upstream has reported in the meantime.
+// adopt takes an upstream into service that was already running when the node started: the guard
+// accepts calls for it, and the node publishes a record of it. It reports false if an upstream has
+// reported in the meantime.
 func (l *localUpstream) adopt(record *fleet.Member, address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,8 +99,9 @@
 		Str("version", r.Version).Dur("cold_ms", r.ColdFor).Bool("predecessor_died", served).Msg("upstream started; it takes calls")
 }
 
-// resumeServing lets the node accept calls again for an upstream that was considered dead: its
-// process still reports, so the refused connection did not mean that it has ended.
+// resumeServing makes the guard accept calls again for an upstream that was considered dead. A
+// refused connection marks an upstream as dead, but a further report of the same process shows that
+// the process has not ended.
 func (l *localUpstream) resumeServing(r fleet.Report) {
 	m := l.mesh
 	if _, serving := l.known.Current(); !serving || m.node.Guard().Serving() {
--- a/internal/mesh/members.go
+++ b/internal/mesh/members.go
@@ -82,7 +82,8 @@
 		Uint64("revision", record.Revision).Str("source", source).Msg("member changed")
 }
 
-// refresh applies the records again, after a change of settings.
+// refresh applies the records again after a change of settings, since the retry budget and the
+// number of idle connections depend on both.
 func (m *members) refresh() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -69,7 +69,8 @@
 // Now implements node.Clock.
 func (systemClock) Now() time.Time { return time.Now() }
 
-// noIdempotencyKeys is the authority over idempotency keys where callers send none.
+// noIdempotencyKeys is the node.Authority of a deployment whose callers send no idempotency keys. It
+// admits every call.
 type noIdempotencyKeys struct{}
 
 // MayStart implements node.Authority.
@@ -93,7 +94,7 @@
 	m.tunable.Store(cfg)
 	m.ctx, m.cancel = context.WithCancel(context.Background())
 	if err := m.listeners.open(cfg); err != nil {
-		return nil, errors.Wrap(err, "listen")
+		return nil, errors.Wrap(err, "start node")
 	}
 	m.build()
 	m.run()
--- a/internal/mesh/quotas.go
+++ b/internal/mesh/quotas.go
@@ -23,7 +23,7 @@
 const (
 	// quotaPath is the path at which a node grants tokens of workspaces' quotas to other nodes.
 	quotaPath = "/quota"
-	// quotaRequestTimeout bounds such a request: a holder responds from memory.
+	// quotaRequestTimeout bounds a request for a token, to which a holder responds from memory.
 	quotaRequestTimeout = 150 * time.Millisecond
 	// quotaUnknownRetryAfter is the retry-after of a refusal when no holder responds.
 	quotaUnknownRetryAfter = 500 * time.Millisecond
@@ -152,12 +152,12 @@
 		http.Error(w, "request is meant for another node; its address belongs to this node", http.StatusMisdirectedRequest)
 		return
 	}
-	granted, next := m.quotas.ledger.Grant(time.Now(), query.Get("workspace"))
+	granted, untilNext := m.quotas.ledger.Grant(time.Now(), query.Get("workspace"))
 	if granted {
 		m.metrics.Inc(metrics.QuotaGranted, 1)
 	}
 	omitUnusedHeaders(w)
-	m.sendJSON(w, &grant{Granted: granted, NextMillis: next.Milliseconds()})
+	m.sendJSON(w, &grant{Granted: granted, NextMillis: untilNext.Milliseconds()})
 }
 
 // states returns the quotas as this node sees them, sorted by workspace.
--- a/internal/mesh/relay.go
+++ b/internal/mesh/relay.go
@@ -24,9 +24,9 @@
 	// topics.
 	watchPath = "/watch"
 	// membersWatchWait and routesWatchWait are how long a watch request waits for changes.
-	// watchMargin is how much longer its response may take: a paused process still acknowledges
-	// all keep-alive probes. Routes have to be in force within 2 s of their publication whatever
-	// the node in between does.
+	// watchMargin is how much longer its response may take before the request fails. Keep-alive
+	// probes don't detect a paused process, since the kernel of its VM acknowledges them. Routes
+	// have to be in force within 2 s of their publication even if the node read through is paused.
 	membersWatchWait = 3 * time.Second
 	routesWatchWait  = time.Second
 	watchMargin      = 300 * time.Millisecond
@@ -139,8 +139,8 @@
 }
 
 // requestFor returns the request for a source. A request to a source other than the current one
-// does not wait: if that node is paused, as it may have been before, the nodes that read through
-// this one would miss changes for as long, and so on down the tree.
+// does not wait for changes, since that node may be paused. While this node waits for a paused one,
+// it receives no changes, and neither do the nodes below it in the tree.
 func (r *relay) requestFor(source *fleet.Member, topic string, from, minNext int64) watchRequest {
 	req := watchRequest{topic: topic, from: from, wait: r.wait}
 	if from != snapshotOffset && (source.Node != r.source() || from < minNext) {
@@ -234,11 +234,13 @@
 
 // checkRecipient returns an error if a request of another node is not meant for this one.
 //
-// The address of a removed VM is assigned to another VM. If that is the VM of this node, its own
-// requests to the removed node arrive here, and it would wait for changes from itself without end.
-// While new settings move the nodes to another store one by one, an offset of one store must not
-// be used for the other: the requester would wait at that offset for records that arrived long
-// before.
+// There are two such requests:
+//   - The address of a removed VM may be assigned to the VM of this node. Requests of this node to
+//     the removed node then arrive at this node itself, which would wait for its own changes without
+//     end.
+//   - New settings move the nodes to another store one by one, so the requester may use another
+//     store than this node. The offsets of two stores are unrelated: with the larger offset of one
+//     store, the requester would wait for records that the other store holds at smaller offsets.
 func (m *Mesh) checkRecipient(query url.Values) *statusError {
 	if query.Get("of") != m.cfg.NodeID {
 		return &statusError{http.StatusMisdirectedRequest}
--- a/internal/mesh/relay_test.go
+++ b/internal/mesh/relay_test.go
@@ -22,15 +22,15 @@
 // growingTopic gains a record every 100 ms; a read returns the existing records and waits for
 // one if there are none.
 type growingTopic struct {
-	begun time.Time
-	reads atomic.Int64
-	down  atomic.Bool
+	startedAt time.Time
+	reads     atomic.Int64
+	down      atomic.Bool
 }
 
 func (*growingTopic) Name() string                              { return "members" }
 func (*growingTopic) Put(context.Context, string, []byte) error { return nil }
 
-func (g *growingTopic) end() int64 { return int64(time.Since(g.begun) / (100 * time.Millisecond)) }
+func (g *growingTopic) end() int64 { return int64(time.Since(g.startedAt) / (100 * time.Millisecond)) }
 
 func (g *growingTopic) Newest(context.Context) ([]Item, int64, error) {
 	if g.down.Load() {
@@ -59,9 +59,9 @@
 	follower     *follower
 	seen         map[string]bool
 	lastUpdate   atomic.Int64 // when records were last applied, in Unix nanoseconds
-	unreachable  atomic.Bool  // requests of other nodes fail after 1 s
-	paused       atomic.Bool  // requests of other nodes time out
-	storeTimeout atomic.Int64 // how long its reads of the store take to fail; 0: they work
+	unreachable  atomic.Bool  // other nodes' requests to it fail after 1 s
+	paused       atomic.Bool  // other nodes' requests to it time out
+	storeTimeout atomic.Int64 // how long its reads of the store take to fail; 0 if they succeed
 }
 
 func newReaders(topic Topic, n int) []*reader {
@@ -141,10 +141,10 @@
 // misses.
 func TestZoneReadsOnceAndMissesNoRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		topic := &growingTopic{begun: time.Now()}
+		topic := &growingTopic{startedAt: time.Now()}
 		readers := newReaders(topic, 40)
 		runReaders(t, readers, 20*time.Second)
-		// The first reads happen before any node has records to serve.
+		// The first reads happen before any node has records to serve: up to 2 of each of the 40 nodes.
 		must.LessEq(t, 2*40+int64(20*time.Second/minBatchWindow), topic.reads.Load())
 		for _, r := range readers {
 			must.LessEq(t, 1, missedRecords(r, 1, topic.end()-10))
@@ -157,7 +157,7 @@
 // own.
 func TestZoneContinuesWhenItsReaderIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		topic := &growingTopic{begun: time.Now()}
+		topic := &growingTopic{startedAt: time.Now()}
 		readers := newReaders(topic, 20)
 		for _, r := range readers {
 			if r.readsForZone() {
@@ -177,7 +177,7 @@
 // wait of one watch request.
 func TestZoneContinuesWhileItsReaderIsPaused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		topic := &growingTopic{begun: time.Now()}
+		topic := &growingTopic{startedAt: time.Now()}
 		readers := newReaders(topic, 20)
 		for _, r := range readers {
 			if r.readsForZone() {
@@ -202,7 +202,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const end = 20 * time.Second
 		rng := rand.New(rand.NewPCG(1, 2))
-		topic := &growingTopic{begun: time.Now()}
+		topic := &growingTopic{startedAt: time.Now()}
 		readers := newReaders(topic, 20)
 		for _, r := range readers {
 			r.follower.relay.wait, r.follower.batchWindow = routesWatchWait, nil
@@ -224,18 +224,20 @@
 	})
 }
 
-// Guards against late routes while the zone's reader is paused.
+// Guards against late routes while the zone's reader is paused: watch requests to it get no response
+// until their timeout.
 func TestRoutesInForceWhileTheReaderIsPaused(t *testing.T) {
 	runZoneWithFailingReader(t, func(r *reader) { r.paused.Store(true) })
 }
 
-// Guards against late routes while the zone's reader is unreachable.
+// Guards against late routes while the zone's reader is unreachable: watch requests to it fail after
+// 1 s.
 func TestRoutesInForceWhileTheReaderIsUnreachable(t *testing.T) {
 	runZoneWithFailingReader(t, func(r *reader) { r.unreachable.Store(true) })
 }
 
-// Guards against late routes while the zone's reader is behind: the store does not respond to
-// it, which it detects only after a timeout.
+// Guards against late routes while the zone's reader is behind: the store does not respond to the
+// reader, and the reader serves its old records until its read fails after a timeout.
 func TestRoutesInForceWhileTheReaderIsBehind(t *testing.T) {
 	runZoneWithFailingReader(t, func(r *reader) { r.storeTimeout.Store(int64(1500 * time.Millisecond)) })
 }
@@ -268,15 +270,15 @@
 // keys once and serves them to the others.
 func TestExpiredHistoryIsReadOnceForAZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		topic := &compactedTopic{growingTopic: &growingTopic{begun: time.Now()}}
+		topic := &compactedTopic{growingTopic: &growingTopic{startedAt: time.Now()}}
 		readers := newReaders(topic, 40)
 		for at := 5 * time.Second; at < 20*time.Second; at += 2 * time.Second {
 			time.AfterFunc(at, func() { topic.expired.Store(topic.end()) })
 		}
-		var before atomic.Int64
-		time.AfterFunc(4*time.Second, func() { before.Store(topic.snapshots.Load()) })
+		var previousSnapshots atomic.Int64
+		time.AfterFunc(4*time.Second, func() { previousSnapshots.Store(topic.snapshots.Load()) })
 		runReaders(t, readers, 20*time.Second)
-		must.LessEq(t, 8, topic.snapshots.Load()-before.Load())
+		must.LessEq(t, 8, topic.snapshots.Load()-previousSnapshots.Load())
 		for _, r := range readers {
 			must.Less(t, time.Second, time.Since(time.Unix(0, r.lastUpdate.Load())))
 		}
@@ -305,30 +307,30 @@
 // some 10 requests per second, and all must continue soon after the store returns.
 func TestZoneSharesProbesOfALostStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		topic := &growingTopic{begun: time.Now()}
+		topic := &growingTopic{startedAt: time.Now()}
 		readers := newReaders(topic, 40)
-		const down, back = 5 * time.Second, 25 * time.Second
+		const lostAt, regainedAt = 5 * time.Second, 25 * time.Second
 		var previousReads, reads atomic.Int64
-		time.AfterFunc(down, func() { topic.down.Store(true) })
-		time.AfterFunc(down+2*time.Second, func() { previousReads.Store(topic.reads.Load()) })
-		time.AfterFunc(back, func() {
+		time.AfterFunc(lostAt, func() { topic.down.Store(true) })
+		time.AfterFunc(lostAt+2*time.Second, func() { previousReads.Store(topic.reads.Load()) })
+		time.AfterFunc(regainedAt, func() {
 			reads.Store(topic.reads.Load() - previousReads.Load())
 			topic.down.Store(false)
 		})
-		time.AfterFunc(back+2*time.Second, func() {
+		time.AfterFunc(regainedAt+2*time.Second, func() {
 			for _, r := range readers {
 				must.Less(t, time.Second, time.Since(time.Unix(0, r.lastUpdate.Load())))
 			}
 		})
 		runReaders(t, readers, 30*time.Second)
-		must.LessEq(t, int64((back-down)/zoneProbeInterval)*3/2, reads.Load())
+		must.LessEq(t, int64((regainedAt-lostAt)/zoneProbeInterval)*3/2, reads.Load())
 	})
 }
 
 // Guards against a starting node that reads from the store what its zone can serve.
 func TestStartingNodeReadsFromItsZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		topic := &compactedTopic{growingTopic: &growingTopic{begun: time.Now()}}
+		topic := &compactedTopic{growingTopic: &growingTopic{startedAt: time.Now()}}
 		readers := newReaders(topic, 10)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
@@ -341,10 +343,10 @@
 				r.follower.run(ctx)
 			})
 		}
-		var before atomic.Int64
-		time.AfterFunc(4*time.Second, func() { before.Store(topic.snapshots.Load()) })
+		var previousSnapshots atomic.Int64
+		time.AfterFunc(4*time.Second, func() { previousSnapshots.Store(topic.snapshots.Load()) })
 		running.Wait()
-		must.EqOp(t, before.Load(), topic.snapshots.Load())
+		must.EqOp(t, previousSnapshots.Load(), topic.snapshots.Load())
 		for _, r := range readers {
 			must.Less(t, time.Second, time.Since(time.Unix(0, r.lastUpdate.Load())))
 		}
@@ -355,7 +357,7 @@
 // read through another one must not count its old records as new.
 func TestReaderWithoutStoreServesNoBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		topic := &growingTopic{begun: time.Now()}
+		topic := &growingTopic{startedAt: time.Now()}
 		readers := newReaders(topic, 5)
 		time.AfterFunc(5*time.Second, func() { topic.down.Store(true) })
 		time.AfterFunc(9*time.Second, func() {
@@ -390,7 +392,7 @@
 // node that reads for it. That node refuses watch requests, so that the others read elsewhere.
 func TestStoreRejectsTheZoneReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		topic := &growingTopic{begun: time.Now()}
+		topic := &growingTopic{startedAt: time.Now()}
 		readers := newReaders(topic, 20)
 		var reader *reader
 		for _, r := range readers {
--- a/internal/mesh/routekeeper.go
+++ b/internal/mesh/routekeeper.go
@@ -142,7 +142,7 @@
 func (k *routeKeeper) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	table := k.mesh.proxy.Routes()
 	if table == nil {
-		http.Error(w, "no routes yet", http.StatusNotFound)
+		http.Error(w, "no routes in force at this node yet", http.StatusNotFound)
 		return
 	}
 	k.mesh.sendJSON(w, table.Config())
--- a/internal/mesh/stop.go
+++ b/internal/mesh/stop.go
@@ -13,8 +13,8 @@
 	// stopNotice is how long a stopping node keeps accepting callers: the platform checks
 	// readiness once a second and acts on the second negative result.
 	stopNotice = 2500 * time.Millisecond
-	// responseShare is the share of the grace that is reserved for the last responses: the node
-	// accepts nothing new in it, so that received requests can complete.
+	// responseShare is the share of the grace that is reserved for the last responses. During this
+	// last part the node accepts no new requests, so that received ones can complete.
 	responseShare = 0.3
 	// stopReserve is the part of the grace that is reserved for the end of the process: 2 times
 	// the time that the last log lines may take.
@@ -30,9 +30,9 @@
 // grace is nearly over. It returns the number of calls that were cut.
 //
 // The node can't stop until its last caller has a response. In the meantime its upstream accepts
-// calls of other nodes that have no other upstream, if these calls end in time. With a fixed
-// bound they would be refused for seconds while the upstream is idle, where several nodes of a
-// service are stopped in turn.
+// calls of other nodes for which no other upstream is available, if these calls end before the node
+// stops. If several nodes of a service are stopped in turn and each refused such calls after a fixed
+// time, calls would be refused for seconds while the upstream is idle.
 func (m *Mesh) Stop() int {
 	started := time.Now()
 	m.stopping.Store(true)
