--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -102,12 +102,12 @@
 			n.ledger.MarkUnresponsive(m.Now(), h.Name)
 			continue
 		}
-		granted, next := m.nodes[i].ledger.Grant(m.Now(), workspaceName)
+		granted, untilNext := m.nodes[i].ledger.Grant(m.Now(), workspaceName)
 		if granted {
 			n.ledger.RecordGrant(workspaceName)
 			return true
 		}
-		n.ledger.MarkEmpty(m.Now(), workspaceName, h.Name, next)
+		n.ledger.MarkEmpty(m.Now(), workspaceName, h.Name, untilNext)
 	}
 	return false
 }
