--- a/cmd/galenactl/explain_test.go
+++ b/cmd/galenactl/explain_test.go
@@ -18,7 +18,7 @@
 // shed at the deepest service. The wall clock of that service's node is behind the others.
 var lookupLog = withClocks(`   1.2 entry {"level":"warn","node":"entry","hlc":30,"kind":"call_answered","call_id":"c1","request_id":"ab","service":"archive","upstream":"front","code":5001,"detail":"attempts 1","routes_version":7,"time":"2026-08-22T11:21:57.300Z","message":"event"}
    1.1 deep {"level":"warn","node":"deep","hlc":20,"kind":"call_refused","call_id":"c2","request_id":"ab.1.2","service":"tracker","code":2001,"detail":"29 of 29 slots in use","routes_version":6,"time":"2026-08-22T11:21:57.050Z","message":"event"}
-   1.0 deep {"level":"info","node":"deep","topic":"routes","time":"2026-08-22T11:21:56.900Z","message":"store lost"}
+   1.0 deep {"level":"info","node":"deep","topic":"routes","time":"2026-08-22T11:21:56.900Z","message":"store unreachable; the node keeps its last state of the topic"}
    1.0 entry {"level":"info","node":"entry","hlc":10,"kind":"call_received","call_id":"c1","request_id":"ab","service":"archive","routes_version":7,"time":"2026-08-22T11:21:57.100Z","message":"event"}
    9.9 entry {"level":"info","node":"entry","hlc":99,"kind":"call_received","call_id":"c9","request_id":"abc","service":"archive","time":"2026-08-22T11:21:59.100Z","message":"event"}
 not a log line
@@ -41,7 +41,7 @@
 	must.EqOp(t, exitOK, code, must.Sprint(errOut.String()))
 	text := out.String()
 	must.StrContains(t, text, "Cause: 2001 shed at deep for tracker: 29 of 29 slots in use")
-	must.StrContains(t, text, "store lost")
+	must.StrContains(t, text, "store unreachable; the node keeps its last state of the topic")
 	must.StrNotContains(t, text, "abc")
 	must.Less(t, strings.Index(text, "answered it"), strings.Index(text, "refused it"))
 	must.Less(t, strings.Index(text, "refused it"), strings.Index(text, "took the request in"))
--- a/cmd/galenactl/store_test.go
+++ b/cmd/galenactl/store_test.go
@@ -11,7 +11,7 @@
 const storeLog = `1.0 a {"level":"info","topic":"routes","purpose":"changes","outcome":"done","time":"2026-08-22T11:21:56.900Z","message":"store called"}
 1.0 b {"level":"info","topic":"routes","purpose":"changes","outcome":"done","time":"2026-08-22T11:21:56.901Z","message":"store called"}
 1.1 b {"level":"info","topic":"members","purpose":"own_record","outcome":"failed","time":"2026-08-22T11:21:56.950Z","message":"store called"}
-1.2 b {"level":"info","topic":"members","time":"2026-08-22T11:21:56.960Z","message":"store lost"}
+1.2 b {"level":"info","topic":"members","time":"2026-08-22T11:21:56.960Z","message":"store unreachable; the node keeps its last state of the topic"}
 `
 
 // Guards against store calls whose cost cannot be attributed to a topic, purpose and outcome, and
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -116,7 +116,7 @@
 func (w *World) recordStop(cutCalls int, lastNewWork time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cutCalls += cutCalls
+	w.callsCutByStops += cutCalls
 	w.newWorkAfterStop = max(w.newWorkAfterStop, lastNewWork)
 }
 
--- a/internal/bench/measure.go
+++ b/internal/bench/measure.go
@@ -198,7 +198,7 @@
 		r.RetryAllowance = w.retryAllowance()
 	}
 	w.mu.Lock()
-	r.CutInFlight = w.cutCalls
+	r.CutInFlight = w.callsCutByStops
 	r.NewWorkAfterDrain = max(0, w.newWorkAfterStop.Milliseconds())
 	w.mu.Unlock()
 	for _, v := range w.allVMs() {
--- a/internal/bench/measure_keyed.go
+++ b/internal/bench/measure_keyed.go
@@ -49,10 +49,11 @@
 	r.IdempotentGoodputBefore = ratio(before.good, before.all)
 }
 
-// countKeyedFailure classifies a non-idempotent request without a good response. The
-// outcome is unknown if that of any attempt is unknown, even if the last attempt
-// reports "not run". Otherwise the request counts as refused if the last attempt has a
-// state refusal. A request that an upstream ran and failed is neither.
+// countKeyedFailure counts a non-idempotent request without a good response:
+//   - as an unknown outcome, if at least one of its attempts may or may not have run, even if the
+//     last attempt reports "not run";
+//   - otherwise as refused, if the code of the last attempt is in stateRefusals;
+//   - otherwise not at all, for example if an upstream ran the request and failed.
 func (r *Result) countKeyedFailure(o *Outcome) {
 	if o.Good || len(o.Attempts) == 0 {
 		return
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -95,9 +95,10 @@
 	// gatesByAddr maps the listen addresses of a process to its *pauseGate.
 	gatesByAddr sync.Map
 
-	mu               sync.Mutex
-	vms              []*vm // copied on write
-	cutCalls         int
+	mu  sync.Mutex
+	vms []*vm // copied on write
+	// callsCutByStops is the number of calls in flight that planned stops of nodes cut off.
+	callsCutByStops  int
 	newWorkAfterStop time.Duration
 
 	ctx    context.Context
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -68,7 +68,7 @@
 		next = int64(part.GetDigest().GetNextOffset())
 	}
 	if config == nil || members == nil || int64(config.Version()) < next {
-		return errors.Errorf("state of %s is incomplete", s.GetFrom().GetNodeId())
+		return errors.Errorf("control state from peer %s is incomplete: configuration or members are missing, or the configuration is older than the offset of the state", s.GetFrom().GetNodeId())
 	}
 	if p.replica.Adopt(config, members, next) {
 		p.hasState = true
--- a/internal/fleet/absent.go
+++ b/internal/fleet/absent.go
@@ -24,9 +24,9 @@
 // NewAbsent returns an Absent that tracks no members.
 func NewAbsent() *Absent { return &Absent{absences: make(map[string]absence)} }
 
-// Due returns the members to contact. A member that does not serve, by its own record or because
-// calls fail to reach it, is due until a newer record of it is in state Serving or
-// introductionPeriod is over.
+// Due returns the members to contact. A member is absent if its record is not in state Serving or if
+// calls do not reach it. An absent member is due until introductionPeriod is over, or until a newer
+// record of it is in state Serving and calls reach it.
 func (a *Absent) Due(now time.Time, members []Member, unreachable func(node string) bool) []Member {
 	var due []Member
 	for i := range members {
--- a/internal/history/jsonlines.go
+++ b/internal/history/jsonlines.go
@@ -43,7 +43,7 @@
 	}
 	for i := range h.Retries {
 		if err := enc.Encode(record{Retries: &h.Retries[i]}); err != nil {
-			return errors.Wrap(err, "write retries record")
+			return errors.Wrap(err, "write retry record")
 		}
 	}
 	for i := range h.Versions {
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// recordResponse records that a peer responded to some node at a time. It removes the findings
-// that are not newer.
+// recordResponse records that a peer responded at the time at, to this node or to another one. It
+// deletes the findings against the peer, except those that are newer than the response.
 func (d *Detector) recordResponse(at time.Time, id Identity) {
 	s, ok := d.states[id]
 	if !ok || !at.After(s.lastResponse) {
--- a/internal/mesh/eventlog_test.go
+++ b/internal/mesh/eventlog_test.go
@@ -27,6 +27,6 @@
 	f.noteLost(t.Context(), ErrExpired)
 	f.noteRegained()
 	must.Less(t, 10, strings.Count(out.String(), "member changed"))
-	must.StrContains(t, out.String(), "store lost")
-	must.StrContains(t, out.String(), "store regained")
+	must.StrContains(t, out.String(), "store unreachable; the node keeps its last state of the topic")
+	must.StrContains(t, out.String(), "store reachable again")
 }
--- a/internal/mesh/follow.go
+++ b/internal/mesh/follow.go
@@ -329,7 +329,7 @@
 	f.lost.Store(true)
 	f.feed.markStoreLost()
 	f.markFirstReadDone()
-	f.logger.Warn().Str("topic", f.topic.Name()).Err(err).Msg("store lost")
+	f.logger.Warn().Str("topic", f.topic.Name()).Err(err).Msg("store unreachable; the node keeps its last state of the topic")
 }
 
 // probeInterval returns the time for which this node leaves probing a lost store to the other
@@ -348,7 +348,7 @@
 	if f.lostAt.IsZero() {
 		return
 	}
-	f.logger.Info().Str("topic", f.topic.Name()).Dur("after_ms", time.Since(f.lostAt)).Msg("store regained")
+	f.logger.Info().Str("topic", f.topic.Name()).Dur("after_ms", time.Since(f.lostAt)).Msg("store reachable again")
 	f.lostAt = time.Time{}
 	f.lost.Store(false)
 }
--- a/internal/metrics/names.go
+++ b/internal/metrics/names.go
@@ -137,7 +137,7 @@
 // Bound identifies a queue, map or buffer with a limited size.
 type Bound uint8
 
-// The bounds of a node.
+// The queues, maps and buffers of a node for which the metrics report size and limit.
 const (
 	BoundQueue Bound = iota
 	BoundCallsInFlight
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -99,7 +99,8 @@
 	CallEnded(requestID string, retries int)
 }
 
-// Node implements the decisions of one node. Safe for concurrent use.
+// Node decides for the requests of one node about routing, admission, retries and idempotency. It is
+// safe for concurrent use.
 type Node struct {
 	cfg     Config
 	guard   *Guard
--- a/internal/policy/history_test.go
+++ b/internal/policy/history_test.go
@@ -229,8 +229,9 @@
 	}
 }
 
-// Guards against a reader that can't reach the head although records expire only below the
-// version of the newest snapshot, wherever it stopped and whatever state it started with.
+// Guards against a replica that can't reach the head of the log after records have expired, although
+// all expired records are below the version of the newest snapshot. The replica may have stopped at
+// any offset and may have started with any state.
 func TestExpiryBelowSnapshotLosesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := startedHistory()
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -134,7 +134,7 @@
 		return err
 	}
 	if d.Instance.Withdrawn {
-		return s.loadWithdrawn(d)
+		return s.loadWithdrawnInstance(d)
 	}
 	t, ok := s.Template(d.Instance.Template, d.Instance.Revision)
 	if !ok || d.Instance.Revision == 0 {
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func (s *State) loadWithdrawn(d *instanceDoc) error {
+func (s *State) loadWithdrawnInstance(d *instanceDoc) error {
 	if errs := d.Instance.checkWithdrawn(); len(errs) > 0 {
 		return errs
 	}
--- a/internal/proxy/routed.go
+++ b/internal/proxy/routed.go
@@ -199,7 +199,7 @@
 	return call.Ctx.Depth == 0 && call.Ctx.Workspace != callctx.NoWorkspace
 }
 
-// reject refuses a request before it became a call.
+// reject refuses a request for which no call was created.
 func (h *routeHandler) reject(w http.ResponseWriter, requestID string, refusal *result.Refusal) {
 	h.p.node.RecordRejected("", "", requestID, refusal)
 	h.edge.Refuse(w, refusal)
--- a/internal/server/bench_test.go
+++ b/internal/server/bench_test.go
@@ -18,28 +18,28 @@
 // directly, in one run. The metric added-us/op is the difference of the mean durations in
 // microseconds. Allocations include those of caller, nodes and upstream.
 func BenchmarkHop(b *testing.B) {
-	w := newTestCluster(b)
+	cluster := newTestCluster(b)
 	quiet := func(cfg *settings.Node) {
 		cfg.Limits.TimelineSample = 1 << 20
 		cfg.Timing.UpstreamSilence = settings.Duration(time.Minute)
 	}
-	entry, guard := w.start("entry", quiet), w.start("guard", quiet)
-	w.publishInstance(entry, "archive")
+	entry, guard := cluster.start("entry", quiet), cluster.start("guard", quiet)
+	cluster.publishInstance(entry, "archive")
 	up := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		rw.Header().Set("Content-Length", "1024")
 		_, _ = rw.Write(make([]byte, 1024))
 	}))
 	b.Cleanup(up.Close)
-	w.announceAddress(guard, "archive", up.Listener.Addr().String())
-	w.awaitTargets("archive", 1, entry)
+	cluster.announceAddress(guard, "archive", up.Listener.Addr().String())
+	cluster.awaitTargets("archive", 1, entry)
 	callersAddr, _, _, _ := entry.Addresses()
 	var direct, viaNodes, directCPU, viaNodesCPU time.Duration
 	b.ReportAllocs()
 	for b.Loop() {
 		start, startCPU := time.Now(), processorTime(b)
-		must.Eq(b, http.StatusOK, w.get(up.Listener.Addr().String()))
+		must.Eq(b, http.StatusOK, cluster.get(up.Listener.Addr().String()))
 		middle, middleCPU := time.Now(), processorTime(b)
-		must.Eq(b, http.StatusOK, w.get(callersAddr))
+		must.Eq(b, http.StatusOK, cluster.get(callersAddr))
 		direct += middle.Sub(start)
 		viaNodes += time.Since(middle)
 		directCPU += middleCPU - startCPU
@@ -57,15 +57,15 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func (w *testCluster) get(addr string) int {
+func (cluster *testCluster) get(addr string) int {
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/search", nil)
-	must.NoError(w.t, err)
+	must.NoError(cluster.t, err)
 	req.Header.Set(callctx.HeaderWorkspace, "chikugo")
 	req.Header.Set(callctx.HeaderService, "archive")
-	resp, err := w.http.Do(req)
-	must.NoError(w.t, err)
+	resp, err := cluster.http.Do(req)
+	must.NoError(cluster.t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
-	must.NoError(w.t, err)
-	must.NoError(w.t, resp.Body.Close())
+	must.NoError(cluster.t, err)
+	must.NoError(cluster.t, resp.Body.Close())
 	return resp.StatusCode
 }
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -71,80 +71,80 @@
 }
 
 // start starts a node and stops it when the test ends. configure may be nil.
-func (w *testCluster) start(id string, configure func(*settings.Node)) *Server {
-	return w.startWith(id, w.log, configure)
+func (cluster *testCluster) start(id string, configure func(*settings.Node)) *Server {
+	return cluster.startWith(id, cluster.log, configure)
 }
 
 // startWith starts a node that uses the given log.
-func (w *testCluster) startWith(id string, log logstore.Log, configure func(*settings.Node)) *Server {
+func (cluster *testCluster) startWith(id string, log logstore.Log, configure func(*settings.Node)) *Server {
 	cfg := testSettings(id)
 	if configure != nil {
 		configure(cfg)
 	}
-	must.NoError(w.t, cfg.Validate())
+	must.NoError(cluster.t, cfg.Validate())
 	s, err := Start(cfg, Options{Log: log, Logger: zerolog.Nop()})
-	must.NoError(w.t, err)
-	w.t.Cleanup(s.Kill)
+	must.NoError(cluster.t, err)
+	cluster.t.Cleanup(s.Kill)
 	return s
 }
 
 // announceUpstream starts an upstream with the handler and announces it to the node.
-func (w *testCluster) announceUpstream(s *Server, service string, h http.Handler) {
+func (cluster *testCluster) announceUpstream(s *Server, service string, h http.Handler) {
 	up := httptest.NewServer(h)
-	w.t.Cleanup(up.Close)
-	w.announceAddress(s, service, up.Listener.Addr().String())
+	cluster.t.Cleanup(up.Close)
+	cluster.announceAddress(s, service, up.Listener.Addr().String())
 }
 
 // announceAddress announces an upstream at an address to the node.
-func (w *testCluster) announceAddress(s *Server, service, addr string) {
+func (cluster *testCluster) announceAddress(s *Server, service, addr string) {
 	body, err := json.Marshal(node.Announcement{Service: service, Address: addr, Slots: 8})
-	must.NoError(w.t, err)
+	must.NoError(cluster.t, err)
 	_, exitAddr, _, _ := s.Addresses()
 	req, err := http.NewRequest(http.MethodPut, "http://"+exitAddr+"/v1/upstream", bytes.NewReader(body))
-	must.NoError(w.t, err)
-	status, _, _ := w.do(req)
-	must.Eq(w.t, http.StatusOK, status)
+	must.NoError(cluster.t, err)
+	status, _, _ := cluster.do(req)
+	must.Eq(cluster.t, http.StatusOK, status)
 }
 
-func (w *testCluster) do(req *http.Request) (int, http.Header, []byte) {
-	resp, err := w.http.Do(req)
-	must.NoError(w.t, err)
+func (cluster *testCluster) do(req *http.Request) (int, http.Header, []byte) {
+	resp, err := cluster.http.Do(req)
+	must.NoError(cluster.t, err)
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	must.NoError(w.t, err)
+	must.NoError(cluster.t, err)
 	return resp.StatusCode, resp.Header, body
 }
 
 // call sends a caller's GET request to the service.
-func (w *testCluster) call(s *Server, service, token string) (int, http.Header, []byte) {
+func (cluster *testCluster) call(s *Server, service, token string) (int, http.Header, []byte) {
 	callersAddr, _, _, _ := s.Addresses()
 	req, err := http.NewRequest(http.MethodGet, "http://"+callersAddr+"/x", nil)
-	must.NoError(w.t, err)
+	must.NoError(cluster.t, err)
 	req.Header.Set("Galena-Workspace", "chikugo")
 	req.Header.Set("Galena-Service", service)
 	if token != "" {
 		req.Header.Set("Authorization", "Bearer "+token)
 	}
-	return w.do(req)
+	return cluster.do(req)
 }
 
-func (w *testCluster) admin(s *Server, token string) adminpbconnect.AdminClient {
+func (cluster *testCluster) admin(s *Server, token string) adminpbconnect.AdminClient {
 	_, _, _, addr := s.Addresses()
-	return admin.NewClient(w.http, w.scheme+"://"+addr, token)
+	return admin.NewClient(cluster.http, cluster.scheme+"://"+addr, token)
 }
 
 // waitFor waits until the condition holds, and fails the test when it does not in time.
-func (w *testCluster) waitFor(what string, condition func() bool) {
-	w.t.Helper()
-	must.Wait(w.t, wait.InitialSuccess(
+func (cluster *testCluster) waitFor(what string, condition func() bool) {
+	cluster.t.Helper()
+	must.Wait(cluster.t, wait.InitialSuccess(
 		wait.BoolFunc(condition), wait.Timeout(20*time.Second), wait.Gap(5*time.Millisecond),
 	), must.Sprint(what))
 }
 
 // awaitTargets waits until each node has n targets for the service in its routing table.
-func (w *testCluster) awaitTargets(service string, n int, nodes ...*Server) {
-	w.t.Helper()
-	w.waitFor("each node has the expected number of targets for "+service, func() bool {
+func (cluster *testCluster) awaitTargets(service string, n int, nodes ...*Server) {
+	cluster.t.Helper()
+	cluster.waitFor("each node has the expected number of targets for "+service, func() bool {
 		for _, s := range nodes {
 			if len(s.node.Table().Targets(service)) != n {
 				return false
@@ -156,25 +156,25 @@
 
 // publishInstance publishes the template balanced, if missing, and an instance of it for the
 // service.
-func (w *testCluster) publishInstance(s *Server, service string) *adminpb.Publication {
-	w.t.Helper()
+func (cluster *testCluster) publishInstance(s *Server, service string) *adminpb.Publication {
+	cluster.t.Helper()
 	if _, ok := s.node.Policy().Template("balanced", 0); !ok {
-		doc, err := json.Marshal(libraryTemplate(w.t, "balanced"))
-		must.NoError(w.t, err)
-		resp, err := w.admin(s, "mori").PublishTemplate(context.Background(), connect.NewRequest(&adminpb.PublishTemplateRequest{
+		doc, err := json.Marshal(libraryTemplate(cluster.t, "balanced"))
+		must.NoError(cluster.t, err)
+		resp, err := cluster.admin(s, "mori").PublishTemplate(context.Background(), connect.NewRequest(&adminpb.PublishTemplateRequest{
 			Name: "balanced", DocumentJson: string(doc), ChangeId: "t-balanced", WaitPercent: 100, WaitMs: 5000,
 		}))
-		must.NoError(w.t, err)
-		must.True(w.t, resp.Msg.Publication.Accepted)
+		must.NoError(cluster.t, err)
+		must.True(cluster.t, resp.Msg.Publication.Accepted)
 	}
-	pub, err := w.setInstance(s, "mori", service, "first-"+service, 0, `{}`)
-	must.NoError(w.t, err)
-	must.True(w.t, pub.Accepted)
+	pub, err := cluster.setInstance(s, "mori", service, "first-"+service, 0, `{}`)
+	must.NoError(cluster.t, err)
+	must.True(cluster.t, pub.Accepted)
 	return pub
 }
 
-func (w *testCluster) setInstance(s *Server, token, service, change string, basedOn uint64, values string) (*adminpb.Publication, error) {
-	resp, err := w.admin(s, token).SetInstance(context.Background(), connect.NewRequest(&adminpb.SetInstanceRequest{
+func (cluster *testCluster) setInstance(s *Server, token, service, change string, basedOn uint64, values string) (*adminpb.Publication, error) {
+	resp, err := cluster.admin(s, token).SetInstance(context.Background(), connect.NewRequest(&adminpb.SetInstanceRequest{
 		Workspace: "chikugo", Service: service, Template: "balanced", ValuesJson: values, Merge: true,
 		BasedOn: basedOn, ChangeId: change, WaitPercent: 100, WaitMs: 5000,
 	}))
@@ -187,12 +187,12 @@
 // countChanges counts the template and instance records in the log, including duplicates.
 // Other records are ignored because nodes append their own at any time, such as takeovers of
 // slots.
-func (w *testCluster) countChanges() (count int) {
-	w.t.Helper()
+func (cluster *testCluster) countChanges() (count int) {
+	cluster.t.Helper()
 	from := int64(0)
 	for {
-		page, err := w.log.Read(w.t.Context(), from, logstore.MaxPageEntries, 0)
-		must.NoError(w.t, err)
+		page, err := cluster.log.Read(cluster.t.Context(), from, logstore.MaxPageEntries, 0)
+		must.NoError(cluster.t, err)
 		if len(page.Entries) == 0 {
 			return count
 		}
@@ -231,16 +231,16 @@
 
 // publishTemplate publishes a template and does not wait until the other nodes have it in
 // force.
-func (w *testCluster) publishTemplate(s *Server) {
-	w.t.Helper()
-	doc, err := json.Marshal(libraryTemplate(w.t, "balanced"))
-	must.NoError(w.t, err)
-	resp, err := w.admin(s, "mori").PublishTemplate(context.Background(), connect.NewRequest(&adminpb.PublishTemplateRequest{
+func (cluster *testCluster) publishTemplate(s *Server) {
+	cluster.t.Helper()
+	doc, err := json.Marshal(libraryTemplate(cluster.t, "balanced"))
+	must.NoError(cluster.t, err)
+	resp, err := cluster.admin(s, "mori").PublishTemplate(context.Background(), connect.NewRequest(&adminpb.PublishTemplateRequest{
 		Name: "balanced", DocumentJson: string(doc), ChangeId: "now",
 	}))
-	must.NoError(w.t, err)
-	must.Eq(w.t, 1, int(resp.Msg.Publication.NodesInForce))
-	must.Eq(w.t, 2, int(resp.Msg.Publication.NodesKnown))
+	must.NoError(cluster.t, err)
+	must.Eq(cluster.t, 1, int(resp.Msg.Publication.NodesInForce))
+	must.Eq(cluster.t, 2, int(resp.Msg.Publication.NodesKnown))
 }
 
 // shortDeadline returns a context with the deadline of an operator who does not wait for the
--- a/internal/server/control.go
+++ b/internal/server/control.go
@@ -91,8 +91,8 @@
 	return cfg
 }
 
-// follower passes the records that the plane applied to the components that evaluate single
-// records.
+// follower passes the records that the plane applied to the ownership state and to the appender,
+// which evaluate single records, and counts them in the metrics.
 type follower struct{ server *Server }
 
 // Applied implements control.Follower.
--- a/internal/server/tls_test.go
+++ b/internal/server/tls_test.go
@@ -18,7 +18,7 @@
 // Guards against an inner listener that accepts connections without a client certificate, and
 // against calls that fail when all listeners use TLS.
 func TestAllListenersOverTLS(t *testing.T) {
-	w := newTestCluster(t)
+	cluster := newTestCluster(t)
 	ca := certstest.New(t, t.TempDir(), "ca")
 	secure := func(name string, serial int64) func(*settings.Node) {
 		inner := ca.Issue(name, serial)
@@ -26,19 +26,19 @@
 		outer.CAFile = ""
 		return func(c *settings.Node) { c.Callers.TLS, c.Inner.TLS, c.Admin.TLS = &outer, &inner, &outer }
 	}
-	a, b := w.start("letters-1", secure("a", 2)), w.start("archive-1", secure("b", 3))
-	w.announceUpstream(b, "archive", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
-	w.awaitTargets("archive", 1, a, b)
+	a, b := cluster.start("letters-1", secure("a", 2)), cluster.start("archive-1", secure("b", 3))
+	cluster.announceUpstream(b, "archive", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { _, _ = rw.Write([]byte("hull")) }))
+	cluster.awaitTargets("archive", 1, a, b)
 
 	pool, err := certs.LoadCAPool(ca.File)
 	must.NoError(t, err)
 	tr := &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}, ForceAttemptHTTP2: true}
 	t.Cleanup(tr.CloseIdleConnections)
-	w.http = &http.Client{Transport: tr}
+	cluster.http = &http.Client{Transport: tr}
 	callersAddr, _, innerAddr, adminAddr := a.Addresses()
-	w.scheme = "https"
-	w.publishInstance(a, "archive")
-	st, err := admin.NewClient(w.http, "https://"+adminAddr, "view").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
+	cluster.scheme = "https"
+	cluster.publishInstance(a, "archive")
+	st, err := admin.NewClient(cluster.http, "https://"+adminAddr, "view").Status(t.Context(), connect.NewRequest(&adminpb.StatusRequest{}))
 	must.NoError(t, err)
 	must.Eq(t, 1, int(st.Msg.NodesInForce))
 
@@ -46,14 +46,14 @@
 	must.NoError(t, err)
 	req.Header.Set("Galena-Workspace", "chikugo")
 	req.Header.Set("Galena-Service", "archive")
-	status, _, body := w.do(req)
+	status, _, body := cluster.do(req)
 	must.Eq(t, http.StatusOK, status)
 	must.Eq(t, "hull", string(body))
 	must.Positive(t, a.peers.Open())
 
 	req, err = http.NewRequest(http.MethodGet, "https://"+innerAddr+reportPath, nil)
 	must.NoError(t, err)
-	_, err = w.http.Do(req)
+	_, err = cluster.http.Do(req)
 	must.Error(t, err)
 }
 
